--- a/cmd/chicoryturn/client.go
+++ b/cmd/chicoryturn/client.go
@@ -14,7 +14,7 @@
 	"github.com/integrii/flaggy"
 
 	"chicoryturn/core"
-	"chicoryturn/io/door"
+	"chicoryturn/io/httpx"
 )
 
 const clientTimeout = 20 * time.Second
@@ -79,15 +79,15 @@
 }
 
 func refusalOf(status int, text []byte) error {
-	var r door.Refusal
+	var r httpx.Refusal
 	if json.Unmarshal(text, &r) != nil || r.Code == "" {
-		return core.Unknown(core.CodeOwner, nil, "status %d: %s", status, strings.TrimSpace(string(text)))
+		return core.RefuseUnknown(core.CodeOwner, nil, "status %d: %s", status, strings.TrimSpace(string(text)))
 	}
 	reason := r.Reason
 	if len(r.Lines) > 0 {
 		reason += "\n" + strings.Join(r.Lines, "\n")
 	}
-	return &core.RefusalError{Code: core.Code(r.Code), Run: core.Run(r.Run), Reason: reason}
+	return &core.RefusalError{Code: core.Code(r.Code), Execution: core.Execution(r.Run), Reason: reason}
 }
 
 // show prints an answer as JSON or by a function of its own.
--- a/cmd/chicoryturn/node.go
+++ b/cmd/chicoryturn/node.go
@@ -35,17 +35,17 @@
 			// A signal begins a planned stop; the process ends once nothing is
 			// left to finish.
 			return node.Run(context.WithoutCancel(ctx), local.Node, node.Platform{
-				Store:   store,
-				Lists:   func(d table.Doer) node.Lists { return platform.NewLists(d, local.Zones) },
-				Workers: platform.NewWorkers(),
-				Advice:  platform.NewAdvice(local.Advice),
-				Callers: func(e *entry.Entry) http.Handler { return platform.Callers(e) },
-				Probes:  func(e *entry.Entry) http.Handler { return platform.Readiness(e) },
+				Store:         store,
+				Lister:        func(d table.Client) node.Lister { return platform.NewLister(d, local.Zones) },
+				Workers:       platform.NewWorkers(),
+				Advice:        platform.NewAdvice(local.Advice),
+				CallerHandler: func(e *entry.Entry) http.Handler { return platform.CallerHandler(e) },
+				ProbeHandler:  func(e *entry.Entry) http.Handler { return platform.ReadinessHandler(e) },
 				Settings: func() (node.Settings, error) {
 					local, err := platform.Settings()
 					return local.Node, err
 				},
-				Reload: hup,
+				ReloadSignal: hup,
 			}, ctx.Done())
 		},
 	}
--- a/cmd/chicoryturn/rules.go
+++ b/cmd/chicoryturn/rules.go
@@ -10,7 +10,7 @@
 	"github.com/integrii/flaggy"
 
 	"chicoryturn/io/agent"
-	"chicoryturn/io/door"
+	"chicoryturn/io/httpx"
 	"chicoryturn/io/parse"
 )
 
@@ -65,7 +65,7 @@
 			if err != nil {
 				return err
 			}
-			var p door.Pushed
+			var p httpx.Pushed
 			answer, err := c.call(ctx, http.MethodPost, c.ops, fmt.Sprintf("/rules?base=%d", base), text, &p)
 			if err != nil {
 				return err
@@ -77,10 +77,10 @@
 }
 
 // awaitForce waits until a change is in force in every live process.
-func (c *client) awaitForce(ctx context.Context, p door.Pushed) error {
+func (c *client) awaitForce(ctx context.Context, p httpx.Pushed) error {
 	began := time.Now()
 	for time.Since(began) < forceWait {
-		var conf door.Config
+		var conf httpx.Config
 		if _, err := c.call(ctx, http.MethodGet, c.ops, "/config", nil, &conf); err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 			c.byFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var p door.Pushed
+			var p httpx.Pushed
 			text, err := c.call(ctx, http.MethodPost, c.ops, "/keys?team="+team, nil, &p)
 			if err != nil {
 				return err
@@ -170,7 +170,7 @@
 			c.byFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var p door.Pushed
+			var p httpx.Pushed
 			text, err := c.call(ctx, http.MethodDelete, c.ops, "/keys/"+id, nil, &p)
 			if err != nil {
 				return err
@@ -186,7 +186,7 @@
 	return &command{
 		name: "list", about: "Lists keys without their secrets.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
-			var keys []door.Key
+			var keys []httpx.Key
 			text, err := c.call(ctx, http.MethodGet, c.ops, "/keys", nil, &keys)
 			if err != nil {
 				return err
--- a/cmd/chicoryturn/serve.go
+++ b/cmd/chicoryturn/serve.go
@@ -64,7 +64,7 @@
 				return &InputError{fmt.Sprintf("no help on %q; the topic is settings", topic)}
 			}
 			fmt.Printf("%-10s %-26s %-8s %s\n", "name", "unit", "default", "meaning")
-			for _, s := range parse.Table {
+			for _, s := range parse.SettingTable {
 				def := s.Default
 				if def == "" {
 					def = "-"
--- a/cmd/chicoryturn/status.go
+++ b/cmd/chicoryturn/status.go
@@ -8,11 +8,11 @@
 	"github.com/integrii/flaggy"
 
 	"chicoryturn/core/admit"
-	"chicoryturn/core/board"
 	"chicoryturn/core/cell"
 	"chicoryturn/core/conf"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/member"
-	"chicoryturn/core/reign"
 	"chicoryturn/io/agent"
 	"chicoryturn/io/sched"
 )
@@ -91,7 +91,7 @@
 		run: func(context.Context) error {
 			charts := map[string]string{}
 			var names []string
-			for _, list := range [][]string{cell.Charts(), member.Charts(), admit.Charts(), conf.Charts(), board.Charts(), reign.Charts()} {
+			for _, list := range [][]string{cell.Charts(), member.Charts(), admit.Charts(), conf.Charts(), fleet.Charts(), elect.Charts()} {
 				for i := 0; i+1 < len(list); i += 2 {
 					charts[list[i]] = list[i+1]
 					names = append(names, list[i])
--- a/cmd/chicoryturn/why.go
+++ b/cmd/chicoryturn/why.go
@@ -9,7 +9,7 @@
 
 	"github.com/integrii/flaggy"
 
-	"chicoryturn/io/trail"
+	"chicoryturn/io/trace"
 )
 
 // whyCommand prints the life of one job from the logs.
@@ -36,14 +36,14 @@
 		defer f.Close()
 		in = f
 	}
-	lines, skipped, err := trail.Read(in, job)
+	lines, skipped, err := trace.Read(in, job)
 	if err != nil {
 		return &InputError{err.Error()}
 	}
 	for _, l := range lines {
 		fmt.Fprintln(out, l)
 	}
-	fmt.Fprintf(out, "\n%d lines over %s: %s\n", len(lines), trail.Span(lines).Round(time.Millisecond), trail.Verdict(lines))
+	fmt.Fprintf(out, "\n%d lines over %s: %s\n", len(lines), trace.Span(lines).Round(time.Millisecond), trace.Summary(lines))
 	if skipped > 0 {
 		fmt.Fprintf(out, "%d lines that name the job could not be read\n", skipped)
 	}
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -13,8 +13,8 @@
 // unlimited grants every team whatever it asks for.
 type unlimited struct{}
 
-// Free implements cell.Limits.
-func (unlimited) Free(string) int64 { return 1 << 40 }
+// Available implements cell.Limits.
+func (unlimited) Available(string) int64 { return 1 << 40 }
 
 // Excess implements cell.Limits.
 func (unlimited) Excess(string) int64 { return 0 }
@@ -22,8 +22,8 @@
 // Use implements cell.Limits.
 func (unlimited) Use(string, int64) {}
 
-// Want implements cell.Limits.
-func (unlimited) Want(string, int64) {}
+// SetDemand implements cell.Limits.
+func (unlimited) SetDemand(string, int64) {}
 
 // bench is a cell whose workers answer at once, without messages.
 type bench struct {
@@ -64,7 +64,7 @@
 
 func (b *bench) record() {
 	for b.cell.Batch() != nil {
-		b.cell.Recorded(b.now)
+		b.cell.BatchStored(b.now)
 	}
 }
 
@@ -77,7 +77,7 @@
 			Queue: "sweep", Kind: rules.Batch, Submitted: b.now,
 		}
 		for range tasks {
-			spec.Tasks = append(spec.Tasks, cell.TaskSpec{Need: need, Run: time.Minute, Command: "sleep 60s"})
+			spec.Tasks = append(spec.Tasks, cell.TaskSpec{Need: need, Estimate: time.Minute, Command: "sleep 60s"})
 		}
 		if _, err := b.cell.Submit(b.now, spec); err != nil {
 			return err
@@ -97,13 +97,13 @@
 
 // answer lets every contacted worker report what it was told to run.
 func (b *bench) answer() int {
-	contacts := b.cell.Contacts(b.now)
+	contacts := b.cell.Heartbeats(b.now)
 	for _, k := range contacts {
 		for _, s := range k.Starts {
-			b.tasks[k.Worker] = append(b.tasks[k.Worker], cell.TaskReport{Task: s.Task, Try: s.Try, State: cell.TaskRunning, Team: s.Team, Need: s.Need})
+			b.tasks[k.Worker] = append(b.tasks[k.Worker], cell.TaskReport{Task: s.Task, Run: s.Run, State: cell.TaskRunning, Team: s.Team, Need: s.Need})
 		}
 		b.seq++
-		b.cell.Report(b.now, k, cell.Report{Stamp: "s", Born: "b", Seq: b.seq, Full: true, Room: room, Tasks: b.tasks[k.Worker]})
+		b.cell.Report(b.now, k, cell.Report{Stamp: "s", Incarnation: "b", Seq: b.seq, Full: true, Room: room, Tasks: b.tasks[k.Worker]})
 	}
 	return len(contacts)
 }
--- a/cmd/measure/idle.go
+++ b/cmd/measure/idle.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"chicoryturn/io/demo"
-	"chicoryturn/io/site"
+	"chicoryturn/io/deploy"
 )
 
 // measureIdle runs deployments of several sizes without any work.
@@ -18,13 +18,13 @@
 	sizes := []struct{ each, workers int }{{1, 12}, {3, 12}, {8, 12}, {1, 48}, {1, 192}}
 	var writes, reads, bytes, cpu []point
 	for _, n := range sizes {
-		p := site.Glaze()
+		p := deploy.Glaze()
 		p.Gates, p.Scheds, p.Workers, p.Targets = n.each, n.each, n.workers, 12
-		s, err := site.Start(ctx, p)
+		s, err := deploy.Start(ctx, p)
 		if err != nil {
 			return err
 		}
-		if _, err := demo.Open(ctx, s, s.Doors, p); err != nil {
+		if _, err := demo.Open(ctx, s, s.Addresses, p); err != nil {
 			return err
 		}
 		before, used := s.Platform.Counts(), processorTime()
--- a/cmd/measure/path.go
+++ b/cmd/measure/path.go
@@ -14,7 +14,7 @@
 
 	"chicoryturn/core"
 	"chicoryturn/io/demo"
-	"chicoryturn/io/site"
+	"chicoryturn/io/deploy"
 )
 
 const (
@@ -40,20 +40,20 @@
 // pathOnce loads a fresh deployment. Direct calls know no slots, so that the
 // targets are given enough of them.
 func pathOnce(ctx context.Context, t *tabwriter.Writer, direct bool, span time.Duration) error {
-	p := site.Glaze()
+	p := deploy.Glaze()
 	p.Workers = 3
 	if direct {
 		p.Slots = 2 * pathCallers
 	}
-	s, err := site.Start(ctx, p)
+	s, err := deploy.Start(ctx, p)
 	if err != nil {
 		return err
 	}
-	r, err := demo.Open(ctx, s, s.Doors, p)
+	r, err := demo.Open(ctx, s, s.Addresses, p)
 	if err != nil {
 		return err
 	}
-	at, name := s.Doors.Callers, "through a gate"
+	at, name := s.Addresses.Callers, "through a gate"
 	if direct {
 		at, name = nil, "direct to target"
 		for _, vm := range s.VMs {
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -10,8 +10,8 @@
 
 	"chicoryturn/core/cell"
 	"chicoryturn/io/demo"
+	"chicoryturn/io/deploy"
 	"chicoryturn/io/sched"
-	"chicoryturn/io/site"
 )
 
 const (
@@ -43,7 +43,7 @@
 // mix returns streams of jobs that ask for a part of a fleet's cores. A few
 // teams are large; sizes and run times differ, declared times are off by up
 // to ten times.
-func mix(p site.Plan, part float64) []demo.JobLoad {
+func mix(p deploy.Plan, part float64) []demo.JobStream {
 	const every = 200 * ms
 	cores := float64(p.Total().Cores) / 1000 * part
 	unit := float64(p.Room.Cores) / 16000
@@ -67,7 +67,7 @@
 			{"label", "orchard", 0.05, 0.5, 512, 700 * ms, 0}, {"urgent", "inspector", 0.02, 0.5, 512, 400 * ms, 0},
 		}
 	}
-	var out []demo.JobLoad
+	var out []demo.JobStream
 	for _, s := range streams {
 		size := s.cores * unit
 		perSecond := cores * s.part / (size * s.run.Seconds())
@@ -77,9 +77,9 @@
 		}
 		count = max(count, 1)
 		gap = time.Duration(float64(count) / perSecond * float64(time.Second))
-		out = append(out, demo.JobLoad{
+		out = append(out, demo.JobStream{
 			Queue: coreQueue(s.queue), Team: coreTeam(s.team), Every: gap, Count: count, Cores: size,
-			Memory: int64(s.memory * unit), Run: s.run, Off: 10,
+			Memory: int64(s.memory * unit), Run: s.run, EstimateError: 10,
 		})
 	}
 	return out
@@ -97,7 +97,7 @@
 func measurePolicy(ctx context.Context, only, kind string, span time.Duration, seed uint64) error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "plan\tload\tpolicy\ttasks\turgent p50\tp99\tbatch p50\tp99\tgang p50\tp99\tcores\tmean dist\tlargest\tCPU ms/task\tfaults\t")
-	for _, p := range []site.Plan{site.Glaze(), site.Bagmati()} {
+	for _, p := range []deploy.Plan{deploy.Glaze(), deploy.Bagmati()} {
 		if only != "" && only != p.Name {
 			continue
 		}
@@ -116,22 +116,22 @@
 	return nil
 }
 
-func onePolicy(ctx context.Context, t *tabwriter.Writer, p site.Plan, n named, load float64, span time.Duration, seed uint64) error {
+func onePolicy(ctx context.Context, t *tabwriter.Writer, p deploy.Plan, n named, load float64, span time.Duration, seed uint64) error {
 	p.Options = append(p.Options, sched.WithPolicy(n.policy))
-	s, err := site.Start(ctx, p)
+	s, err := deploy.Start(ctx, p)
 	if err != nil {
 		return err
 	}
-	r, err := demo.Open(ctx, s, s.Doors, p)
+	r, err := demo.Open(ctx, s, s.Addresses, p)
 	if err != nil {
 		return err
 	}
 	before := processorTime()
-	if err := r.Drive(ctx, demo.Load{For: span, Seed: seed, Jobs: mix(p, load)}); err != nil {
+	if err := r.RunWorkload(ctx, demo.Workload{Duration: span, Seed: seed, Jobs: mix(p, load)}); err != nil {
 		return err
 	}
 	used := processorTime() - before
-	sum, near, faults := r.Summary(), r.Nearness(nearWindow), r.Faults()
+	sum, near, faults := r.Summary(), r.Nearness(nearWindow), r.Violations()
 	urgent, batch, gang := "urgent", "cure", "mould"
 	if p.Name == "bagmati" {
 		batch, gang = "label", "plate"
--- a/cmd/measure/size.go
+++ b/cmd/measure/size.go
@@ -123,7 +123,7 @@
 	return b
 }
 
-func teamsOf(n int) *conf.Book {
+func teamsOf(n int) *conf.Config {
 	set := &rules.Set{Teams: map[core.Team]rules.Team{}, Queues: map[core.Queue]rules.Queue{}}
 	for i := range n {
 		name := fmt.Sprintf("team%05d", i)
@@ -135,7 +135,7 @@
 	return b
 }
 
-func keysOf(n int) *conf.Book {
+func keysOf(n int) *conf.Config {
 	b := conf.New()
 	for i := range n {
 		_ = b.Apply(conf.Change{Version: core.Version(i + 1), Kind: conf.GrantKey, Key: &conf.Key{
@@ -166,12 +166,12 @@
 	return m
 }
 
-func bookOf(n int) *ledger.Book {
+func bookOf(n int) *ledger.Ledger {
 	b := ledger.New("hobart/0")
 	for i := range n {
 		name := fmt.Sprintf("cores/team%05d", i)
 		b.Declare(name, 100000, 1000)
-		b.Want(name, int64(i))
+		b.SetDemand(name, int64(i))
 	}
 	return b
 }
@@ -183,10 +183,10 @@
 		for i := range n {
 			r.Tasks = append(r.Tasks, work.Task{
 				Task: fmt.Sprintf("hobart.0.ABCDEFGHIJKLMNOP.%d", i), State: "running", Team: "foundry",
-				Need: work.Room{Cores: 2000, Memory: 4096}, Ran: "3h12m10.123456789s",
+				Need: work.Room{Cores: 2000, Memory: 4096}, Elapsed: "3h12m10.123456789s",
 			})
 		}
-		k := work.Contact{Cell: "hobart/0", Epoch: 12, Order: 1e6, Stamp: r.Stamp, TTL: "6s", After: 1e6, Wait: "2s"}
+		k := work.Heartbeat{Cell: "hobart/0", Epoch: 12, Order: 1e6, Stamp: r.Stamp, TTL: "6s", After: 1e6, Wait: "2s"}
 		a, errA := json.Marshal(r)
 		b, errB := json.Marshal(k)
 		if errA == nil && errB == nil {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -15,8 +15,8 @@
 	"github.com/integrii/flaggy"
 	"golang.org/x/sync/errgroup"
 
+	"chicoryturn/io/fakes"
 	"chicoryturn/io/proc"
-	"chicoryturn/io/stand"
 	"chicoryturn/io/work"
 )
 
@@ -98,19 +98,19 @@
 }
 
 func platform(ctx context.Context, group *errgroup.Group, f flags) error {
-	p := stand.NewPlatform(ctx)
+	p := fakes.NewPlatform(ctx)
 	group.Go(p.Run)
 	return serve(ctx, group, f.addr, p.Handler())
 }
 
 func worker(ctx context.Context, group *errgroup.Group, f flags) error {
-	w := stand.NewWorker(ctx, f.name, work.Room{Cores: f.cores, Memory: f.memory, Accel: f.accel})
+	w := fakes.NewWorker(ctx, f.name, work.Room{Cores: f.cores, Memory: f.memory, Accel: f.accel})
 	group.Go(w.Run)
 	return serve(ctx, group, f.addr, w.Handler())
 }
 
 func target(ctx context.Context, group *errgroup.Group, f flags) error {
-	t := stand.NewTarget(ctx, f.name, f.slots)
+	t := fakes.NewTarget(ctx, f.name, f.slots)
 	group.Go(t.Run)
 	return serve(ctx, group, f.addr, t.Handler())
 }
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	p := stand.NewProxy(to)
+	p := fakes.NewProxy(to)
 	group.Go(func() error { return p.Serve(ctx, l) })
 	return serve(ctx, group, f.admin, p.Handler())
 }
--- a/core/admit/gate.go
+++ b/core/admit/gate.go
@@ -48,18 +48,18 @@
 	reqUnknown = requestChart.State("unknown")
 )
 
-// Lots grants parts of bounded amounts; the ledger's book is one.
-type Lots interface {
-	Free(name string) int64
+// Allocator grants parts of bounded amounts; the ledger's book is one.
+type Allocator interface {
+	Available(name string) int64
 	Used(name string) int64
 	Use(name string, n int64)
-	Want(name string, n int64)
+	SetDemand(name string, n int64)
 	Declare(name string, total, slack int64)
-	Forget(keep func(name string) bool)
+	ZeroTotals(keep func(name string) bool)
 }
 
-// Ask is a request that wants a slot.
-type Ask struct {
+// Request is a request that wants a slot.
+type Request struct {
 	ID   uint64
 	Team core.Team
 	Rule *rules.Queue
@@ -70,13 +70,13 @@
 
 // The outcomes. Unsent is only reported when no byte can have left.
 const (
-	Unsent Outcome = "unsent"
-	Broken Outcome = "broken"
-	Whole  Outcome = "whole"
-	// Cut is a broken answer of which the caller has already seen a part.
-	Cut Outcome = "cut"
-	// Drop is a grant that came after the caller had left.
-	Drop Outcome = "drop"
+	Unsent    Outcome = "unsent"
+	Aborted   Outcome = "broken"
+	Completed Outcome = "whole"
+	// Truncated is a broken answer of which the caller has already seen a part.
+	Truncated Outcome = "cut"
+	// Abandoned is a grant that came after the caller had left.
+	Abandoned Outcome = "drop"
 )
 
 // Event tells the traffic side about one request.
@@ -91,8 +91,8 @@
 }
 
 type request struct {
-	ask    Ask
-	gate   *Gate
+	ask    Request
+	gate   *Controller
 	state  chart.State
 	asked  time.Time
 	expiry time.Time
@@ -108,11 +108,11 @@
 	call  string
 }
 
-// Gate is the admission state of one gate.
-type Gate struct {
+// Controller is the admission state of one gate.
+type Controller struct {
 	region core.Region
 	zone   core.Zone
-	lots   Lots
+	lots   Allocator
 	now    time.Time
 	set    *rules.Set
 	// gates divide the region's targets, allGates the teams' limits.
@@ -141,22 +141,22 @@
 }
 
 // New returns a gate without targets.
-func New(region core.Region, zone core.Zone, lots Lots) *Gate {
-	return &Gate{
+func New(region core.Region, zone core.Zone, lots Allocator) *Controller {
+	return &Controller{
 		region: region, zone: zone, lots: lots, set: &rules.Set{}, gates: 1, allGates: 1, calls: map[core.Team]*demand{}, budget: retryBurst,
 		targets: map[string]*target{}, byService: map[core.Service][]*target{}, home: map[core.Service]int{},
 		requests: map[uint64]*request{}, waiting: map[core.Service]map[core.Team][]*request{},
 	}
 }
 
-func (g *Gate) note(err error) {
+func (g *Controller) note(err error) {
 	if err != nil {
 		g.refusals = append(g.refusals, err)
 	}
 }
 
 // Refusals returns and forgets the events that a chart refused.
-func (g *Gate) Refusals() []error {
+func (g *Controller) Refusals() []error {
 	out := g.refusals
 	g.refusals = nil
 	return out
@@ -164,27 +164,27 @@
 
 // Waits returns and forgets the waiting times of requests granted since the
 // last call.
-func (g *Gate) Waits() []Wait {
+func (g *Controller) Waits() []Wait {
 	out := g.waits
 	g.waits = nil
 	return out
 }
 
 // SetRules follows a new configuration.
-func (g *Gate) SetRules(set *rules.Set) {
+func (g *Controller) SetRules(set *rules.Set) {
 	g.set = set
 	g.declare()
 }
 
 // SetGates tells how many gates of the region divide its targets, and how many
 // in all divide the teams' limits.
-func (g *Gate) SetGates(region, fleet int) {
+func (g *Controller) SetGates(region, fleet int) {
 	g.gates, g.allGates = int64(max(region, 1)), int64(max(fleet, 1))
 	g.declare()
 }
 
 // declare tells the lots what there is to divide.
-func (g *Gate) declare() {
+func (g *Controller) declare() {
 	rows := core.NewSet[string]()
 	for _, t := range g.targets {
 		if targetChart.Name(t.state) != "gone" {
@@ -200,10 +200,10 @@
 		rows.Add(CallName(name))
 		g.lots.Declare(CallName(name), team.Slots, max(1, team.Slots/(2*g.allGates)))
 	}
-	g.lots.Forget(rows.Has)
+	g.lots.ZeroTotals(rows.Has)
 }
 
-func (g *Gate) names() []string {
+func (g *Controller) names() []string {
 	out := make([]string, 0, len(g.targets))
 	for name := range g.targets {
 		out = append(out, name)
@@ -213,7 +213,7 @@
 }
 
 // Admit takes in a request. It may be granted, refused or left waiting.
-func (g *Gate) Admit(now time.Time, ask Ask) []Event {
+func (g *Controller) Admit(now time.Time, ask Request) []Event {
 	g.now = now
 	if g.backlog(ask.Rule) >= ask.Rule.Backlog {
 		r := core.Refuse(core.CodeBusy, "queue %q has %d requests waiting", ask.Rule.Name, ask.Rule.Backlog)
@@ -231,7 +231,7 @@
 	return g.serve()
 }
 
-func (g *Gate) backlog(q *rules.Queue) int {
+func (g *Controller) backlog(q *rules.Queue) int {
 	n := 0
 	for _, line := range g.waiting[q.Service] {
 		for _, r := range line {
@@ -243,7 +243,7 @@
 	return n
 }
 
-func (g *Gate) push(r *request) {
+func (g *Controller) push(r *request) {
 	lines := g.waiting[r.ask.Rule.Service]
 	if lines == nil {
 		lines = map[core.Team][]*request{}
@@ -252,7 +252,7 @@
 	lines[r.ask.Team] = append(lines[r.ask.Team], r)
 }
 
-func (g *Gate) remove(r *request) {
+func (g *Controller) remove(r *request) {
 	lines := g.waiting[r.ask.Rule.Service]
 	line := slices.DeleteFunc(lines[r.ask.Team], func(o *request) bool { return o == r })
 	if len(line) == 0 {
@@ -263,7 +263,7 @@
 }
 
 // serve grants slots while there are any.
-func (g *Gate) serve() []Event {
+func (g *Controller) serve() []Event {
 	var out []Event
 	for service := range g.waiting {
 		for {
@@ -283,7 +283,7 @@
 
 // next returns the waiting request to be served: of the team that uses least
 // in relation to its share, the one that came first.
-func (g *Gate) next(s core.Service) (*request, *target) {
+func (g *Controller) next(s core.Service) (*request, *target) {
 	lines := g.waiting[s]
 	teams := make([]core.Team, 0, len(lines))
 	for team := range lines {
@@ -293,7 +293,7 @@
 		return cmp.Or(cmp.Compare(g.rank(a), g.rank(b)), cmp.Compare(a, b))
 	})
 	for _, team := range teams {
-		if g.lots.Free(CallName(team)) <= 0 {
+		if g.lots.Available(CallName(team)) <= 0 {
 			continue
 		}
 		for _, r := range lines[team] {
@@ -308,11 +308,11 @@
 	return nil, nil
 }
 
-func (g *Gate) rank(team core.Team) float64 {
+func (g *Controller) rank(team core.Team) float64 {
 	return float64(g.lots.Used(CallName(team))) / max(g.set.Teams[team].Share, 1)
 }
 
-func (g *Gate) fire(r *request, ev chart.Event) { g.note(requestChart.Fire(&r.state, ev, r)) }
+func (g *Controller) fire(r *request, ev chart.Event) { g.note(requestChart.Fire(&r.state, ev, r)) }
 
 func (r *request) again() bool {
 	return r.sends < maxSends && r.gate.now.Before(r.expiry)
@@ -354,8 +354,8 @@
 	r.gate.push(r)
 }
 
-// Ended follows what has become of a sent request.
-func (g *Gate) Ended(now time.Time, id uint64, o Outcome, cause error) []Event {
+// RequestEnded follows what has become of a sent request.
+func (g *Controller) RequestEnded(now time.Time, id uint64, o Outcome, cause error) []Event {
 	g.now = now
 	r := g.requests[id]
 	if r == nil {
@@ -363,7 +363,7 @@
 	}
 	t := r.target
 	switch o {
-	case Whole:
+	case Completed:
 		t.fails = 0
 		t.fire(targetAnswer)
 		g.fire(r, reqWhole)
@@ -371,11 +371,11 @@
 		t.fails++
 		t.fire(targetFail)
 		g.fire(r, reqUnsent)
-	case Broken:
+	case Aborted:
 		g.fire(r, reqBroken)
-	case Cut:
+	case Truncated:
 		g.fire(r, reqCut)
-	case Drop:
+	case Abandoned:
 		g.fire(r, reqDrop)
 	}
 	var out []Event
@@ -390,7 +390,7 @@
 	ev := Event{ID: r.ask.ID}
 	switch {
 	case r.state == reqUnknown:
-		ev.Err = core.Unknown(core.CodeTarget, cause, "target %s did not answer in full", r.target.vm.Name)
+		ev.Err = core.RefuseUnknown(core.CodeTarget, cause, "target %s did not answer in full", r.target.vm.Name)
 	case requestChart.Name(r.state) == "answered":
 		ev.Ended = true
 	default:
@@ -401,8 +401,8 @@
 	return ev
 }
 
-// Leave follows a caller that has gone away while waiting.
-func (g *Gate) Leave(now time.Time, id uint64) []Event {
+// CallerGone follows a caller that has gone away while waiting.
+func (g *Controller) CallerGone(now time.Time, id uint64) []Event {
 	g.now = now
 	r := g.requests[id]
 	if r == nil || r.state != reqWaiting {
@@ -416,7 +416,7 @@
 
 // Tick refuses the requests that have waited too long, returns the slots of
 // those that broke off, and updates what the gate wants.
-func (g *Gate) Tick(now time.Time) []Event {
+func (g *Controller) Tick(now time.Time) []Event {
 	g.now = now
 	var out []Event
 	for _, r := range g.expired() {
@@ -424,7 +424,7 @@
 		g.fire(r, reqExpire)
 		delete(g.requests, r.ask.ID)
 		e := core.Refuse(core.CodeTimeout, "no slot of service %q was free within %s", r.ask.Rule.Service, r.ask.Rule.Wait)
-		if g.lots.Free(CallName(r.ask.Team)) <= 0 {
+		if g.lots.Available(CallName(r.ask.Team)) <= 0 {
 			e = core.Refuse(core.CodeLimit, "team %q is at its limit of requests", r.ask.Team)
 		}
 		e.RetryAfter = time.Second
@@ -447,7 +447,7 @@
 	return append(out, g.serve()...)
 }
 
-func (g *Gate) expired() []*request {
+func (g *Controller) expired() []*request {
 	var out []*request
 	for _, r := range g.requests {
 		if r.state == reqWaiting && !g.now.Before(r.expiry) {
--- a/core/admit/gate_test.go
+++ b/core/admit/gate_test.go
@@ -16,8 +16,8 @@
 
 // rig is a gate whose book has been granted all that it declared.
 type rig struct {
-	gate *admit.Gate
-	book *ledger.Book
+	gate *admit.Controller
+	book *ledger.Ledger
 	now  time.Time
 	rule *rules.Queue
 	next uint64
@@ -53,7 +53,7 @@
 
 func (r *rig) ask() []admit.Event {
 	r.next++
-	return r.gate.Admit(r.now, admit.Ask{ID: r.next, Team: "a", Rule: r.rule})
+	return r.gate.Admit(r.now, admit.Request{ID: r.next, Team: "a", Rule: r.rule})
 }
 
 func rule(repeat bool) rules.Queue {
@@ -70,13 +70,13 @@
 	is.Equal(len(r.ask()), 0) // waits
 	is.Equal(len(r.ask()), 0)
 	is.Equal(r.ask()[0].Err.Code, core.CodeBusy) // beyond the backlog
-	events := r.gate.Ended(r.now, 1, admit.Whole, nil)
+	events := r.gate.RequestEnded(r.now, 1, admit.Completed, nil)
 	is.True(events[0].Ended)
 	is.Equal(events[1].ID, uint64(3)) // the one that came first
 	r.now = r.now.Add(2 * time.Second)
 	events = r.gate.Tick(r.now)
 	is.Equal(events[0].Err.Code, core.CodeTimeout)
-	is.Equal(events[0].Err.Run, core.RunNo)
+	is.Equal(events[0].Err.Execution, core.NotExecuted)
 }
 
 func TestOutcomes(t *testing.T) {
@@ -84,26 +84,26 @@
 		repeat  bool
 		outcome admit.Outcome
 		again   bool
-		run     core.Run
+		run     core.Execution
 	}{
 		"unsent":             {false, admit.Unsent, true, ""},
-		"broken":             {false, admit.Broken, false, core.RunUnknown},
-		"broken, repeatable": {true, admit.Broken, true, ""},
-		"cut, repeatable":    {true, admit.Cut, false, core.RunUnknown},
+		"broken":             {false, admit.Aborted, false, core.ExecutionUnknown},
+		"broken, repeatable": {true, admit.Aborted, true, ""},
+		"cut, repeatable":    {true, admit.Truncated, false, core.ExecutionUnknown},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := newRig(2, 1, rule(tt.repeat))
 			first, _ := r.ask()[0].Target.Get()
-			events := r.gate.Ended(r.now, 1, tt.outcome, nil)
+			events := r.gate.RequestEnded(r.now, 1, tt.outcome, nil)
 			second, granted := events[0].Target.Get()
 			is.Equal(granted, tt.again)
 			if tt.again {
 				is.True(second.Name != first.Name) // another target
 				return
 			}
-			is.Equal(events[0].Err.Run, tt.run)
+			is.Equal(events[0].Err.Execution, tt.run)
 		})
 	}
 }
@@ -116,7 +116,7 @@
 	q.Wait = 5 * time.Second
 	r := newRig(1, 1, q)
 	r.ask()
-	r.gate.Ended(r.now, 1, admit.Broken, nil)
+	r.gate.RequestEnded(r.now, 1, admit.Aborted, nil)
 	is.Equal(len(r.ask()), 0)
 	r.now = r.now.Add(time.Second)
 	is.Equal(len(r.gate.Tick(r.now.Add(-time.Millisecond))), 0)
--- a/core/admit/target.go
+++ b/core/admit/target.go
@@ -42,7 +42,7 @@
 
 type target struct {
 	vm        core.VM
-	gate      *Gate
+	gate      *Controller
 	state     chart.State
 	row       string
 	fails     int
@@ -58,7 +58,7 @@
 // CallName returns the name of the ledger row of a team's requests in flight.
 func CallName(t core.Team) string { return "calls/" + string(t) }
 
-func (g *Gate) targetOf(vm core.VM) *target {
+func (g *Controller) targetOf(vm core.VM) *target {
 	t := g.targets[vm.Name]
 	if t == nil {
 		t = &target{gate: g, state: targetChart.Start(), row: SlotName(vm.Region, vm.Name)}
@@ -69,7 +69,7 @@
 }
 
 // SetTargets follows a new list of the targets of all regions.
-func (g *Gate) SetTargets(now time.Time, vms []core.VM) []Event {
+func (g *Controller) SetTargets(now time.Time, vms []core.VM) []Event {
 	g.now = now
 	listed := core.NewSet[string]()
 	for _, vm := range vms {
@@ -103,14 +103,14 @@
 // pick returns the target on which a request is best sent: in the gate's own
 // data centre, then in its region, then elsewhere if the request has waited
 // for longer than the trip, or if the region has no such target at all.
-func (g *Gate) pick(r *request) *target {
+func (g *Controller) pick(r *request) *target {
 	var best *target
 	bestFree, bestNear := int64(0), 0
 	for _, t := range g.byService[r.ask.Rule.Service] {
 		if t.state != targetLive || r.avoid.Has(t.vm.Name) || (t.far() && !g.mayCross(r)) {
 			continue
 		}
-		free, near := g.lots.Free(t.row), g.near(t)
+		free, near := g.lots.Available(t.row), g.near(t)
 		if free <= 0 || (best != nil && (near < bestNear || near == bestNear && free <= bestFree)) {
 			continue
 		}
@@ -120,7 +120,7 @@
 }
 
 // near is highest for targets in the gate's own data centre.
-func (g *Gate) near(t *target) int {
+func (g *Controller) near(t *target) int {
 	switch {
 	case t.vm.Zone == g.zone:
 		return 2
@@ -132,6 +132,6 @@
 }
 
 // mayCross reports whether a request has earned the trip to another region.
-func (g *Gate) mayCross(r *request) bool {
+func (g *Controller) mayCross(r *request) bool {
 	return g.now.Sub(r.asked) >= crossAfter || g.home[r.ask.Rule.Service] == 0
 }
--- a/core/admit/want.go
+++ b/core/admit/want.go
@@ -24,7 +24,7 @@
 }
 
 // see notes what a team uses and waits for.
-func (g *Gate) see(team core.Team) {
+func (g *Controller) see(team core.Team) {
 	d := g.calls[team]
 	if d == nil {
 		d = &demand{}
@@ -33,7 +33,7 @@
 	d.see(g.callsNow(team))
 }
 
-func (g *Gate) callsNow(team core.Team) int64 {
+func (g *Controller) callsNow(team core.Team) int64 {
 	n := g.lots.Used(CallName(team))
 	for _, lines := range g.waiting {
 		n += int64(len(lines[team]))
@@ -41,8 +41,8 @@
 	return n
 }
 
-// Wants tells the lots what this gate could use now.
-func (g *Gate) Wants() {
+// UpdateDemand tells the lots what this gate could use now.
+func (g *Controller) UpdateDemand() {
 	for service := range g.byService {
 		waiting, crossing := int64(0), int64(0)
 		for _, line := range g.waiting[service] {
@@ -58,11 +58,11 @@
 	}
 	for team := range g.set.Teams {
 		g.see(team)
-		g.lots.Want(CallName(team), g.calls[team].next(g.callsNow(team)))
+		g.lots.SetDemand(CallName(team), g.calls[team].next(g.callsNow(team)))
 	}
 }
 
-func (g *Gate) wantSlots(s core.Service, waiting int64) {
+func (g *Controller) wantSlots(s core.Service, waiting int64) {
 	live := int64(0)
 	for _, t := range g.byService[s] {
 		if t.state == targetLive && !t.far() {
@@ -77,13 +77,13 @@
 		if t.state == targetLive {
 			now += (waiting + live - 1) / live
 		}
-		g.lots.Want(t.row, min(t.demand.next(now), t.vm.Slots))
+		g.lots.SetDemand(t.row, min(t.demand.next(now), t.vm.Slots))
 	}
 }
 
 // wantFar asks for slots of other regions for the requests that may cross, on
 // as few targets as will do.
-func (g *Gate) wantFar(s core.Service, crossing int64) {
+func (g *Controller) wantFar(s core.Service, crossing int64) {
 	for _, t := range g.byService[s] {
 		if !t.far() {
 			continue
@@ -94,12 +94,12 @@
 			crossing -= n
 			now += n
 		}
-		g.lots.Want(t.row, min(t.demand.next(now), t.vm.Slots))
+		g.lots.SetDemand(t.row, min(t.demand.next(now), t.vm.Slots))
 	}
 }
 
 // Waiting returns how many requests wait and how many are being sent.
-func (g *Gate) Waiting() (waiting, sending int) {
+func (g *Controller) Waiting() (waiting, sending int) {
 	for _, r := range g.requests {
 		if r.state == reqWaiting {
 			waiting++
@@ -119,7 +119,7 @@
 }
 
 // Targets returns the targets for display.
-func (g *Gate) Targets() []TargetView {
+func (g *Controller) Targets() []TargetView {
 	var out []TargetView
 	for _, name := range g.names() {
 		t := g.targets[name]
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -42,14 +42,14 @@
 
 // Limits says how much of each team's limit this cell may use.
 type Limits interface {
-	// Free returns what is left of the cell's part of a limit.
-	Free(name string) int64
+	// Available returns what is left of the cell's part of a limit.
+	Available(name string) int64
 	// Use takes n of it; negative n gives back.
 	Use(name string, n int64)
 	// Excess returns what must be ended because a limit has been lowered.
 	Excess(name string) int64
-	// Want tells what the cell could use now, the used part included.
-	Want(name string, n int64)
+	// SetDemand tells what the cell could use now, the used part included.
+	SetDemand(name string, n int64)
 }
 
 // LimitName returns the name of the limit on a team's running tasks.
@@ -83,7 +83,7 @@
 	// runs counts the runs begun under this epoch.
 	runs   uint64
 	rooms  *place.Index
-	guess  *Guess
+	guess  *Estimator
 	shares *share.Table
 
 	jobs     map[core.JobID]*Job
@@ -134,7 +134,7 @@
 	c := &Cell{
 		id: id, epoch: epoch, limits: limits, workerTTL: DefaultWorkerTTL, policy: DefaultPolicy(),
 		workers: map[core.WorkerID]*Worker{}, known: core.NewSet[core.WorkerID](),
-		rooms: place.New(), guess: NewGuess(), shares: share.New(),
+		rooms: place.New(), guess: NewEstimator(), shares: share.New(),
 		jobs: map[core.JobID]*Job{}, teams: map[core.Team]*line{}, held: core.NewSet[*Task](),
 	}
 	for _, o := range opts {
@@ -180,8 +180,8 @@
 	c.changed = true
 }
 
-// SetAfar tells what a team uses in other cells and the fleet's room.
-func (c *Cell) SetAfar(team core.Team, cores, fleet int64) { c.shares.SetAfar(team, cores, fleet) }
+// SetRemoteUse tells what a team uses in other cells and the fleet's room.
+func (c *Cell) SetRemoteUse(team core.Team, cores, fleet int64) { c.shares.SetAfar(team, cores, fleet) }
 
 // SetWorkers follows a new list of the cell's worker VMs.
 func (c *Cell) SetWorkers(now time.Time, vms []core.VM) {
@@ -380,7 +380,7 @@
 	}
 	sum := core.Resources{}
 	for i, t := range spec.Tasks {
-		if t.Need.Cores <= 0 || t.Need.Memory < 0 || t.Need.Accel < 0 || t.Run < 0 {
+		if t.Need.Cores <= 0 || t.Need.Memory < 0 || t.Need.Accel < 0 || t.Estimate < 0 {
 			return core.Refuse(core.CodeBadInput, "task %d needs a positive number of cores and no negative amount", i)
 		}
 		if !c.fitsAny(t.Need) {
@@ -465,7 +465,7 @@
 
 func (c *Cell) learn(t *Task, ran time.Duration) {
 	c.counts.Ends++
-	c.guess.Learn(t.job.Spec.Queue, t.spec().Run, ran)
+	c.guess.Learn(t.job.Spec.Queue, t.spec().Estimate, ran)
 }
 
 func lessTask(a, b core.TaskID) bool {
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -25,7 +25,7 @@
 
 func newLimits() *limits { return &limits{map[string]int64{}, map[string]int64{}} }
 
-func (l *limits) Free(name string) int64 {
+func (l *limits) Available(name string) int64 {
 	if part, ok := l.part[name]; ok {
 		return part - l.used[name]
 	}
@@ -33,7 +33,7 @@
 }
 func (l *limits) Excess(string) int64      { return 0 }
 func (l *limits) Use(name string, n int64) { l.used[name] += n }
-func (l *limits) Want(string, int64)       {}
+func (l *limits) SetDemand(string, int64)  {}
 
 // rig is a cell with workers that answer when told to.
 type rig struct {
@@ -43,7 +43,7 @@
 	now    time.Time
 	seq    uint64
 	tasks  map[core.WorkerID]map[core.TaskID]cell.TaskReport
-	open   []cell.Contact
+	open   []cell.Heartbeat
 }
 
 func newRig(t testing.TB, workers int, entries []cell.Entry) *rig {
@@ -65,15 +65,15 @@
 
 func (r *rig) record() {
 	for r.cell.Batch() != nil {
-		r.cell.Recorded(r.now)
+		r.cell.BatchStored(r.now)
 	}
 }
 
 // answer sends all contacts; the workers that hear run what they are told.
 func (r *rig) answer(hears func(core.WorkerID) bool) {
-	for _, k := range append(r.open, r.cell.Contacts(r.now)...) {
+	for _, k := range append(r.open, r.cell.Heartbeats(r.now)...) {
 		if !hears(k.Worker) {
-			r.cell.Missed(r.now, k)
+			r.cell.HeartbeatFailed(r.now, k)
 			continue
 		}
 		held := r.tasks[k.Worker]
@@ -82,7 +82,7 @@
 			r.tasks[k.Worker] = held
 		}
 		for _, s := range k.Starts {
-			held[s.Task] = cell.TaskReport{Task: s.Task, Try: s.Try, State: cell.TaskRunning, Team: s.Team, Need: s.Need}
+			held[s.Task] = cell.TaskReport{Task: s.Task, Run: s.Run, State: cell.TaskRunning, Team: s.Team, Need: s.Need}
 		}
 		for _, s := range k.Stops {
 			if x, ok := held[s.Task]; ok && s.How == cell.StopSlow {
@@ -97,12 +97,12 @@
 			}
 		}
 		for _, a := range k.Acks {
-			if held[a.Task].Try == a.Try {
+			if held[a.Task].Run == a.Run {
 				delete(held, a.Task)
 			}
 		}
 		r.seq++
-		rep := cell.Report{Stamp: "s", Born: "b", Seq: r.seq, Full: true, Room: room}
+		rep := cell.Report{Stamp: "s", Incarnation: "b", Seq: r.seq, Full: true, Room: room}
 		for _, x := range held {
 			rep.Tasks = append(rep.Tasks, x)
 		}
@@ -126,7 +126,7 @@
 func spec(name string, team core.Team, kind rules.Kind, tasks int, need core.Resources) cell.JobSpec {
 	s := cell.JobSpec{ID: core.NewJobID(id, name), Team: team, Queue: "q", Kind: kind, Submitted: time.Now()}
 	for range tasks {
-		s.Tasks = append(s.Tasks, cell.TaskSpec{Need: need, Run: time.Minute})
+		s.Tasks = append(s.Tasks, cell.TaskSpec{Need: need, Estimate: time.Minute})
 	}
 	return s
 }
@@ -218,7 +218,7 @@
 	is.Equal(r.running("gang"), 0)
 	late := spec("late", "a", rules.Batch, 20, core.Resources{Cores: 1000})
 	for i := range late.Tasks {
-		late.Tasks[i].Run = time.Hour
+		late.Tasks[i].Estimate = time.Hour
 	}
 	r.submit(late)
 	r.settle()
@@ -319,9 +319,9 @@
 	task := core.TaskID{Job: core.NewJobID(id, "one")}
 	first := r.tasks["w0"][task]
 	first.State = cell.TaskStopped
-	late := cell.Report{Stamp: "s", Born: "b", Seq: r.seq + 1, Room: room, Tasks: []cell.TaskReport{first}}
+	late := cell.Report{Stamp: "s", Incarnation: "b", Seq: r.seq + 1, Room: room, Tasks: []cell.TaskReport{first}}
 	r.seq++
-	k := cell.Contact{Worker: "w0", Wait: time.Second, Stamp: "s"}
+	k := cell.Heartbeat{Worker: "w0", Wait: time.Second, Stamp: "s"}
 	r.cell.Report(r.now, k, late)
 	is.Equal(r.running("one"), 0)
 	r.cell.Plan(r.now)
--- a/core/cell/contact.go
+++ b/core/cell/contact.go
@@ -29,27 +29,27 @@
 // Ack lets a worker forget a run that has ended.
 type Ack struct {
 	Task core.TaskID
-	Try  uint64
+	Run  uint64
 }
 
 // Start asks a worker to run a task. A worker that runs it already ignores it.
 type Start struct {
 	Task core.TaskID
-	// Try numbers the runs of all tasks of a cell, so that a late report of an
+	// Run numbers the runs of all tasks of a cell, so that a late report of an
 	// earlier run of the task is not taken for this one.
-	Try     uint64
-	Team    core.Team
-	Need    core.Resources
-	Run     time.Duration
-	Command string
+	Run      uint64
+	Team     core.Team
+	Need     core.Resources
+	Estimate time.Duration
+	Command  string
 	// Saved is the run time that the task's newest checkpoint holds.
 	Saved time.Duration
 }
 
-// Contact is one message to a worker. It renews the worker's lease from the
+// Heartbeat is one message to a worker. It renews the worker's lease from the
 // time at which the worker made Stamp. A worker refuses a contact of an older
 // epoch, and starts nothing on a stamp older than its lease time.
-type Contact struct {
+type Heartbeat struct {
 	Worker core.WorkerID
 	Addr   netip.AddrPort
 	Cell   core.CellID
@@ -59,8 +59,8 @@
 	Order uint64
 	Stamp string
 	TTL   time.Duration
-	// Born is the worker's incarnation as last reported.
-	Born string
+	// Incarnation is the worker's incarnation as last reported.
+	Incarnation string
 	// After and Wait let the worker hold its answer until it has news, and
 	// report only what has changed since.
 	After  uint64
@@ -86,22 +86,22 @@
 // TaskReport is one task as its worker reports it.
 type TaskReport struct {
 	Task  core.TaskID
-	Try   uint64
+	Run   uint64
 	State TaskState
 	Team  core.Team
 	Need  core.Resources
 	// Used is what the task was lately seen to use; zero if not known yet.
 	Used core.Resources
-	// Ran is how long the task has run.
-	Ran time.Duration
+	// Elapsed is how long the task has run.
+	Elapsed time.Duration
 }
 
 // Report is a worker's answer to a contact.
 type Report struct {
 	Stamp string
-	// Born names the worker's incarnation; sequence numbers belong to it.
-	Born string
-	Seq  uint64
+	// Incarnation names the worker's incarnation; sequence numbers belong to it.
+	Incarnation string
+	Seq         uint64
 	// Full is set when Tasks holds every task of the worker. Otherwise it holds
 	// those that have changed after the contact's After.
 	Full  bool
@@ -109,10 +109,10 @@
 	Tasks []TaskReport
 }
 
-// Contacts returns the messages to be sent to workers now.
-func (c *Cell) Contacts(now time.Time) []Contact {
+// Heartbeats returns the messages to be sent to workers now.
+func (c *Cell) Heartbeats(now time.Time) []Heartbeat {
 	c.now = now
-	var out []Contact
+	var out []Heartbeat
 	ready := c.ready
 	c.ready = nil
 	for _, w := range ready {
@@ -144,18 +144,18 @@
 	}
 }
 
-func (c *Cell) contact(w *Worker, wait time.Duration) Contact {
+func (c *Cell) contact(w *Worker, wait time.Duration) Heartbeat {
 	c.orders++
-	k := Contact{
+	k := Heartbeat{
 		Worker: w.id, Addr: w.vm.Addr, Cell: c.id, Epoch: c.epoch, Order: c.orders, Stamp: w.stamp,
-		TTL: c.workerTTL, Born: w.born, After: w.seq, Wait: wait, Acks: w.acks,
+		TTL: c.workerTTL, Incarnation: w.born, After: w.seq, Wait: wait, Acks: w.acks,
 	}
 	w.acks = nil
 	for _, t := range w.sorted() {
 		switch t.state {
 		case taskStarting:
 			s := t.spec()
-			k.Starts = append(k.Starts, Start{t.ID(), t.try, t.job.Spec.Team, s.Need, s.Run, s.Command, t.saved})
+			k.Starts = append(k.Starts, Start{t.ID(), t.try, t.job.Spec.Team, s.Need, s.Estimate, s.Command, t.saved})
 		case taskStopping:
 			k.Stops = append(k.Stops, Stop{t.ID(), StopNow})
 		case taskYielding:
@@ -173,8 +173,8 @@
 	return k
 }
 
-// Missed follows a contact without an answer.
-func (c *Cell) Missed(now time.Time, k Contact) {
+// HeartbeatFailed follows a contact without an answer.
+func (c *Cell) HeartbeatFailed(now time.Time, k Heartbeat) {
 	c.now = now
 	w := c.workers[k.Worker]
 	if w == nil {
@@ -187,7 +187,7 @@
 	w.fire(workerMiss)
 }
 
-func (c *Cell) landed(w *Worker, k Contact) {
+func (c *Cell) landed(w *Worker, k Heartbeat) {
 	c.wake(w)
 	if k.Wait > 0 || k.Stamp == "" {
 		w.watching = false
@@ -197,7 +197,7 @@
 }
 
 // Report follows a worker's answer.
-func (c *Cell) Report(now time.Time, k Contact, r Report) {
+func (c *Cell) Report(now time.Time, k Heartbeat, r Report) {
 	c.now = now
 	w := c.workers[k.Worker]
 	if w == nil || w.state == workerGone {
@@ -205,16 +205,16 @@
 	}
 	c.landed(w, k)
 	w.heard, w.due = now, time.Time{}
-	if w.born == r.Born && r.Seq < w.seq {
+	if w.born == r.Incarnation && r.Seq < w.seq {
 		return
 	}
-	if w.born != r.Born && !r.Full {
+	if w.born != r.Incarnation && !r.Full {
 		// What has changed since another incarnation says nothing.
 		w.born, w.seq, w.stamp = "", 0, ""
 		return
 	}
 	first := w.state != workerLive
-	w.born, w.stamp, w.seq = r.Born, r.Stamp, r.Seq
+	w.born, w.stamp, w.seq = r.Incarnation, r.Stamp, r.Seq
 	c.resize(w, r.Room)
 	c.readTasks(w, k, r)
 	w.fire(workerReport)
@@ -235,7 +235,7 @@
 	w.room = least
 }
 
-func (c *Cell) readTasks(w *Worker, k Contact, r Report) {
+func (c *Cell) readTasks(w *Worker, k Heartbeat, r Report) {
 	seen := core.NewSet[core.TaskID]()
 	for i := range r.Tasks {
 		seen.Add(r.Tasks[i].Task)
@@ -251,7 +251,7 @@
 
 // readMissing follows tasks that the worker does not report: it has lost them,
 // unless their start is still on its way.
-func (c *Cell) readMissing(w *Worker, k Contact, seen core.Set[core.TaskID], full bool) {
+func (c *Cell) readMissing(w *Worker, k Heartbeat, seen core.Set[core.TaskID], full bool) {
 	asked := core.NewSet[core.TaskID]()
 	for i := range k.Starts {
 		asked.Add(k.Starts[i].Task)
@@ -282,7 +282,7 @@
 }
 
 // told reports whether a contact has asked the worker to end a task.
-func (w *Worker) told(k Contact, id core.TaskID) bool {
+func (w *Worker) told(k Heartbeat, id core.TaskID) bool {
 	for i := range k.Stops {
 		if k.Stops[i].Task == id && k.Stops[i].How != StopSlow {
 			return true
@@ -297,13 +297,13 @@
 		c.readStray(w, t, r)
 		return
 	}
-	t.next, t.try = w, r.Try
+	t.next, t.try = w, r.Run
 	switch r.State {
 	case TaskRunning:
 		c.readRunning(t)
 		c.recharge(t, r.Used)
 	case TaskDone:
-		c.learn(t, r.Ran)
+		c.learn(t, r.Elapsed)
 		t.result, t.endedOn = Done, w
 		t.fire(taskDone)
 		c.judge(w, t, healthDone)
@@ -314,13 +314,13 @@
 		// A checkpoint is not a failure; nor is the end of a lapsed lease.
 		t.result, t.endedOn = Cancelled, w
 		if r.State == TaskSaved {
-			t.saved += r.Ran
+			t.saved += r.Elapsed
 		}
 		t.fire(taskFail)
-		w.acks = append(w.acks, Ack{r.Task, r.Try})
+		w.acks = append(w.acks, Ack{r.Task, r.Run})
 	case TaskRefused:
 		t.fire(taskRefused)
-		w.acks = append(w.acks, Ack{r.Task, r.Try})
+		w.acks = append(w.acks, Ack{r.Task, r.Run})
 	}
 }
 
@@ -330,7 +330,7 @@
 func (t *Task) concerns(w *Worker, r *TaskReport) bool {
 	switch {
 	case t.worker != nil:
-		return t.worker == w && t.try == r.Try
+		return t.worker == w && t.try == r.Run
 	case t.state == taskQueued:
 		return r.State == TaskDone
 	default:
@@ -376,7 +376,7 @@
 	if r.State != TaskRunning {
 		c.dropOrphan(w, r.Task)
 		if t == nil || t.recorded || t.outcome == "" {
-			w.acks = append(w.acks, Ack{r.Task, r.Try})
+			w.acks = append(w.acks, Ack{r.Task, r.Run})
 		}
 		return
 	}
--- a/core/cell/gang.go
+++ b/core/cell/gang.go
@@ -34,7 +34,7 @@
 	if !c.policy.Backfill {
 		return true
 	}
-	run := c.guess.Predict(t.job.Spec.Queue, t.spec().Run)
+	run := c.guess.Predict(t.job.Spec.Queue, t.spec().Estimate)
 	return c.now.Add(run).After(r.at)
 }
 
@@ -43,7 +43,7 @@
 	if c.now.Before(j.retryAfter) {
 		return false
 	}
-	if c.limits.Free(LimitName(j.Spec.Team)) < j.cores {
+	if c.limits.Available(LimitName(j.Spec.Team)) < j.cores {
 		return false
 	}
 	where, ok := c.fitGang(p, j)
@@ -144,7 +144,7 @@
 func (w *Worker) freeAt() time.Time {
 	at := w.cell.now
 	for _, t := range w.tasks {
-		end := t.placed.Add(w.cell.guess.Predict(t.job.Spec.Queue, t.spec().Run))
+		end := t.placed.Add(w.cell.guess.Predict(t.job.Spec.Queue, t.spec().Estimate))
 		if end.After(at) {
 			at = end
 		}
--- a/core/cell/guess.go
+++ b/core/cell/guess.go
@@ -22,16 +22,16 @@
 	runs int
 }
 
-// Guess learns how far declared run times are off, by queue.
-type Guess struct {
+// Estimator learns how far declared run times are off, by queue.
+type Estimator struct {
 	queues map[core.Queue]*learned
 }
 
-// NewGuess returns a guess that has learned nothing.
-func NewGuess() *Guess { return &Guess{queues: map[core.Queue]*learned{}} }
+// NewEstimator returns a guess that has learned nothing.
+func NewEstimator() *Estimator { return &Estimator{queues: map[core.Queue]*learned{}} }
 
 // Learn takes in one finished run.
-func (g *Guess) Learn(q core.Queue, declared, actual time.Duration) {
+func (g *Estimator) Learn(q core.Queue, declared, actual time.Duration) {
 	if actual <= 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 }
 
 // Predict returns the expected run time of a task.
-func (g *Guess) Predict(q core.Queue, declared time.Duration) time.Duration {
+func (g *Estimator) Predict(q core.Queue, declared time.Duration) time.Duration {
 	l := g.queues[q]
 	switch {
 	case l == nil && declared <= 0:
--- a/core/cell/job.go
+++ b/core/cell/job.go
@@ -39,8 +39,8 @@
 // TaskSpec is what a submitter asks for one task.
 type TaskSpec struct {
 	Need core.Resources
-	// Run is the declared run time; it may be far off. Zero means unknown.
-	Run time.Duration
+	// Estimate is the declared run time; it may be far off. Zero means unknown.
+	Estimate time.Duration `json:"Run"`
 	// Command is passed to the worker as it is.
 	Command string
 }
@@ -215,7 +215,7 @@
 		return 0
 	}
 	spec := &j.Spec.Tasks[j.queued[len(j.queued)-1]]
-	return j.cell.guess.Predict(j.Spec.Queue, spec.Run)
+	return j.cell.guess.Predict(j.Spec.Queue, spec.Estimate)
 }
 
 // due works out the latest start of the next task from what is owed and from
--- a/core/cell/journal.go
+++ b/core/cell/journal.go
@@ -57,9 +57,9 @@
 // Pending returns how many entries wait to be recorded.
 func (c *Cell) Pending() int { return len(c.pending) + len(c.flying) }
 
-// Recorded follows a batch that is in the store and returns the jobs whose
+// BatchStored follows a batch that is in the store and returns the jobs whose
 // acceptance it holds.
-func (c *Cell) Recorded(now time.Time) []core.JobID {
+func (c *Cell) BatchStored(now time.Time) []core.JobID {
 	c.now = now
 	batch := c.flying
 	c.flying = nil
@@ -192,5 +192,5 @@
 	}
 }
 
-// Flying returns the batch whose outcome is not known.
-func (c *Cell) Flying() []Entry { return c.flying }
+// InFlight returns the batch whose outcome is not known.
+func (c *Cell) InFlight() []Entry { return c.flying }
--- a/core/cell/plan.go
+++ b/core/cell/plan.go
@@ -188,7 +188,7 @@
 // wants tells the limits what each team could use.
 func (c *Cell) wants() {
 	for _, l := range c.teams {
-		c.limits.Want(LimitName(l.team), c.shares.Used(l.team).Cores+l.cores)
+		c.limits.SetDemand(LimitName(l.team), c.shares.Used(l.team).Cores+l.cores)
 	}
 }
 
@@ -296,7 +296,7 @@
 	c := p.cell
 	t := &j.tasks[j.queued[len(j.queued)-1]]
 	need := t.spec().Need
-	if c.limits.Free(LimitName(j.Spec.Team)) < need.Cores {
+	if c.limits.Available(LimitName(j.Spec.Team)) < need.Cores {
 		*tried++
 		return
 	}
--- a/core/conf/conf.go
+++ b/core/conf/conf.go
@@ -27,7 +27,7 @@
 type version struct {
 	number core.Version
 	state  chart.State
-	book   *Book
+	book   *Config
 }
 
 // ConfirmWithin is how long a process goes on honouring keys without having
@@ -55,8 +55,8 @@
 	At    time.Time
 }
 
-// Book is the configuration that one process runs.
-type Book struct {
+// Config is the configuration that one process runs.
+type Config struct {
 	number    core.Version
 	current   *version
 	rules     *rules.Set
@@ -65,15 +65,15 @@
 }
 
 // New returns a book at version 0, which lets no work in.
-func New() *Book {
-	return &Book{rules: &rules.Set{}, keys: map[string]*Key{}}
+func New() *Config {
+	return &Config{rules: &rules.Set{}, keys: map[string]*Key{}}
 }
 
 // Version returns the version in force.
-func (b *Book) Version() core.Version { return b.number }
+func (b *Config) Version() core.Version { return b.number }
 
 // State returns the state of the version in force.
-func (b *Book) State() string {
+func (b *Config) State() string {
 	if b.current == nil {
 		return "none"
 	}
@@ -81,10 +81,10 @@
 }
 
 // Rules returns the rules in force; the caller must not change them.
-func (b *Book) Rules() *rules.Set { return b.rules }
+func (b *Config) Rules() *rules.Set { return b.rules }
 
 // Keys returns the keys sorted by ID.
-func (b *Book) Keys() []*Key {
+func (b *Config) Keys() []*Key {
 	out := make([]*Key, 0, len(b.keys))
 	for _, k := range b.keys {
 		out = append(out, k)
@@ -94,7 +94,7 @@
 }
 
 // Restore replaces the whole content by that of a newer snapshot.
-func (b *Book) Restore(number core.Version, set *rules.Set, keys []*Key) {
+func (b *Config) Restore(number core.Version, set *rules.Set, keys []*Key) {
 	if number <= b.number {
 		return
 	}
@@ -109,7 +109,7 @@
 
 // Apply puts the next change in force. A change already applied is ignored;
 // one that skips a version is refused.
-func (b *Book) Apply(c Change) error {
+func (b *Config) Apply(c Change) error {
 	if c.Version <= b.number {
 		return nil
 	}
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (b *Book) change(c Change) error {
+func (b *Config) change(c Change) error {
 	switch c.Kind {
 	case PushRules:
 		b.rules = c.Rules
@@ -155,18 +155,18 @@
 
 // Confirm notes that the version in force was the newest when the question
 // was sent.
-func (b *Book) Confirm(sent time.Time) {
+func (b *Config) Confirm(sent time.Time) {
 	if sent.After(b.confirmed) {
 		b.confirmed = sent
 	}
 }
 
 // Confirmed returns when the version was last known to be the newest.
-func (b *Book) Confirmed() time.Time { return b.confirmed }
+func (b *Config) Confirmed() time.Time { return b.confirmed }
 
 // Admit returns the team and rule under which work may enter a queue. Key is
 // empty for a caller that showed none; team is what the caller claims.
-func (b *Book) Admit(now time.Time, queue core.Queue, team core.Team, key string) (core.Team, *rules.Queue, error) {
+func (b *Config) Admit(now time.Time, queue core.Queue, team core.Team, key string) (core.Team, *rules.Queue, error) {
 	if b.number == 0 {
 		r := core.Refuse(core.CodeConfig, "no configuration has been read yet")
 		r.RetryAfter = time.Second
@@ -195,10 +195,10 @@
 	return team, &q, nil
 }
 
-// Owner returns the team of a key.
-func (b *Book) Owner(now time.Time, key string) (core.Team, error) { return b.owner(now, key) }
+// TeamOf returns the team of a key.
+func (b *Config) TeamOf(now time.Time, key string) (core.Team, error) { return b.owner(now, key) }
 
-func (b *Book) owner(now time.Time, key string) (core.Team, error) {
+func (b *Config) owner(now time.Time, key string) (core.Team, error) {
 	if now.Sub(b.confirmed) > ConfirmWithin {
 		r := core.Refuse(core.CodeConfig, "cannot confirm that keys are current")
 		r.RetryAfter = time.Second
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func newBook(t *testing.T) (*conf.Book, time.Time) {
+func newBook(t *testing.T) (*conf.Config, time.Time) {
 	t.Helper()
 	b, now := conf.New(), time.Now()
 	changes := []conf.Change{
@@ -71,7 +71,7 @@
 			var refused *core.RefusalError
 			is.True(errors.As(err, &refused))
 			is.Equal(refused.Code, tt.want)
-			is.Equal(refused.Run, core.RunNo)
+			is.Equal(refused.Execution, core.NotExecuted)
 		})
 	}
 }
--- a/core/reign/reign.go
+++ b/core/elect/election.go
@@ -1,7 +1,7 @@
-// Package reign decides which process owns the fleet's jobs and workers. One
+// Package elect decides which process owns the fleet's jobs and workers. One
 // row in the platform's table names the owner; every claim and renewal is a
 // write on the condition that the row has not changed.
-package reign
+package elect
 
 import (
 	_ "embed"
@@ -19,10 +19,10 @@
 	TTL = 2500 * time.Millisecond
 	// SuspectTTL stands for TTL when the owner does not answer its peers either.
 	SuspectTTL = 1200 * time.Millisecond
-	// Renewal is the longest pause between two writes of an owner.
-	Renewal = 700 * time.Millisecond
-	// Pause is the time between two looks at another owner's row.
-	Pause = 700 * time.Millisecond
+	// RenewInterval is the longest pause between two writes of an owner.
+	RenewInterval = 700 * time.Millisecond
+	// ReadInterval is the time between two looks at another owner's row.
+	ReadInterval = 700 * time.Millisecond
 	// blind is the longest pause between two successful looks that still counts
 	// as having watched the row all the while.
 	blind = 1500 * time.Millisecond
@@ -34,11 +34,11 @@
 	thaw = 250 * time.Millisecond
 )
 
-//go:embed reign.toml
+//go:embed election.toml
 var text []byte
 
 var (
-	machine = chart.Must(chart.Load[*Reign](text, nil, nil))
+	machine = chart.Must(chart.Load[*Election](text, nil, nil))
 
 	vacant = machine.Event("vacant")
 	won    = machine.Event("won")
@@ -56,8 +56,8 @@
 // Charts returns the name and drawing of this package's chart.
 func Charts() []string { return []string{"reign", machine.Draw()} }
 
-// Seat is the row that names the owner.
-type Seat struct {
+// Record is the row that names the owner.
+type Record struct {
 	// Holder names one incarnation of a process; it is empty if the last owner
 	// has left.
 	Holder core.SessionID
@@ -72,21 +72,21 @@
 	Stamp time.Duration
 }
 
-// Look is the row as read from the store.
-type Look struct {
-	Seat Seat
+// Observation is the row as read from the store.
+type Observation struct {
+	Record Record
 	// Version is 0 if there is no row; Clock is the store's clock.
 	Version uint64
 	Clock   time.Duration
 }
 
-// Reign follows the seat as one process sees it.
-type Reign struct {
-	me    Seat
+// Election follows the seat as one process sees it.
+type Election struct {
+	me    Record
 	state chart.State
 	// seat and version are the row as last read or written; version is 0 while
 	// there is none.
-	seat    Seat
+	seat    Record
 	version uint64
 	// changed is when the row was first seen as it is, looked when it was last
 	// read.
@@ -114,38 +114,38 @@
 
 // New returns the view of a process that has not read the row yet. Patience
 // delays its claims.
-func New(me Seat, patience time.Duration) *Reign {
-	return &Reign{me: me, state: machine.Start(), patience: patience}
+func New(me Record, patience time.Duration) *Election {
+	return &Election{me: me, state: machine.Start(), patience: patience}
 }
 
-func (r *Reign) fire(ev chart.Event) {
+func (r *Election) fire(ev chart.Event) {
 	// Every state of the chart decides every event without refusing any.
 	_ = machine.Fire(&r.state, ev, r)
 }
 
-// Seat returns the row as last seen, and its version.
-func (r *Reign) Seat() (Seat, uint64) { return r.seat, r.version }
+// Record returns the row as last seen, and its version.
+func (r *Election) Record() (Record, uint64) { return r.seat, r.version }
 
 // State returns the name of the present state.
-func (r *Reign) State() string { return machine.Name(r.state) }
+func (r *Election) State() string { return machine.Name(r.state) }
 
 // Owning reports whether the process decides.
-func (r *Reign) Owning() bool { return r.state == owning }
+func (r *Election) Owning() bool { return r.state == owning }
 
 // Loading reports whether the process has won and must read what is recorded.
-func (r *Reign) Loading() bool { return r.state == loading }
+func (r *Election) Loading() bool { return r.state == loading }
 
-// Mine reports whether the process holds the row.
-func (r *Reign) Mine() bool { return r.state == owning || r.state == loading }
+// IsHolder reports whether the process holds the row.
+func (r *Election) IsHolder() bool { return r.state == owning || r.state == loading }
 
-// SetPatience changes the delay of claims.
-func (r *Reign) SetPatience(p time.Duration) { r.patience = p }
+// SetClaimDelay changes the delay of claims.
+func (r *Election) SetClaimDelay(p time.Duration) { r.patience = p }
 
-// Failed follows a look without result.
-func (r *Reign) Failed(now time.Time) { r.failed = now }
+// ReadFailed follows a look without result.
+func (r *Election) ReadFailed(now time.Time) { r.failed = now }
 
 // age returns how long the row has not changed, as far as is known.
-func (r *Reign) age(now time.Time) time.Duration {
+func (r *Election) age(now time.Time) time.Duration {
 	age := now.Sub(r.changed)
 	if r.seat.Stamp > 0 && now.Sub(r.failed) > dimmed {
 		age = max(age, r.clock-r.seat.Stamp)
@@ -153,24 +153,24 @@
 	return age
 }
 
-func (r *Reign) setClock(now time.Time, clock time.Duration) {
+func (r *Election) setClock(now time.Time, clock time.Duration) {
 	if clock > 0 {
 		r.clock, r.clockAt = clock, now
 	}
 }
 
 // stamp estimates the store's clock.
-func (r *Reign) stamp(now time.Time) time.Duration {
+func (r *Election) stamp(now time.Time) time.Duration {
 	if r.clock == 0 {
 		return 0
 	}
 	return r.clock + now.Sub(r.clockAt)
 }
 
-// Looked takes in the row as read at a time. It reports whether the process
+// Observe takes in the row as read at a time. It reports whether the process
 // should claim now.
-func (r *Reign) Looked(now time.Time, l Look) bool {
-	s, version := l.Seat, l.Version
+func (r *Election) Observe(now time.Time, l Observation) bool {
+	s, version := l.Record, l.Version
 	if version < r.version {
 		return false
 	}
@@ -178,7 +178,7 @@
 	mine := s.Holder == r.me.Holder
 	// Whatever a write without an answer has done shows in the row.
 	r.doubt = false
-	if r.Mine() {
+	if r.IsHolder() {
 		r.seat, r.version, r.looked = s, version, now
 		if !mine {
 			r.fire(lost)
@@ -218,91 +218,91 @@
 	return r.state == claiming
 }
 
-// Over tells that an incarnation seems to have ended, so that its seat need not
+// MarkEnded tells that an incarnation seems to have ended, so that its seat need not
 // be watched before a claim. A wrong hint does no harm but a change of owner:
 // workers obey the later one.
-func (r *Reign) Over(holder core.SessionID) { r.over = holder }
+func (r *Election) MarkEnded(holder core.SessionID) { r.over = holder }
 
-// Suspect tells that an incarnation does not answer this process; an empty name
+// MarkSuspect tells that an incarnation does not answer this process; an empty name
 // that the owner does.
-func (r *Reign) Suspect(holder core.SessionID) { r.suspect = holder }
+func (r *Election) MarkSuspect(holder core.SessionID) { r.suspect = holder }
 
-// Doubtful reports whether the holder seems to have ended or does not answer.
-func (r *Reign) Doubtful() bool {
+// HolderSuspect reports whether the holder seems to have ended or does not answer.
+func (r *Election) HolderSuspect() bool {
 	return r.seat.Holder != "" && (r.seat.Holder == r.over || r.seat.Holder == r.suspect)
 }
 
-// Deposed follows the news of a later owner.
-func (r *Reign) Deposed() {
-	if r.Mine() {
+// Superseded follows the news of a later owner.
+func (r *Election) Superseded() {
+	if r.IsHolder() {
 		r.fire(lost)
 		r.changed = time.Time{}
 	}
 }
 
-// Next returns the row to write next: a claim or a renewal.
-func (r *Reign) Next(now time.Time) (Seat, uint64) {
+// NextRecord returns the row to write next: a claim or a renewal.
+func (r *Election) NextRecord(now time.Time) (Record, uint64) {
 	s := r.me
 	s.Stamp = r.stamp(now)
 	s.Epoch, s.Beat = r.seat.Epoch, r.seat.Beat+1
-	if !r.Mine() {
+	if !r.IsHolder() {
 		s.Epoch, s.Beat = r.seat.Epoch+1, 1
 	}
 	return s, r.version
 }
 
-// Resign returns the row that frees the seat for others.
-func (r *Reign) Resign() (Seat, uint64) {
+// ResignRecord returns the row that frees the seat for others.
+func (r *Election) ResignRecord() (Record, uint64) {
 	s := r.seat
 	s.Holder, s.Beat = "", r.seat.Beat+1
 	return s, r.version
 }
 
-// Wrote follows a write that has taken effect; clock is the store's.
-func (r *Reign) Wrote(now time.Time, s Seat, version uint64, clock time.Duration) {
+// WriteSucceeded follows a write that has taken effect; clock is the store's.
+func (r *Election) WriteSucceeded(now time.Time, s Record, version uint64, clock time.Duration) {
 	r.setClock(now, clock)
 	r.seat, r.version, r.looked, r.changed, r.doubt, r.frozen = s, version, now, now, false, false
 	r.fire(won)
 }
 
-// Lost follows a write whose condition failed.
-func (r *Reign) Lost() {
+// WriteConflicted follows a write whose condition failed.
+func (r *Election) WriteConflicted() {
 	r.fire(lost)
 	r.changed = time.Time{}
 }
 
-// Unsure follows a write without an answer; the row must be read before the
+// WriteUnknown follows a write without an answer; the row must be read before the
 // next one.
-func (r *Reign) Unsure() {
+func (r *Election) WriteUnknown() {
 	r.doubt = true
 	r.fire(failed)
 }
 
-// Refused follows a write that surely has not taken effect.
-func (r *Reign) Refused() { r.fire(failed) }
+// WriteRefused follows a write that surely has not taken effect.
+func (r *Election) WriteRefused() { r.fire(failed) }
 
-// Doubt reports whether the row must be read again before it is written.
-func (r *Reign) Doubt() bool { return r.doubt }
+// MustRead reports whether the row must be read again before it is written.
+func (r *Election) MustRead() bool { return r.doubt }
 
-// Loaded follows the end of reading what is recorded.
-func (r *Reign) Loaded() { r.fire(loaded) }
+// StateLoaded follows the end of reading what is recorded.
+func (r *Election) StateLoaded() { r.fire(loaded) }
 
-// Leave ends all claims of a process that is stopping.
-func (r *Reign) Leave() { r.fire(leave) }
+// Drain ends all claims of a process that is stopping.
+func (r *Election) Drain() { r.fire(leave) }
 
-// Awake compares the time since start on a clock that counts suspended time
+// CheckSuspension compares the time since start on a clock that counts suspended time
 // with that on one that does not. It reports whether orders may be sent: after
 // a suspension, or when the process has been stopped for long enough that others
 // may have claimed, the row must be confirmed first.
-func (r *Reign) Awake(counting, steady time.Duration) bool {
+func (r *Election) CheckSuspension(counting, steady time.Duration) bool {
 	skew := counting - steady
 	stalled := r.checked > 0 && counting-r.checked > SuspectTTL
-	if (skew-r.skew > thaw || stalled) && r.Mine() {
+	if (skew-r.skew > thaw || stalled) && r.IsHolder() {
 		r.frozen = true
 	}
 	r.skew, r.checked = skew, counting
 	return !r.frozen
 }
 
-// Frozen reports whether the row must be confirmed after a suspension or a stop.
-func (r *Reign) Frozen() bool { return r.frozen }
+// Suspended reports whether the row must be confirmed after a suspension or a stop.
+func (r *Election) Suspended() bool { return r.frozen }
--- a/core/reign/reign_test.go
+++ b/core/elect/election_test.go
@@ -1,4 +1,4 @@
-package reign_test
+package elect_test
 
 import (
 	"testing"
@@ -6,43 +6,43 @@
 
 	"github.com/matryer/is"
 
-	"chicoryturn/core/reign"
+	"chicoryturn/core/elect"
 )
 
 var dawn = time.Date(2026, 12, 4, 6, 0, 0, 0, time.UTC)
 
 func at(ms int) time.Time { return dawn.Add(time.Duration(ms) * time.Millisecond) }
 
-func newReign() *reign.Reign {
-	return reign.New(reign.Seat{Holder: "vm-a/1", VM: "vm-a"}, 0)
+func newReign() *elect.Election {
+	return elect.New(elect.Record{Holder: "vm-a/1", VM: "vm-a"}, 0)
 }
 
 // newOwner is a process that owns the fleet since 10 ms, with its row, which has
 // version 7.
-func newOwner() (*reign.Reign, reign.Seat) {
+func newOwner() (*elect.Election, elect.Record) {
 	r := newReign()
-	r.Looked(at(0), reign.Look{Seat: reign.Seat{}, Version: 0})
-	s, _ := r.Next(dawn)
-	r.Wrote(at(10), s, 7, 0)
-	r.Loaded()
+	r.Observe(at(0), elect.Observation{Record: elect.Record{}, Version: 0})
+	s, _ := r.NextRecord(dawn)
+	r.WriteSucceeded(at(10), s, 7, 0)
+	r.StateLoaded()
 	return r, s
 }
 
 // other is the seat of another process.
-func other(beat int) reign.Seat {
-	return reign.Seat{Holder: "vm-b/1", VM: "vm-b", Epoch: 3, Beat: uint64(beat)}
+func other(beat int) elect.Record {
+	return elect.Record{Holder: "vm-b/1", VM: "vm-b", Epoch: 3, Beat: uint64(beat)}
 }
 
 func TestClaimOfEmptySeat(t *testing.T) {
 	is := is.New(t)
 	r := newReign()
-	is.True(r.Looked(at(0), reign.Look{Seat: reign.Seat{}, Version: 0}))
-	s, version := r.Next(dawn)
+	is.True(r.Observe(at(0), elect.Observation{Record: elect.Record{}, Version: 0}))
+	s, version := r.NextRecord(dawn)
 	is.Equal(version, uint64(0))
 	is.Equal(uint64(s.Epoch), uint64(1))
-	r.Wrote(at(10), s, 7, 0)
+	r.WriteSucceeded(at(10), s, 7, 0)
 	is.True(r.Loading())
-	r.Loaded()
+	r.StateLoaded()
 	is.True(r.Owning())
 }
 
@@ -64,7 +64,7 @@
 			is := is.New(t)
 			r := newReign()
 			for _, l := range looks {
-				is.Equal(r.Looked(at(l.ms), reign.Look{Seat: other(int(l.version)), Version: l.version}), l.claim)
+				is.Equal(r.Observe(at(l.ms), elect.Observation{Record: other(int(l.version)), Version: l.version}), l.claim)
 			}
 		})
 	}
@@ -73,37 +73,37 @@
 func TestHints(t *testing.T) {
 	is := is.New(t)
 	r := newReign()
-	is.True(!r.Looked(at(0), reign.Look{Seat: other(1), Version: 1}))
-	r.Suspect("vm-b/1")
-	is.True(!r.Looked(at(700), reign.Look{Seat: other(1), Version: 1}))
-	is.True(!r.Looked(at(1100), reign.Look{Seat: other(1), Version: 1}))
-	is.True(r.Looked(at(1300), reign.Look{Seat: other(1), Version: 1})) // it answers neither the store nor its peers
+	is.True(!r.Observe(at(0), elect.Observation{Record: other(1), Version: 1}))
+	r.MarkSuspect("vm-b/1")
+	is.True(!r.Observe(at(700), elect.Observation{Record: other(1), Version: 1}))
+	is.True(!r.Observe(at(1100), elect.Observation{Record: other(1), Version: 1}))
+	is.True(r.Observe(at(1300), elect.Observation{Record: other(1), Version: 1})) // it answers neither the store nor its peers
 
 	r = newReign()
-	is.True(!r.Looked(at(0), reign.Look{Seat: other(1), Version: 1}))
-	r.Over("vm-b/1")
-	is.True(r.Looked(at(100), reign.Look{Seat: other(1), Version: 1}))
+	is.True(!r.Observe(at(0), elect.Observation{Record: other(1), Version: 1}))
+	r.MarkEnded("vm-b/1")
+	is.True(r.Observe(at(100), elect.Observation{Record: other(1), Version: 1}))
 
 	r = newReign()
 	// An earlier incarnation on this VM cannot live.
-	is.True(r.Looked(at(0), reign.Look{Seat: reign.Seat{Holder: "vm-a/0", VM: "vm-a", Epoch: 3}, Version: 1}))
+	is.True(r.Observe(at(0), elect.Observation{Record: elect.Record{Holder: "vm-a/0", VM: "vm-a", Epoch: 3}, Version: 1}))
 }
 
 func TestLostAnswer(t *testing.T) {
 	is := is.New(t)
 	r := newReign()
-	is.True(r.Looked(at(0), reign.Look{Seat: reign.Seat{}, Version: 0}))
-	s, _ := r.Next(dawn)
-	r.Unsure()
-	is.True(r.Doubt())
+	is.True(r.Observe(at(0), elect.Observation{Record: elect.Record{}, Version: 0}))
+	s, _ := r.NextRecord(dawn)
+	r.WriteUnknown()
+	is.True(r.MustRead())
 	// The claim took effect after all.
-	is.True(!r.Looked(at(100), reign.Look{Seat: s, Version: 5}))
+	is.True(!r.Observe(at(100), elect.Observation{Record: s, Version: 5}))
 	is.True(r.Loading())
-	r.Loaded()
+	r.StateLoaded()
 	// A renewal without answer; meanwhile another process has claimed.
-	r.Unsure()
-	is.True(!r.Looked(at(200), reign.Look{Seat: other(1), Version: 9}))
-	is.True(!r.Mine())
+	r.WriteUnknown()
+	is.True(!r.Observe(at(200), elect.Observation{Record: other(1), Version: 9}))
+	is.True(!r.IsHolder())
 }
 
 // TestStamp has rows: the age of the row by the store's clock, whether a look
@@ -126,14 +126,14 @@
 			is := is.New(t)
 			r := newReign()
 			if c.failed {
-				r.Failed(at(9000))
+				r.ReadFailed(at(9000))
 			}
 			if c.suspect {
-				r.Suspect("vm-b/1")
+				r.MarkSuspect("vm-b/1")
 			}
 			s := other(1)
 			s.Stamp = time.Minute
-			is.Equal(r.Looked(at(10000), reign.Look{Seat: s, Version: 5, Clock: s.Stamp + c.age}), c.claim)
+			is.Equal(r.Observe(at(10000), elect.Observation{Record: s, Version: 5, Clock: s.Stamp + c.age}), c.claim)
 		})
 	}
 }
@@ -143,18 +143,18 @@
 func TestStaleRead(t *testing.T) {
 	is := is.New(t)
 	r, _ := newOwner()
-	is.True(!r.Looked(at(20), reign.Look{Seat: other(1), Version: 6}))
+	is.True(!r.Observe(at(20), elect.Observation{Record: other(1), Version: 6}))
 	is.True(r.Owning())
 }
 
 func TestSuspension(t *testing.T) {
 	is := is.New(t)
 	r, s := newOwner()
-	is.True(r.Awake(time.Second, time.Second))
-	is.True(!r.Awake(5*time.Second, 2*time.Second))
-	is.True(!r.Awake(6*time.Second, 3*time.Second)) // until the row is confirmed
-	r.Looked(at(3000), reign.Look{Seat: s, Version: 7})
-	is.True(r.Awake(7*time.Second, 4*time.Second))
+	is.True(r.CheckSuspension(time.Second, time.Second))
+	is.True(!r.CheckSuspension(5*time.Second, 2*time.Second))
+	is.True(!r.CheckSuspension(6*time.Second, 3*time.Second)) // until the row is confirmed
+	r.Observe(at(3000), elect.Observation{Record: s, Version: 7})
+	is.True(r.CheckSuspension(7*time.Second, 4*time.Second))
 }
 
 // TestStall plays an owner that was stopped while both clocks went on: others may
@@ -162,11 +162,11 @@
 func TestStall(t *testing.T) {
 	is := is.New(t)
 	r, s := newOwner()
-	is.True(r.Awake(time.Hour, time.Hour))
-	is.True(r.Awake(time.Hour+700*time.Millisecond, time.Hour+700*time.Millisecond)) // its usual pause
-	is.True(!r.Awake(time.Hour+3*time.Second, time.Hour+3*time.Second))
-	r.Wrote(at(3100), s, 8, 0)
-	is.True(r.Awake(time.Hour+3100*time.Millisecond, time.Hour+3100*time.Millisecond))
+	is.True(r.CheckSuspension(time.Hour, time.Hour))
+	is.True(r.CheckSuspension(time.Hour+700*time.Millisecond, time.Hour+700*time.Millisecond)) // its usual pause
+	is.True(!r.CheckSuspension(time.Hour+3*time.Second, time.Hour+3*time.Second))
+	r.WriteSucceeded(at(3100), s, 8, 0)
+	is.True(r.CheckSuspension(time.Hour+3100*time.Millisecond, time.Hour+3100*time.Millisecond))
 }
 
 func TestResignedSeat(t *testing.T) {
@@ -174,11 +174,11 @@
 	r := newReign()
 	free := other(9)
 	free.Holder = ""
-	is.True(r.Looked(at(0), reign.Look{Seat: free, Version: 4}))
-	s, version := r.Next(dawn)
+	is.True(r.Observe(at(0), elect.Observation{Record: free, Version: 4}))
+	s, version := r.NextRecord(dawn)
 	is.Equal(version, uint64(4))
 	is.Equal(uint64(s.Epoch), uint64(4))
-	r.Lost()
-	r.Leave()
-	is.True(!r.Looked(at(100), reign.Look{Seat: free, Version: 5})) // a process that is stopping claims nothing
+	r.WriteConflicted()
+	r.Drain()
+	is.True(!r.Observe(at(100), elect.Observation{Record: free, Version: 5})) // a process that is stopping claims nothing
 }
--- a/core/error.go
+++ b/core/error.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Run says what is known about whether a request or job ran.
-type Run string
+// Execution says what is known about whether a request or job ran.
+type Execution string
 
 // The three answers that a caller can get about its own request.
 const (
-	RunYes     Run = "yes"
-	RunNo      Run = "no"
-	RunUnknown Run = "unknown"
+	Executed         Execution = "yes"
+	NotExecuted      Execution = "no"
+	ExecutionUnknown Execution = "unknown"
 )
 
 // Code classifies a refusal; it is part of the public interface.
@@ -42,9 +42,9 @@
 // RefusalError is the one error type that reaches callers and operators.
 type RefusalError struct {
 	Code Code
-	// Run is RunNo unless a byte of the request may have reached a target.
-	Run    Run
-	Reason string
+	// Execution is RunNo unless a byte of the request may have reached a target.
+	Execution Execution
+	Reason    string
 	// RetryAfter is zero when a retry does not help.
 	RetryAfter time.Duration
 	// Err is the cause, if any.
@@ -64,12 +64,12 @@
 
 // Refuse returns a refusal of work that surely did not run.
 func Refuse(code Code, format string, args ...any) *RefusalError {
-	return &RefusalError{Code: code, Run: RunNo, Reason: fmt.Sprintf(format, args...)}
+	return &RefusalError{Code: code, Execution: NotExecuted, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Unknown returns a refusal of work that may have run.
-func Unknown(code Code, err error, format string, args ...any) *RefusalError {
-	return &RefusalError{Code: code, Run: RunUnknown, Reason: fmt.Sprintf(format, args...), Err: err}
+// RefuseUnknown returns a refusal of work that may have run.
+func RefuseUnknown(code Code, err error, format string, args ...any) *RefusalError {
+	return &RefusalError{Code: code, Execution: ExecutionUnknown, Reason: fmt.Sprintf(format, args...), Err: err}
 }
 
 // LineError is a fault of a text file at one line.
--- a/core/board/absent.go
+++ b/core/fleet/absence.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"time"
@@ -11,30 +11,30 @@
 // every 2 s.
 const absentGap = 3 * time.Second
 
-// Absence follows which workers the platform lists no more, on VMs that own
+// AbsenceTracker follows which workers the platform lists no more, on VMs that own
 // nothing, too: a new owner need not begin to wait for those long gone.
-type Absence struct {
+type AbsenceTracker struct {
 	seen  core.Set[core.WorkerID]
 	since map[core.WorkerID]time.Time
 	at    time.Time
 }
 
-// NewAbsence returns a value that has seen no list.
-func NewAbsence() *Absence {
-	return &Absence{seen: core.NewSet[core.WorkerID](), since: map[core.WorkerID]time.Time{}}
+// NewAbsenceTracker returns a value that has seen no list.
+func NewAbsenceTracker() *AbsenceTracker {
+	return &AbsenceTracker{seen: core.NewSet[core.WorkerID](), since: map[core.WorkerID]time.Time{}}
 }
 
-// Listed takes in a list.
-func (a *Absence) Listed(now time.Time, hosts []Host) {
+// Observe takes in a list.
+func (a *AbsenceTracker) Observe(now time.Time, hosts []WorkerInfo) {
 	if now.Sub(a.at) > absentGap {
 		clear(a.since)
 	}
 	a.at = now
 	listed := core.NewSet[core.WorkerID]()
 	for _, h := range hosts {
-		listed.Add(h.Worker())
-		a.seen.Add(h.Worker())
-		delete(a.since, h.Worker())
+		listed.Add(h.ID())
+		a.seen.Add(h.ID())
+		delete(a.since, h.ID())
 	}
 	for id := range a.seen {
 		if _, known := a.since[id]; !known && !listed.Has(id) {
@@ -44,4 +44,4 @@
 }
 
 // Since returns since when each absent worker has not been listed.
-func (a *Absence) Since() map[core.WorkerID]time.Time { return a.since }
+func (a *AbsenceTracker) Since() map[core.WorkerID]time.Time { return a.since }
--- a/core/board/advice.go
+++ b/core/fleet/advice.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"fmt"
@@ -56,30 +56,30 @@
 	until time.Time
 }
 
-// Ask is one call for advice.
-type Ask struct {
+// AdviceRequest is one call for advice.
+type AdviceRequest struct {
 	Phase   jobs.PhaseID
 	Workers []core.WorkerID
 	// Cost is the expected length of the call.
 	Cost time.Duration
 }
 
-// Allowed is one worker that may run a phase.
-type Allowed struct {
+// AllowedWorker is one worker that may run a phase.
+type AllowedWorker struct {
 	Worker core.WorkerID
 	Ticket string
 }
 
-// Advised takes in an answer for the workers named; valid is what is left of
+// AdviceReceived takes in an answer for the workers named; valid is what is left of
 // the tickets' time.
-func (b *Board) Advised(now time.Time, id jobs.PhaseID, named []core.WorkerID, allowed []Allowed, valid time.Duration) {
+func (b *Scheduler) AdviceReceived(now time.Time, id jobs.PhaseID, named []core.WorkerID, allowed []AllowedWorker, valid time.Duration) {
 	b.now = now
 	u := b.unit(id)
 	if u == nil || u.left == 0 || u.job.ended() {
 		return
 	}
 	a := &u.advice
-	n := Note{Job: id.Job, What: "advised", Task: id.String(), Because: fmt.Sprintf("%d of %d workers allowed for %s", len(allowed), len(named), valid.Round(time.Millisecond))}
+	n := Decision{Job: id.Job, Event: "advised", Task: id.String(), Reason: fmt.Sprintf("%d of %d workers allowed for %s", len(allowed), len(named), valid.Round(time.Millisecond))}
 	if !a.asked.IsZero() {
 		n.Wait = now.Sub(a.asked)
 	}
@@ -105,8 +105,8 @@
 	b.changed = true
 }
 
-// Unadvised follows a call for advice that has failed.
-func (b *Board) Unadvised(now time.Time, id jobs.PhaseID) {
+// AdviceFailed follows a call for advice that has failed.
+func (b *Scheduler) AdviceFailed(now time.Time, id jobs.PhaseID) {
 	b.now = now
 	if u := b.unit(id); u != nil {
 		u.advice.asked, u.advice.lost = time.Time{}, time.Time{}
@@ -114,9 +114,9 @@
 	}
 }
 
-// Asking tells that the VM that has accepted a job is asking for its phase. It
+// AdvicePending tells that the VM that has accepted a job is asking for its phase. It
 // returns the expected length of the call, 0 if it is not waited for.
-func (b *Board) Asking(now time.Time, id jobs.PhaseID) time.Duration {
+func (b *Scheduler) AdvicePending(now time.Time, id jobs.PhaseID) time.Duration {
 	b.now = now
 	u := b.unit(id)
 	if u == nil || u.advice.known {
@@ -149,7 +149,7 @@
 	}
 }
 
-func (b *Board) unit(id jobs.PhaseID) *unit {
+func (b *Scheduler) unit(id jobs.PhaseID) *unit {
 	t := b.task(jobs.TaskID{PhaseID: id})
 	if t == nil {
 		return nil
@@ -172,14 +172,14 @@
 	// Spare reports whether more turns are free than calls are likely to come.
 	Spare() bool
 	// Take hands a call out.
-	Take(a Ask)
+	Take(a AdviceRequest)
 }
 
-// Ask hands out the calls for advice that are worth their time now, the most
+// AdviceRequests hands out the calls for advice that are worth their time now, the most
 // urgent first. A call that would only wait is not made: by the time it begins,
 // other work may be more urgent, and room elsewhere. Turns that are to spare, and
 // now and then others, go to calls that are less likely to let tasks start.
-func (b *Board) Ask(now time.Time, turns Turns) {
+func (b *Scheduler) AdviceRequests(now time.Time, turns Turns) {
 	b.now = now
 	if !turns.Free(0) {
 		return
@@ -211,10 +211,10 @@
 	}
 }
 
-func (b *Board) handOut(turns Turns, u *unit, p policy.Advice, names []core.WorkerID) {
+func (b *Scheduler) handOut(turns Turns, u *unit, p policy.Advice, names []core.WorkerID) {
 	u.advice.wait(b.now, p, len(names))
 	b.counts.Asks++
-	turns.Take(Ask{Phase: u.id, Workers: names, Cost: p.Cost(len(names))})
+	turns.Take(AdviceRequest{Phase: u.id, Workers: names, Cost: p.Cost(len(names))})
 }
 
 // least is how many tasks must start together.
--- a/core/board/advice_test.go
+++ b/core/fleet/advice_test.go
@@ -1,4 +1,4 @@
-package board_test
+package fleet_test
 
 import (
 	"fmt"
@@ -9,17 +9,17 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 	"chicoryturn/core/policy"
 )
 
 // largeDesk returns an owner of many free workers that it has heard of.
 func largeDesk(workers int, p *policy.Policy) *desk {
-	d := &desk{now: dawn, Board: board.New(dawn, 1, board.Limits{Lease: lease, Remote: 1}, p)}
+	d := &desk{now: dawn, Scheduler: fleet.New(dawn, 1, fleet.Limits{Lease: lease, RemoteFactor: 1}, p)}
 	for i := range workers {
 		h := host(i)
-		h.Name, h.Born = fmt.Sprintf("w%03d", i), dawn.Add(-time.Hour)
+		h.Name, h.Incarnation = fmt.Sprintf("w%03d", i), dawn.Add(-time.Hour)
 		h.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i % 250)}), 80)
 		d.hosts = append(d.hosts, h)
 	}
@@ -40,9 +40,9 @@
 	filler := plain("filler", workers/2, false)
 	filler.Queue, filler.Phases[0].Need.Cores = "any", 4000
 	d.Accept(d.now, filler)
-	for _, s := range d.plan(board.OrderStart) {
+	for _, s := range d.plan(fleet.OrderStart) {
 		is.True(s.Worker < "w150")
-		d.begin([]board.Order{s})
+		d.begin([]fleet.Order{s})
 	}
 	return d
 }
@@ -55,9 +55,9 @@
 	d := wide(is, 300)
 	named := func(id string, count int, gang bool) []core.WorkerID {
 		d.Accept(d.now, plain(id, count, gang))
-		d.plan(board.OrderStart)
+		d.plan(fleet.OrderStart)
 		ts := &turns{}
-		d.Ask(d.now, ts)
+		d.AdviceRequests(d.now, ts)
 		is.Equal(len(ts.asks), 1)
 		is.Equal(ts.asks[0].Phase.Job, core.JobID(id))
 		for _, w := range ts.asks[0].Workers {
@@ -78,26 +78,26 @@
 	is := is.New(t)
 	d := wide(is, 300)
 	d.Accept(d.now, plain("g", 40, true))
-	d.plan(board.OrderStart)
+	d.plan(fleet.OrderStart)
 	ts := &turns{}
-	d.Ask(d.now, ts)
+	d.AdviceRequests(d.now, ts)
 	first := ts.asks[0]
-	d.Advised(d.now, first.Phase, first.Workers, []board.Allowed{{Worker: first.Workers[0], Ticket: "a"}}, time.Second)
-	is.Equal(len(d.plan(board.OrderStart)), 0) // 4 of 40 fit
+	d.AdviceReceived(d.now, first.Phase, first.Workers, []fleet.AllowedWorker{{Worker: first.Workers[0], Ticket: "a"}}, time.Second)
+	is.Equal(len(d.plan(fleet.OrderStart)), 0) // 4 of 40 fit
 	ts.busy = false
-	d.Ask(d.now, ts)
+	d.AdviceRequests(d.now, ts)
 	is.Equal(len(ts.asks), 2)
 	for _, w := range ts.asks[1].Workers {
 		for _, old := range first.Workers {
 			is.True(w != old) // its ticket is good, or it is not allowed
 		}
 	}
-	var allowed []board.Allowed
+	var allowed []fleet.AllowedWorker
 	for _, w := range ts.asks[1].Workers {
-		allowed = append(allowed, board.Allowed{Worker: w, Ticket: "b"})
+		allowed = append(allowed, fleet.AllowedWorker{Worker: w, Ticket: "b"})
 	}
-	d.Advised(d.now, first.Phase, ts.asks[1].Workers, allowed, time.Second)
-	is.Equal(len(d.plan(board.OrderStart)), 40)
+	d.AdviceReceived(d.now, first.Phase, ts.asks[1].Workers, allowed, time.Second)
+	is.Equal(len(d.plan(fleet.OrderStart)), 40)
 }
 
 // row is a fleet of free workers whose queue has a placement policy.
@@ -119,20 +119,20 @@
 		}
 		if ts.busy && !d.now.Before(answer) {
 			ask := ts.asks[len(ts.asks)-1]
-			var allowed []board.Allowed
+			var allowed []fleet.AllowedWorker
 			for _, w := range ask.Workers {
 				if may(w) {
-					allowed = append(allowed, board.Allowed{Worker: w, Ticket: "t"})
+					allowed = append(allowed, fleet.AllowedWorker{Worker: w, Ticket: "t"})
 				}
 			}
-			d.Advised(d.now, ask.Phase, ask.Workers, allowed, valid)
+			d.AdviceReceived(d.now, ask.Phase, ask.Workers, allowed, valid)
 			ts.busy = false
 		}
-		if len(d.plan(board.OrderStart)) == tasks {
+		if len(d.plan(fleet.OrderStart)) == tasks {
 			return true
 		}
 		if !ts.busy {
-			d.Ask(d.now, ts)
+			d.AdviceRequests(d.now, ts)
 			if ts.busy {
 				answer = d.now.Add(ts.asks[len(ts.asks)-1].Cost)
 			}
@@ -165,12 +165,12 @@
 	for _, part := range []struct{ from, to int }{{39, 60}, {0, 0}, {0, 0}, {0, 15}, {15, 30}, {30, 39}} {
 		d.pass(500 * time.Millisecond)
 		var named []core.WorkerID
-		var allowed []board.Allowed
+		var allowed []fleet.AllowedWorker
 		for _, h := range d.hosts[part.from:part.to] {
-			named = append(named, h.Worker())
-			allowed = append(allowed, board.Allowed{Worker: h.Worker(), Ticket: "t"})
+			named = append(named, h.ID())
+			allowed = append(allowed, fleet.AllowedWorker{Worker: h.ID(), Ticket: "t"})
 		}
-		d.Advised(d.now, phase, named, allowed, 1500*time.Millisecond)
+		d.AdviceReceived(d.now, phase, named, allowed, 1500*time.Millisecond)
 	}
 	is.True(d.started(40, 1500*time.Millisecond, func(core.WorkerID) bool { return true }))
 }
@@ -184,9 +184,9 @@
 	d.Accept(d.now, plain("other", 1, false))
 	var named []core.WorkerID
 	for _, h := range d.hosts {
-		named = append(named, h.Worker())
+		named = append(named, h.ID())
 	}
-	d.Advised(d.now, jobs.PhaseID{Job: "other"}, named, nil, time.Second)
-	d.Advised(d.now, jobs.PhaseID{Job: "g"}, named[:3], nil, time.Second)
+	d.AdviceReceived(d.now, jobs.PhaseID{Job: "other"}, named, nil, time.Second)
+	d.AdviceReceived(d.now, jobs.PhaseID{Job: "g"}, named[:3], nil, time.Second)
 	is.True(d.started(3, time.Second, func(w core.WorkerID) bool { return w >= "w003" }))
 }
--- a/core/board/charts.go
+++ b/core/fleet/charts.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	_ "embed"
--- a/core/board/contact.go
+++ b/core/fleet/contact.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"math"
@@ -28,19 +28,19 @@
 	blockedMost = 5 * time.Second
 )
 
-// Held takes in a worker's answer to a hold that was sent at a time.
-func (b *Board) Held(now time.Time, id core.WorkerID, sent time.Time, l Lists) {
+// HeartbeatAnswered takes in a worker's answer to a hold that was sent at a time.
+func (b *Scheduler) HeartbeatAnswered(now time.Time, id core.WorkerID, sent time.Time, l RunLists) {
 	b.now = now
 	w := b.workers[id]
 	if w == nil {
 		return
 	}
 	w.holding = false
-	if !w.born.IsZero() && !l.Born.Equal(w.born) {
+	if !w.born.IsZero() && !l.Incarnation.Equal(w.born) {
 		w.reborn()
 	}
-	w.born = l.Born
-	w.setBorn(l.Born)
+	w.born = l.Incarnation
+	w.setBorn(l.Incarnation)
 	if w.heard.IsZero() {
 		// An earlier owner may have granted a full lease up to this answer.
 		w.until = max(w.until, l.Clock+b.limits.Lease)
@@ -79,14 +79,14 @@
 // setBorn follows the incarnation that a worker or the list names. The recorded
 // roster does not hold a new one yet.
 func (w *Worker) setBorn(born time.Time) {
-	if w.host.Born.Equal(born) {
+	if w.host.Incarnation.Equal(born) {
 		return
 	}
-	w.host.Born, w.recorded = born, false
+	w.host.Incarnation, w.recorded = born, false
 	w.board.roster++
 }
 
-func (w *Worker) takeEnds(ends []Ended) {
+func (w *Worker) takeEnds(ends []EndedRun) {
 	b := w.board
 	for _, e := range ends {
 		if e.Number <= w.taken {
@@ -98,18 +98,18 @@
 		}
 		w.blocked = time.Time{}
 		w.taken = e.Number
-		w.score(e.How)
+		w.score(e.Kind)
 		if i := slices.IndexFunc(w.strays, func(s stray) bool { return s.task == e.Task && s.run == e.Run }); i >= 0 {
 			w.dropStray(w.strays[i])
 			w.strays = slices.Delete(w.strays, i, i+1)
 		}
 		t := b.task(e.Task)
-		n := Note{Job: e.Task.Job, What: "run ended " + e.Word, Worker: w.id, Task: e.Task.String(), Run: e.Run}
+		n := Decision{Job: e.Task.Job, Event: "run ended " + e.Reason, Worker: w.id, Task: e.Task.String(), Run: e.Run}
 		if t != nil {
 			if t.worker == w && t.run == e.Run && !t.began.IsZero() {
 				n.Wait = b.now.Sub(t.began)
 			}
-			t.ended(w, e.Run, e.How, e.Saved)
+			t.ended(w, e.Run, e.Kind, e.Checkpoint)
 		}
 		b.note(n)
 	}
@@ -127,7 +127,7 @@
 }
 
 // score sets a worker aside that fails all it starts.
-func (w *Worker) score(how End) {
+func (w *Worker) score(how EndKind) {
 	switch how {
 	case EndDone:
 		w.failed, w.pause = 0, 0
@@ -144,7 +144,7 @@
 }
 
 // takeActive reconciles the board with all that runs on the worker.
-func (w *Worker) takeActive(sent time.Time, l Lists) {
+func (w *Worker) takeActive(sent time.Time, l RunLists) {
 	b := w.board
 	w.foreign = nil
 	type runID struct {
@@ -190,11 +190,11 @@
 }
 
 // strayFound follows a run that the board wants elsewhere or not at all.
-func (w *Worker) strayFound(t *Task, a Active) {
+func (w *Worker) strayFound(t *Task, a ActiveRun) {
 	if slices.ContainsFunc(w.strays, func(s stray) bool { return s.task == a.Task && s.run == a.Run }) {
 		return
 	}
-	w.board.note(Note{Job: a.Task.Job, What: "run found that is not wanted; stopping it", Worker: w.id, Task: a.Task.String(), Run: a.Run, Because: "task is " + taskChart.Name(t.state)})
+	w.board.note(Decision{Job: a.Task.Job, Event: "run found that is not wanted; stopping it", Worker: w.id, Task: a.Task.String(), Run: a.Run, Reason: "task is " + taskChart.Name(t.state)})
 	if t.run < a.Run {
 		t.run = a.Run
 	}
@@ -202,17 +202,17 @@
 }
 
 // report takes in what the worker says of a running task.
-func (t *Task) report(a Active) {
+func (t *Task) report(a ActiveRun) {
 	b := t.unit.job.board
-	if a.Saved != "" {
-		t.keep(a.Run, a.Saved)
+	if a.Checkpoint != "" {
+		t.keep(a.Run, a.Checkpoint)
 	}
 	if a.Percent != t.percent {
 		t.percent, t.moved = a.Percent, b.now
 		b.progress = true
 	}
 	switch {
-	case t.state != taskRunning || t.began.IsZero() || t.unit.phase.Lasts:
+	case t.state != taskRunning || t.began.IsZero() || t.unit.phase.LongRunning:
 	case t.stuck():
 		t.unstick()
 	default:
@@ -230,7 +230,7 @@
 	}
 	most := max(stuckAfter, b.guess.Predict(t.unit.job.Spec.Queue, t.unit.phase.Estimate)/stuckPart)
 	if t.unit.phase.Gang {
-		most += b.limits.Gang
+		most += b.limits.GangWait
 	}
 	return b.now.Sub(t.moved) > most
 }
@@ -238,7 +238,7 @@
 // unstick stops a run that stands still, to start it on another worker.
 func (t *Task) unstick() {
 	b, w := t.unit.job.board, t.worker
-	b.note(Note{Job: t.unit.id.Job, What: "run stands still; stopping it", Worker: w.id, Task: t.ID().String(), Run: t.run, Wait: b.now.Sub(t.moved)})
+	b.note(Decision{Job: t.unit.id.Job, Event: "run stands still; stopping it", Worker: w.id, Task: t.ID().String(), Run: t.run, Wait: b.now.Sub(t.moved)})
 	t.avoidWorker(w.id)
 	w.setAside()
 	t.fire(taskStop)
@@ -271,7 +271,7 @@
 		// The worker had confirmed the run before it was asked.
 		if !t.began.IsZero() && sent.After(t.began) {
 			b := t.unit.job.board
-			b.note(Note{Job: t.unit.id.Job, What: "run is on its worker no more", Worker: t.worker.id, Task: t.ID().String(), Run: t.run})
+			b.note(Decision{Job: t.unit.id.Job, Event: "run is on its worker no more", Worker: t.worker.id, Task: t.ID().String(), Run: t.run})
 			t.fire(taskCut)
 		}
 	case taskDoubtful, taskStopping, taskLeaving:
@@ -282,8 +282,8 @@
 	}
 }
 
-// Silent follows a hold without answer.
-func (b *Board) Silent(now time.Time, id core.WorkerID) {
+// HeartbeatFailed follows a hold without answer.
+func (b *Scheduler) HeartbeatFailed(now time.Time, id core.WorkerID) {
 	b.now = now
 	w := b.workers[id]
 	if w == nil {
@@ -298,8 +298,8 @@
 	b.changed = true
 }
 
-// Replaced follows the proof that a worker's incarnation is over.
-func (b *Board) Replaced(now time.Time, id core.WorkerID) {
+// IncarnationEnded follows the proof that a worker's incarnation is over.
+func (b *Scheduler) IncarnationEnded(now time.Time, id core.WorkerID) {
 	b.now = now
 	if w := b.workers[id]; w != nil {
 		w.fire(workerVanish)
@@ -309,7 +309,7 @@
 }
 
 // stops repeats the stops that have not been answered.
-func (b *Board) stops() {
+func (b *Scheduler) stops() {
 	for _, w := range b.byName {
 		for _, t := range w.tasks {
 			halting := t.state == taskDoubtful || t.state == taskStopping || t.state == taskLeaving
@@ -326,7 +326,7 @@
 }
 
 // holds orders the contacts that are due.
-func (b *Board) holds() {
+func (b *Scheduler) holds() {
 	for _, w := range b.byName {
 		if w.state != workerLive && w.lapsed(b.now) {
 			w.fire(workerLapse)
@@ -358,10 +358,10 @@
 // orderHold asks for a worker's lists. Only a worker that has answered the last
 // hold is granted more time: a lease sent to a silent one may arrive late, and
 // what runs there would never surely end.
-func (b *Board) orderHold(w *Worker, wait time.Duration) {
-	o := Order{Kind: OrderHold, Worker: w.id, Host: w.host, Epoch: b.epoch, Seen: w.seen, Wait: wait}
+func (b *Scheduler) orderHold(w *Worker, wait time.Duration) {
+	o := Order{Kind: OrderHeartbeat, Worker: w.id, Info: w.host, Epoch: b.epoch, AckedEnd: w.seen, Wait: wait}
 	if w.state == workerLive {
-		o.Until = w.lease()
+		o.LeaseUntil = w.lease()
 	}
 	b.orders = append(b.orders, o)
 }
--- a/core/board/dump.go
+++ b/core/fleet/dump.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"cmp"
@@ -58,7 +58,7 @@
 }
 
 // Dump returns the state.
-func (b *Board) Dump() *Dump {
+func (b *Scheduler) Dump() *Dump {
 	d := &Dump{Epoch: b.epoch, Settled: b.settled, Counts: b.counts, Used: map[core.Team]core.Resources{}}
 	for t, r := range b.used {
 		d.Used[t] = r
--- a/core/board/job.go
+++ b/core/fleet/job.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"time"
@@ -17,7 +17,7 @@
 // Job is a job of the fleet.
 type Job struct {
 	Spec  jobs.Spec
-	board *Board
+	board *Scheduler
 	state chart.State
 	// units holds the phases of each occurrence in order of occurrence.
 	units []*unit
@@ -68,9 +68,9 @@
 	saved string
 }
 
-func (b *Board) add(spec jobs.Spec) *Job {
+func (b *Scheduler) add(spec jobs.Spec) *Job {
 	b.seq++
-	j := &Job{Spec: spec, board: b, state: jobChart.Start(), seq: b.seq, arrived: spec.Sent, progress: jobs.Progress{Job: spec.ID}}
+	j := &Job{Spec: spec, board: b, state: jobChart.Start(), seq: b.seq, arrived: spec.Accepted, progress: jobs.Progress{Job: spec.ID}}
 	if j.arrived.IsZero() || j.arrived.After(b.now) {
 		j.arrived = b.now
 	}
@@ -205,9 +205,9 @@
 
 // tellEnd logs how the job has ended, against what it was owed.
 func (j *Job) tellEnd() {
-	n := Note{Job: j.Spec.ID, What: "job " + string(j.progress.State), Wait: j.board.now.Sub(j.arrived)}
+	n := Decision{Job: j.Spec.ID, Event: "job " + string(j.progress.State), Wait: j.board.now.Sub(j.arrived)}
 	if late := j.board.now.Sub(j.onTime); late > 0 {
-		n.Because = "late by " + late.Round(time.Millisecond).String()
+		n.Reason = "late by " + late.Round(time.Millisecond).String()
 	}
 	j.board.note(n)
 }
@@ -223,7 +223,7 @@
 	if a, ok := q.Advice.Get(); ok {
 		extra = a.Cost(adviceWorkers)
 	}
-	owed := time.Duration(q.Slowdown*float64(j.Spec.Chain(extra))) + q.Latency
+	owed := time.Duration(q.Slowdown*float64(j.Spec.CriticalPath(extra))) + q.Latency
 	j.onTime, j.late = j.arrived.Add(owed), j.arrived.Add(lateFactor*owed)
 }
 
@@ -248,7 +248,7 @@
 // need is what one task takes of a worker's room.
 func (u *unit) need() core.Resources {
 	n := u.phase.Need
-	if u.phase.Fills {
+	if u.phase.Filler {
 		// Such tasks take only processor time that others leave unused.
 		n.Cores = 0
 	}
--- a/core/board/model_test.go
+++ b/core/fleet/model_test.go
@@ -1,4 +1,4 @@
-package board_test
+package fleet_test
 
 import (
 	"encoding/json"
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
-	"chicoryturn/core/mimic"
+	"chicoryturn/core/model"
 	"chicoryturn/core/policy"
 )
 
@@ -34,26 +34,26 @@
 		[]policy.Team{{Name: "t", Weight: 1000, Limit: limit}}, []policy.Service{{Name: "s"}}, 0)
 }
 
-func host(i int) board.Host {
-	return board.Host{VM: core.VM{
+func host(i int) fleet.WorkerInfo {
+	return fleet.WorkerInfo{VM: core.VM{
 		Name: fmt.Sprintf("w%d", i), Kind: "worker", Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), Room: core.Resources{Cores: 4000, Memory: 4000}, Service: "s", Rack: "r",
 	}}
 }
 
 // owner is one board with the orders and records that are on their way.
 type owner struct {
-	board *board.Board
+	board *fleet.Scheduler
 	// dead owners decide nothing more, but their orders may still arrive.
 	dead    bool
 	orders  []flight
 	written time.Time
 	writing []jobs.Progress
-	roster  []board.Host
+	roster  []fleet.WorkerInfo
 }
 
 // flight is an order on its way.
 type flight struct {
-	order  board.Order
+	order  fleet.Order
 	sent   time.Time
 	arrive time.Time
 	// lost orders are carried out but not answered.
@@ -63,26 +63,26 @@
 // reading is an end that an owner was told of by one incarnation of a worker.
 type reading struct {
 	at     time.Time
-	worker *mimic.Worker
+	worker *model.Worker
 	born   time.Time
 	// void is set if the worker's lease lapsed between the end and the reading:
 	// the task may have been started elsewhere meanwhile.
 	void bool
 }
 
-// fleet plays owners and workers under random trouble and checks what must
+// harness plays owners and workers under random trouble and checks what must
 // always hold.
-type fleet struct {
+type harness struct {
 	t       *testing.T
 	random  *rand.Rand
 	now     time.Time
 	policy  *policy.Policy
-	workers []*mimic.Worker
+	workers []*model.Worker
 	owners  []*owner
 	specs   map[core.JobID]jobs.Spec
 	stored  []jobs.Spec
 	kept    map[core.JobID]jobs.Progress
-	roster  []board.Host
+	roster  []fleet.WorkerInfo
 	// read holds the ends of done tasks that an owner was told of.
 	read map[jobs.TaskID]reading
 	// news are jobs that the owner has not been told of yet.
@@ -92,22 +92,22 @@
 	loss, late float64
 }
 
-func newFleet(t *testing.T, seed uint64, workers int, limit core.Resources) *fleet {
-	f := &fleet{
+func newFleet(t *testing.T, seed uint64, workers int, limit core.Resources) *harness {
+	f := &harness{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: dawn, policy: rules(limit),
 		specs: map[core.JobID]jobs.Spec{}, kept: map[core.JobID]jobs.Progress{}, read: map[jobs.TaskID]reading{},
 	}
 	for i := range workers {
-		f.workers = append(f.workers, mimic.New(host(i), f, dawn, 0.98+0.02*f.random.Float64(), lease))
+		f.workers = append(f.workers, model.New(host(i), f, dawn, 0.98+0.02*f.random.Float64(), lease))
 	}
 	f.succeed()
 	return f
 }
 
 // Task implements mimic.Tasks.
-func (f *fleet) Task(id jobs.TaskID) mimic.Spec {
+func (f *harness) Task(id jobs.TaskID) model.TaskSpec {
 	p := f.specs[id.Job].Phases[id.Phase]
-	s := mimic.Spec{Need: p.Need, Work: p.Estimate, Gang: 1}
+	s := model.TaskSpec{Need: p.Need, Work: p.Estimate, Gang: 1}
 	if p.Gang {
 		s.Gang = p.Count
 	}
@@ -115,60 +115,60 @@
 }
 
 // Present implements mimic.Tasks.
-func (f *fleet) Present(id jobs.PhaseID, run uint64) int {
+func (f *harness) Present(id jobs.PhaseID, run uint64) int {
 	n := 0
 	for _, w := range f.workers {
-		n += w.Runs(id, run)
+		n += w.GangSize(id, run)
 	}
 	return n
 }
 
 // succeed lets a new owner take over from what is recorded; earlier ones may
 // live on, unaware.
-func (f *fleet) succeed() {
-	o := &owner{board: board.New(f.now, core.Epoch(len(f.owners)+1), board.Limits{Lease: lease, Silence: 4500 * time.Millisecond, Remote: 1}, f.policy)}
+func (f *harness) succeed() {
+	o := &owner{board: fleet.New(f.now, core.Epoch(len(f.owners)+1), fleet.Limits{Lease: lease, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, f.policy)}
 	o.board.Recover(f.roster, nil)
 	o.board.Load(f.now, slices.Clone(f.stored), maps.Clone(f.kept))
 	f.owners = append(f.owners, o)
 	f.list(o)
 }
 
-func (f *fleet) current() *owner { return f.owners[len(f.owners)-1] }
+func (f *harness) current() *owner { return f.owners[len(f.owners)-1] }
 
-func (f *fleet) list(o *owner) {
-	var hosts []board.Host
+func (f *harness) list(o *owner) {
+	var hosts []fleet.WorkerInfo
 	for _, w := range f.workers {
 		if w.Up {
-			hosts = append(hosts, w.Host)
+			hosts = append(hosts, w.Info)
 		}
 	}
-	o.board.SetHosts(f.now, hosts)
+	o.board.SetWorkers(f.now, hosts)
 }
 
-func (f *fleet) submit(spec jobs.Spec) {
-	spec.Sent, spec.Team, spec.Queue = f.now, "t", "q"
+func (f *harness) submit(spec jobs.Spec) {
+	spec.Accepted, spec.Team, spec.Queue = f.now, "t", "q"
 	// VMs hear of a new owner now or later.
-	spec.From = core.Epoch(len(f.owners) - f.random.IntN(2))
+	spec.FirstEpoch = core.Epoch(len(f.owners) - f.random.IntN(2))
 	f.specs[spec.ID] = spec
 	f.stored = append(f.stored, spec)
 	// Any owner that lives may hear of it, also one that has been replaced.
 	for _, o := range f.owners {
 		if !o.dead && f.random.IntN(3) > 0 {
 			o.board.Accept(f.now, spec)
-			o.dead = o.board.Later() > 0
+			o.dead = o.board.LaterEpoch() > 0
 		}
 	}
 	f.news = append(f.news, spec)
 }
 
 // tick lets a moment pass.
-func (f *fleet) tick() {
+func (f *harness) tick() {
 	f.now = f.now.Add(step)
 	for _, w := range f.workers {
-		w.Work(f.now)
+		w.Advance(f.now)
 	}
 	for _, w := range f.workers {
-		w.Settle()
+		w.EndFinished()
 	}
 	if f.now.UnixMilli()%500 < step.Milliseconds() {
 		for _, o := range f.owners {
@@ -185,14 +185,14 @@
 		f.deliver(o)
 		if !o.dead {
 			f.record(o)
-			o.board.Plan(f.now)
+			o.board.Tick(f.now)
 			f.send(o)
 		}
 	}
 	f.check()
 }
 
-func (f *fleet) send(o *owner) {
+func (f *harness) send(o *owner) {
 	for _, ord := range o.board.Orders() {
 		fl := flight{order: ord, sent: f.now, arrive: f.now.Add(time.Duration(1+f.random.IntN(60)) * time.Millisecond)}
 		if f.random.Float64() < f.loss {
@@ -206,7 +206,7 @@
 }
 
 // deliver carries out what has arrived.
-func (f *fleet) deliver(o *owner) {
+func (f *harness) deliver(o *owner) {
 	var rest []flight
 	due := o.orders
 	o.orders = nil
@@ -221,72 +221,72 @@
 	// Unanswered calls time out at their sender.
 	for i, fl := range rest {
 		if fl.lost && f.now.Sub(fl.sent) > 700*time.Millisecond && !o.dead {
-			f.answer(o, fl, board.Lists{}, board.ReplyNone)
+			f.answer(o, fl, fleet.RunLists{}, fleet.ReplyUnanswered)
 			rest[i].order.Wait = -1
 		}
 	}
 	o.orders = append(o.orders, rest...)
 }
 
-func (f *fleet) carryOut(o *owner, fl flight) {
+func (f *harness) carryOut(o *owner, fl flight) {
 	w := f.worker(fl.order.Worker)
-	reply, lists := board.ReplyNone, board.Lists{}
+	reply, lists := fleet.ReplyUnanswered, fleet.RunLists{}
 	// An order on its way to an incarnation ends with it.
-	if w.Up && !w.Cut && !w.Host.Born.After(fl.sent) {
+	if w.Up && !w.Cut && !w.Info.Incarnation.After(fl.sent) {
 		switch fl.order.Kind {
-		case board.OrderStart:
+		case fleet.OrderStart:
 			reply = w.Start(fl.order)
-		case board.OrderStop:
+		case fleet.OrderStop:
 			reply = w.Stop(fl.order, stopTime)
-		case board.OrderHold:
-			lists, reply = w.Hold(fl.order)
+		case fleet.OrderHeartbeat:
+			lists, reply = w.Heartbeat(fl.order)
 		}
 	}
 	if fl.lost {
-		reply = board.ReplyNone
+		reply = fleet.ReplyUnanswered
 	}
 	if fl.order.Wait >= 0 && !o.dead {
 		f.answer(o, fl, lists, reply)
 	}
 }
 
-func (f *fleet) worker(id core.WorkerID) *mimic.Worker {
-	return f.workers[slices.IndexFunc(f.workers, func(w *mimic.Worker) bool { return w.Host.Worker() == id })]
+func (f *harness) worker(id core.WorkerID) *model.Worker {
+	return f.workers[slices.IndexFunc(f.workers, func(w *model.Worker) bool { return w.Info.ID() == id })]
 }
 
-func (f *fleet) answer(o *owner, fl flight, l board.Lists, r board.Reply) {
+func (f *harness) answer(o *owner, fl flight, l fleet.RunLists, r fleet.Reply) {
 	if fl.order.Wait < 0 {
 		return
 	}
 	switch {
-	case r == board.ReplyFenced:
+	case r == fleet.ReplyFenced:
 		o.dead = true
-	case fl.order.Kind == board.OrderStart:
-		o.board.Started(f.now, fl.order.Worker, fl.order.Task, fl.order.Run, r)
-	case fl.order.Kind == board.OrderStop:
-		o.board.Stopped(f.now, fl.order.Worker, fl.order.Task, fl.order.Run, r)
-	case r == board.ReplyDone:
+	case fl.order.Kind == fleet.OrderStart:
+		o.board.StartAnswered(f.now, fl.order.Worker, fl.order.Task, fl.order.Run, r)
+	case fl.order.Kind == fleet.OrderStop:
+		o.board.StopAnswered(f.now, fl.order.Worker, fl.order.Task, fl.order.Run, r)
+	case r == fleet.ReplyOK:
 		for _, e := range l.Ended {
-			if _, known := f.read[e.Task]; !known && e.How == board.EndDone {
+			if _, known := f.read[e.Task]; !known && e.Kind == fleet.EndDone {
 				w := f.worker(fl.order.Worker)
-				f.read[e.Task] = reading{f.now, w, w.Host.Born, w.Lapsed.After(endOf(w, e))}
+				f.read[e.Task] = reading{f.now, w, w.Info.Incarnation, w.Lapsed.After(endOf(w, e))}
 			}
 		}
-		o.board.Held(f.now, fl.order.Worker, fl.sent, l)
+		o.board.HeartbeatAnswered(f.now, fl.order.Worker, fl.sent, l)
 	default:
-		o.board.Silent(f.now, fl.order.Worker)
+		o.board.HeartbeatFailed(f.now, fl.order.Worker)
 	}
 }
 
 // endOf returns when a run that a worker lists has ended.
-func endOf(w *mimic.Worker, e board.Ended) time.Time {
-	i := slices.IndexFunc(w.Log, func(s *mimic.Start) bool { return s.Task == e.Task && s.Run == e.Run })
+func endOf(w *model.Worker, e fleet.EndedRun) time.Time {
+	i := slices.IndexFunc(w.Log, func(s *model.Start) bool { return s.Task == e.Task && s.Run == e.Run })
 	return w.Log[i].End
 }
 
 // record writes for the owner that holds the seat; for one that has been
 // replaced the write has no effect.
-func (f *fleet) record(o *owner) {
+func (f *harness) record(o *owner) {
 	if !o.written.IsZero() {
 		if f.now.Before(o.written) {
 			return
@@ -300,32 +300,32 @@
 			f.kept[p.Job] = p
 		}
 		f.roster = o.roster
-		o.board.Recorded(f.now)
-		o.board.Known(o.roster)
+		o.board.BatchStored(f.now)
+		o.board.RosterStored(o.roster)
 	}
 	o.writing, o.roster = o.board.Batch(), o.board.Roster()
 	o.written = f.now.Add(time.Duration(10+f.random.IntN(400)) * time.Millisecond)
 }
 
 // check finds what must never be.
-func (f *fleet) check() {
+func (f *harness) check() {
 	f.t.Helper()
 	for i, o := range f.owners {
-		for _, n := range o.board.Notes() {
-			f.t.Logf("%s owner %d: %s %s run %d on %s %s", f.now.Sub(dawn), i+1, n.What, n.Task, n.Run, n.Worker, n.Because)
+		for _, n := range o.board.Decisions() {
+			f.t.Logf("%s owner %d: %s %s run %d on %s %s", f.now.Sub(dawn), i+1, n.Event, n.Task, n.Run, n.Worker, n.Reason)
 		}
 	}
-	open := map[jobs.TaskID]*mimic.Start{}
-	var starts []*mimic.Start
+	open := map[jobs.TaskID]*model.Start{}
+	var starts []*model.Start
 	for _, w := range f.workers {
-		if !w.Holds().Fits(w.Host.Room) {
-			f.t.Fatalf("%s holds %+v of %+v", w.Host.Name, w.Holds(), w.Host.Room)
+		if !w.Running().Fits(w.Info.Room) {
+			f.t.Fatalf("%s holds %+v of %+v", w.Info.Name, w.Running(), w.Info.Room)
 		}
 		starts = append(starts, w.Log...)
 	}
 	for _, s := range starts {
 		// Ends are lost with the worker that lists them, unless recorded.
-		if r, ok := f.read[s.Task]; ok && !r.void && s.At.After(r.at) && r.worker.Up && !r.worker.Cut && r.worker.Host.Born.Equal(r.born) {
+		if r, ok := f.read[s.Task]; ok && !r.void && s.At.After(r.at) && r.worker.Up && !r.worker.Cut && r.worker.Info.Incarnation.Equal(r.born) {
 			f.t.Fatalf("an owner has read at %s that %s is done; run %d started at %s", r.at.Sub(dawn), s.Task, s.Run, s.At.Sub(dawn))
 		}
 		if !s.End.IsZero() {
@@ -338,7 +338,7 @@
 	}
 }
 
-func (f *fleet) finished() int {
+func (f *harness) finished() int {
 	n := 0
 	for id := range f.specs {
 		if f.kept[id].State == jobs.Completed {
@@ -348,8 +348,8 @@
 	return n
 }
 
-func (f *fleet) job(i int) jobs.Spec {
-	spec := jobs.Spec{ID: core.JobID(fmt.Sprintf("j%d", i)), Text: "x"}
+func (f *harness) job(i int) jobs.Spec {
+	spec := jobs.Spec{ID: core.JobID(fmt.Sprintf("j%d", i)), Payload: "x"}
 	for p := range 1 + f.random.IntN(2) {
 		ph := jobs.Phase{
 			Count: 1 + f.random.IntN(4), Need: core.Resources{Cores: 500 + f.random.Int64N(1500), Memory: 100},
@@ -405,14 +405,14 @@
 	}
 }
 
-func (f *fleet) disturb() {
+func (f *harness) disturb() {
 	w := f.workers[f.random.IntN(len(f.workers))]
 	switch f.random.IntN(400) {
 	case 0:
 		w.Crash(f.now)
 	case 1:
 		if !w.Up {
-			w.Begin(f.now)
+			w.Restart(f.now)
 		}
 	case 2:
 		w.Cut = true
@@ -427,12 +427,12 @@
 	}
 }
 
-func (f *fleet) heal() {
+func (f *harness) heal() {
 	f.loss = 0
 	for _, w := range f.workers {
 		w.Cut = false
 		if !w.Up {
-			w.Begin(f.now)
+			w.Restart(f.now)
 		}
 	}
 	if f.current().dead {
@@ -441,7 +441,7 @@
 }
 
 // explain logs what keeps jobs from ending.
-func (f *fleet) explain() {
+func (f *harness) explain() {
 	text, err := json.MarshalIndent(f.current().board.Dump(), "", " ")
 	if err != nil {
 		f.t.Fatal(err)
--- a/core/board/chance.go
+++ b/core/fleet/odds.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"cmp"
@@ -182,13 +182,13 @@
 
 // allowedShare returns the part of the workers that a queue's policy allows, as
 // far as its answers have told.
-func (b *Board) allowedShare(q core.Queue) float64 {
+func (b *Scheduler) allowedShare(q core.Queue) float64 {
 	o := b.odds[q]
 	return (unknownShare*shareTrust + o.allowed) / (shareTrust + o.named)
 }
 
 // learnShare takes in one answer.
-func (b *Board) learnShare(q core.Queue, named, allowed int) {
+func (b *Scheduler) learnShare(q core.Queue, named, allowed int) {
 	o := b.odds[q]
 	if o.named > shareMemory {
 		o.named, o.allowed = o.named/2, o.allowed/2
--- a/core/board/place.go
+++ b/core/fleet/place.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"cmp"
@@ -32,9 +32,9 @@
 	tick = 100 * time.Millisecond
 )
 
-// Plan follows the passing of time: it renews leases, repeats stops and places
+// Tick follows the passing of time: it renews leases, repeats stops and places
 // what fits. It returns when to be called next.
-func (b *Board) Plan(now time.Time) time.Time {
+func (b *Scheduler) Tick(now time.Time) time.Time {
 	b.now = now
 	for u := range b.timed {
 		if !u.job.Spec.Due(u.id.Occurrence).After(now) {
@@ -66,7 +66,7 @@
 // ranked returns the open phases, those to be served first in front: work that
 // can still be on time before work that is late, then by the queue's priority,
 // then by the latest start that keeps what is owed.
-func (b *Board) ranked() []*unit {
+func (b *Scheduler) ranked() []*unit {
 	list := make([]standing, 0, len(b.open))
 	for u := range b.open {
 		if u.idle == 0 {
@@ -103,7 +103,7 @@
 
 // remaining is the expected time from the start of a phase to the end of its
 // job, along the longest chain. What is learned moves it slowly.
-func (b *Board) remaining(u *unit) time.Duration {
+func (b *Scheduler) remaining(u *unit) time.Duration {
 	if !u.restAt.IsZero() && b.now.Sub(u.restAt) < restFresh {
 		return u.rest
 	}
@@ -170,7 +170,7 @@
 }
 
 // withinLimit reports whether a team may run n more tasks.
-func (b *Board) withinLimit(u *unit, need core.Resources, n int) bool {
+func (b *Scheduler) withinLimit(u *unit, need core.Resources, n int) bool {
 	t := b.policy.Teams[u.job.Spec.Team]
 	if t == nil {
 		return true
@@ -232,14 +232,14 @@
 	room := max(w.host.Room.Cores, 1)
 	s := float64(w.free.Cores-need.Cores)/float64(room) + slowWeight*w.slow
 	if u.phase.Rack != "" && u.phase.Rack != w.host.Rack {
-		s += u.job.board.limits.Remote
+		s += u.job.board.limits.RemoteFactor
 	}
 	return s
 }
 
 // place starts what fits, and tells of work that has waited for a while what
 // it waits for.
-func (b *Board) place() {
+func (b *Scheduler) place() {
 	for _, u := range b.ranked() {
 		why := u.hindrance()
 		switch {
@@ -272,11 +272,11 @@
 		return
 	}
 	u.told = b.now
-	b.note(Note{Job: u.id.Job, What: "waits", Task: u.id.String(), Wait: waited, Because: why})
+	b.note(Decision{Job: u.id.Job, Event: "waits", Task: u.id.String(), Wait: waited, Reason: why})
 }
 
 // placeEach starts as many waiting tasks as fit, and says why others do not.
-func (b *Board) placeEach(u *unit) string {
+func (b *Scheduler) placeEach(u *unit) string {
 	seats := u.seats()
 	if len(seats) == 0 {
 		return u.noSeat()
@@ -317,7 +317,7 @@
 }
 
 // placeGang starts all tasks together, or none and says why.
-func (b *Board) placeGang(u *unit) string {
+func (b *Scheduler) placeGang(u *unit) string {
 	seats := u.seats()
 	if u.phase.SameRack {
 		seats = oneRack(seats, u.phase.Count)
@@ -370,58 +370,58 @@
 }
 
 // start places one task.
-func (b *Board) start(t *Task, s seat, run uint64, saved string) {
+func (b *Scheduler) start(t *Task, s seat, run uint64, saved string) {
 	t.run, t.next = run, s.worker
 	t.fire(taskPlace)
 	b.counts.Starts++
 	b.order(Order{
 		Kind: OrderStart, Worker: s.worker.id, Task: t.ID(), Run: run,
-		Text: t.unit.job.Spec.Text, Saved: saved, Ticket: s.ticket,
+		Payload: t.unit.job.Spec.Payload, Checkpoint: saved, Ticket: s.ticket,
 	})
-	b.note(Note{Job: t.unit.id.Job, What: "placed", Worker: s.worker.id, Task: t.ID().String(), Run: run, Wait: b.now.Sub(t.unit.since)})
+	b.note(Decision{Job: t.unit.id.Job, Event: "placed", Worker: s.worker.id, Task: t.ID().String(), Run: run, Wait: b.now.Sub(t.unit.since)})
 }
 
-// Started follows the answer to a start.
-func (b *Board) Started(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
+// StartAnswered follows the answer to a start.
+func (b *Scheduler) StartAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
 	b.now = now
 	t := b.task(id)
 	if t == nil || t.worker == nil || t.worker.id != worker || t.run != run {
 		return
 	}
 	w := t.worker
-	if r != ReplyDone {
-		b.note(Note{Job: id.Job, What: "start not confirmed", Worker: worker, Task: id.String(), Run: run, Because: r.String()})
+	if r != ReplyOK {
+		b.note(Decision{Job: id.Job, Event: "start not confirmed", Worker: worker, Task: id.String(), Run: run, Reason: r.String()})
 	}
 	switch r {
-	case ReplyDone:
+	case ReplyOK:
 		t.fire(taskAccepted)
 		return
-	case ReplyNone:
+	case ReplyUnanswered:
 		b.counts.Unanswered++
 		t.fire(taskUnanswered)
 		return
-	case ReplyTicket:
+	case ReplyBadTicket:
 		t.unit.advice.expire(worker)
-	case ReplyBusy:
+	case ReplyUnhealthy:
 		w.setAside()
-	case ReplyStranger:
-		b.Replaced(now, worker)
+	case ReplyOtherIncarnation:
+		b.IncarnationEnded(now, worker)
 		return
-	case ReplyBad:
+	case ReplyMalformed:
 		t.avoidWorker(worker)
 	}
 	b.counts.Refused++
 	t.fire(taskRefused)
 }
 
-// Stopped follows the answer to a stop.
-func (b *Board) Stopped(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
+// StopAnswered follows the answer to a stop.
+func (b *Scheduler) StopAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
 	b.now = now
-	if r == ReplyStranger {
-		b.Replaced(now, worker)
+	if r == ReplyOtherIncarnation {
+		b.IncarnationEnded(now, worker)
 		return
 	}
-	if r != ReplyDone && r != ReplyOld {
+	if r != ReplyOK && r != ReplyStaleRun {
 		return
 	}
 	if t := b.task(id); t != nil && t.worker != nil && t.worker.id == worker && t.run == run {
@@ -437,4 +437,4 @@
 }
 
 // note adds a decision to the log.
-func (b *Board) note(n Note) { b.notes = append(b.notes, n) }
+func (b *Scheduler) note(n Decision) { b.notes = append(b.notes, n) }
--- a/core/board/place_test.go
+++ b/core/fleet/place_test.go
@@ -1,4 +1,4 @@
-package board_test
+package fleet_test
 
 import (
 	"fmt"
@@ -8,15 +8,15 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 	"chicoryturn/core/policy"
 )
 
 // begin confirms starts.
-func (d *desk) begin(starts []board.Order) {
+func (d *desk) begin(starts []fleet.Order) {
 	for _, s := range starts {
-		d.Started(d.now, s.Worker, s.Task, s.Run, board.ReplyDone)
+		d.StartAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
 	}
 }
 
@@ -27,38 +27,38 @@
 	d := newDesk(1, 2)
 	d.open()
 	d.Accept(d.now, plain("j", 1, false))
-	starts := d.plan(board.OrderStart)
+	starts := d.plan(fleet.OrderStart)
 	d.begin(starts)
 	s := starts[0]
-	var here board.Host
+	var here fleet.WorkerInfo
 	for _, h := range d.hosts {
-		if h.Worker() == s.Worker {
+		if h.ID() == s.Worker {
 			here = h
 		}
 	}
 	for percent := range 20 {
 		d.pass(200 * time.Millisecond)
-		d.held(here, []board.Active{{Task: s.Task, Run: s.Run, Percent: percent + 1}}, nil)
-		is.Equal(len(d.plan(board.OrderStop)), 0)
+		d.held(here, []fleet.ActiveRun{{Task: s.Task, Run: s.Run, Percent: percent + 1}}, nil)
+		is.Equal(len(d.plan(fleet.OrderStop)), 0)
 	}
-	var stops []board.Order
+	var stops []fleet.Order
 	for range 20 {
 		d.pass(200 * time.Millisecond)
-		d.held(here, []board.Active{{Task: s.Task, Run: s.Run, Percent: 20}}, nil)
-		if stops = d.plan(board.OrderStop); len(stops) > 0 {
+		d.held(here, []fleet.ActiveRun{{Task: s.Task, Run: s.Run, Percent: 20}}, nil)
+		if stops = d.plan(fleet.OrderStop); len(stops) > 0 {
 			break
 		}
 	}
 	is.Equal(len(stops), 1)
-	d.Stopped(d.now, s.Worker, s.Task, s.Run, board.ReplyDone)
+	d.StopAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
 	d.pass(200 * time.Millisecond)
 	for _, h := range d.hosts {
-		if h.Worker() != s.Worker {
+		if h.ID() != s.Worker {
 			d.held(h, nil, nil)
 		}
 	}
-	d.held(here, nil, []board.Ended{{Number: 1, Task: s.Task, Run: s.Run, How: board.EndOther, Word: "stopped"}})
-	again := d.plan(board.OrderStart)
+	d.held(here, nil, []fleet.EndedRun{{Number: 1, Task: s.Task, Run: s.Run, Kind: fleet.EndOther, Reason: "stopped"}})
+	again := d.plan(fleet.OrderStart)
 	is.Equal(len(again), 1)
 	is.True(again[0].Worker != s.Worker)
 }
@@ -74,16 +74,16 @@
 			spec := plain("j", 1, false)
 			spec.Phases[0].Estimate = 10 * time.Minute
 			d.Accept(d.now, spec)
-			s := d.plan(board.OrderStart)[0]
-			d.begin([]board.Order{s})
+			s := d.plan(fleet.OrderStart)[0]
+			d.begin([]fleet.Order{s})
 			for i := range 200 {
 				d.pass(200 * time.Millisecond)
-				a := board.Active{Task: s.Task, Run: s.Run}
+				a := fleet.ActiveRun{Task: s.Task, Run: s.Run}
 				if tells {
 					a.Percent = i * 200 / 6000
 				}
-				d.held(d.hosts[0], []board.Active{a}, nil)
-				is.Equal(len(d.plan(board.OrderStop)), 0)
+				d.held(d.hosts[0], []fleet.ActiveRun{a}, nil)
+				is.Equal(len(d.plan(fleet.OrderStop)), 0)
 			}
 		})
 	}
@@ -96,25 +96,25 @@
 	d := newDesk(1, 2)
 	d.open()
 	d.Accept(d.now, plain("j", 2, false))
-	first := d.plan(board.OrderStart)
+	first := d.plan(fleet.OrderStart)
 	d.begin(first)
 	is.Equal(first[0].Worker, first[1].Worker) // best fit fills one worker
 	slow := first[0].Worker
 	for i := range 30 {
 		d.pass(300 * time.Millisecond)
 		for _, h := range d.hosts {
-			var active []board.Active
-			if h.Worker() == slow {
+			var active []fleet.ActiveRun
+			if h.ID() == slow {
 				for _, s := range first {
-					active = append(active, board.Active{Task: s.Task, Run: s.Run, Percent: i + 1})
+					active = append(active, fleet.ActiveRun{Task: s.Task, Run: s.Run, Percent: i + 1})
 				}
 			}
 			d.held(h, active, nil)
 		}
-		d.plan(board.OrderStop)
+		d.plan(fleet.OrderStop)
 	}
 	d.Accept(d.now, plain("k", 1, false))
-	next := d.plan(board.OrderStart)
+	next := d.plan(fleet.OrderStart)
 	is.Equal(len(next), 1)
 	is.True(next[0].Worker != slow)
 }
@@ -124,16 +124,16 @@
 func TestLimit(t *testing.T) {
 	is := is.New(t)
 	limited := rules(core.Resources{Cores: 2500})
-	b := board.New(dawn, 2, board.Limits{Lease: lease, Silence: 4500 * time.Millisecond, Remote: 1}, limited)
+	b := fleet.New(dawn, 2, fleet.Limits{Lease: lease, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, limited)
 	d := newDesk(2, 2)
-	d.Board = b
+	d.Scheduler = b
 	d.Load(d.now, []jobs.Spec{plain("j", 1, false)}, nil)
-	d.SetHosts(d.now, d.hosts)
-	d.Known(d.Roster())
-	d.held(d.hosts[0], []board.Active{{Task: taskOf("j", 0), Run: 1}}, nil)
+	d.SetWorkers(d.now, d.hosts)
+	d.RosterStored(d.Roster())
+	d.held(d.hosts[0], []fleet.ActiveRun{{Task: taskOf("j", 0), Run: 1}}, nil)
 	d.held(d.hosts[1], nil, nil)
 	d.Accept(d.now, plain("k", 4, false))
-	is.Equal(len(d.plan(board.OrderStart)), 1) // one runs, half of another would fit
+	is.Equal(len(d.plan(fleet.OrderStart)), 1) // one runs, half of another would fit
 }
 
 // TestGangWhole plays a gang that does not fit: none of it starts.
@@ -143,7 +143,7 @@
 	d.open()
 	d.Accept(d.now, plain("g", 5, true)) // room for four
 	d.Accept(d.now, plain("j", 2, false))
-	starts := d.plan(board.OrderStart)
+	starts := d.plan(fleet.OrderStart)
 	is.Equal(len(starts), 2)
 	for _, s := range starts {
 		is.Equal(s.Task.Job, core.JobID("j"))
@@ -158,13 +158,13 @@
 	spec := plain("j", 1, false)
 	spec.Phases = append(spec.Phases, jobs.Phase{Count: 1, Need: core.Resources{Cores: 100}, After: []int{0}})
 	d.Accept(d.now, spec)
-	first := d.plan(board.OrderStart)
+	first := d.plan(fleet.OrderStart)
 	is.Equal(len(first), 1)
 	is.Equal(first[0].Task.Phase, 0)
 	d.begin(first)
 	d.pass(time.Second)
 	d.held(d.hosts[0], nil, done(1, first[0]))
-	second := d.plan(board.OrderStart)
+	second := d.plan(fleet.OrderStart)
 	is.Equal(len(second), 1)
 	is.Equal(second[0].Task.Phase, 1)
 }
@@ -180,15 +180,15 @@
 	for attempt := range 3 {
 		state, _ := d.State("j")
 		is.True(state != jobs.Failed)
-		starts := d.plan(board.OrderStart)
+		starts := d.plan(fleet.OrderStart)
 		is.Equal(len(starts), 1)
 		d.begin(starts)
 		d.pass(100 * time.Millisecond)
 		s := starts[0]
 		number[s.Worker]++
 		for _, h := range d.hosts {
-			if h.Worker() == s.Worker {
-				end := []board.Ended{{Number: number[s.Worker], Task: s.Task, Run: s.Run, How: board.EndFailed, Word: "failed"}}
+			if h.ID() == s.Worker {
+				end := []fleet.EndedRun{{Number: number[s.Worker], Task: s.Task, Run: s.Run, Kind: fleet.EndFailed, Reason: "failed"}}
 				d.held(h, nil, end)
 				d.held(h, nil, end)
 			}
@@ -196,16 +196,16 @@
 		is.Equal(uint64(attempt+1), d.Counts().Failures)
 	}
 	d.Batch()
-	d.Recorded(d.now)
+	d.BatchStored(d.now)
 	state, _ := d.State("j")
 	is.Equal(state, jobs.Failed)
-	is.Equal(len(d.plan(board.OrderStart)), 0)
+	is.Equal(len(d.plan(fleet.OrderStart)), 0)
 }
 
 // turns lends out calls for advice to one VM at a time.
 type turns struct {
 	busy bool
-	asks []board.Ask
+	asks []fleet.AdviceRequest
 }
 
 // Free implements board.Turns.
@@ -215,7 +215,7 @@
 func (t *turns) Spare() bool { return !t.busy }
 
 // Take implements board.Turns.
-func (t *turns) Take(a board.Ask) {
+func (t *turns) Take(a fleet.AdviceRequest) {
 	t.asks = append(t.asks, a)
 	t.busy = true
 }
@@ -230,26 +230,26 @@
 		Advice: core.Some(policy.Advice{Base: 10 * time.Millisecond, PerWorker: time.Millisecond, Valid: time.Second}),
 	}}, []policy.Team{{Name: "t", Weight: 100}}, []policy.Service{{Name: "s"}}, 0)
 	d := newDesk(1, 4)
-	d.Board = board.New(dawn, 1, board.Limits{Lease: lease, Remote: 1}, p)
+	d.Scheduler = fleet.New(dawn, 1, fleet.Limits{Lease: lease, RemoteFactor: 1}, p)
 	d.open()
 	d.Accept(d.now, plain("j", 1, false))
-	is.Equal(len(d.plan(board.OrderStart)), 0)
+	is.Equal(len(d.plan(fleet.OrderStart)), 0)
 	ts := &turns{}
-	d.Ask(d.now, ts)
+	d.AdviceRequests(d.now, ts)
 	is.Equal(len(ts.asks), 1)
 	is.Equal(len(ts.asks[0].Workers), 4)
 	ts.busy = false
-	d.Ask(d.now, ts)
+	d.AdviceRequests(d.now, ts)
 	is.Equal(len(ts.asks), 1) // one call for a phase at a time
-	allowed := []board.Allowed{{Worker: "w2", Ticket: "good"}}
-	d.Advised(d.now, ts.asks[0].Phase, ts.asks[0].Workers, allowed, time.Second)
+	allowed := []fleet.AllowedWorker{{Worker: "w2", Ticket: "good"}}
+	d.AdviceReceived(d.now, ts.asks[0].Phase, ts.asks[0].Workers, allowed, time.Second)
 	d.pass(time.Second) // too late to use it
-	is.Equal(len(d.plan(board.OrderStart)), 0)
-	d.Ask(d.now, ts)
+	is.Equal(len(d.plan(fleet.OrderStart)), 0)
+	d.AdviceRequests(d.now, ts)
 	is.Equal(len(ts.asks), 2)
 	is.Equal(ts.asks[1].Workers, []core.WorkerID{"w2"})
-	d.Advised(d.now, ts.asks[1].Phase, ts.asks[1].Workers, allowed, time.Second)
-	starts := d.plan(board.OrderStart)
+	d.AdviceReceived(d.now, ts.asks[1].Phase, ts.asks[1].Workers, allowed, time.Second)
+	starts := d.plan(fleet.OrderStart)
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Worker, core.WorkerID("w2"))
 	is.Equal(starts[0].Ticket, "good")
@@ -264,18 +264,18 @@
 		Advice: core.Some(policy.Advice{Base: 10 * time.Millisecond, Valid: time.Second}),
 	}}, []policy.Team{{Name: "t", Weight: 100}}, []policy.Service{{Name: "s"}}, 0)
 	d := newDesk(1, 3)
-	d.Board = board.New(dawn, 1, board.Limits{Lease: lease, Remote: 1}, p)
+	d.Scheduler = fleet.New(dawn, 1, fleet.Limits{Lease: lease, RemoteFactor: 1}, p)
 	d.open()
 	d.Accept(d.now, plain("j", 1, false))
 	ts := &turns{}
-	d.Ask(d.now, ts)
-	allowed := []board.Allowed{{Worker: "w0", Ticket: "a"}, {Worker: "w1", Ticket: "b"}, {Worker: "w2", Ticket: "c"}}
-	d.Advised(d.now, ts.asks[0].Phase, ts.asks[0].Workers, allowed, time.Second)
-	s := d.plan(board.OrderStart)[0]
-	d.Started(d.now, s.Worker, s.Task, s.Run, board.ReplyTicket)
-	is.Equal(len(d.plan(board.OrderStart)), 0)
+	d.AdviceRequests(d.now, ts)
+	allowed := []fleet.AllowedWorker{{Worker: "w0", Ticket: "a"}, {Worker: "w1", Ticket: "b"}, {Worker: "w2", Ticket: "c"}}
+	d.AdviceReceived(d.now, ts.asks[0].Phase, ts.asks[0].Workers, allowed, time.Second)
+	s := d.plan(fleet.OrderStart)[0]
+	d.StartAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyBadTicket)
+	is.Equal(len(d.plan(fleet.OrderStart)), 0)
 	ts.busy = false
-	d.Ask(d.now, ts)
+	d.AdviceRequests(d.now, ts)
 	is.Equal(len(ts.asks), 2)
 }
 
@@ -288,12 +288,12 @@
 		[]policy.Queue{{Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 2, Latency: time.Second}},
 		[]policy.Team{{Name: "t", Weight: 100}, {Name: "flood", Weight: 0.5}}, []policy.Service{{Name: "s"}}, 0)
 	d := newDesk(1, 1)
-	d.Board = board.New(dawn, 1, board.Limits{Lease: lease, Remote: 1}, p)
+	d.Scheduler = fleet.New(dawn, 1, fleet.Limits{Lease: lease, RemoteFactor: 1}, p)
 	d.open()
 	full := func(id string, team core.Team, sent time.Time) jobs.Spec {
 		s := plain(id, 1, false)
 		s.Phases[0].Need.Cores = 4000
-		s.Team, s.Sent = team, sent
+		s.Team, s.Accepted = team, sent
 		return s
 	}
 	d.pass(time.Minute)
@@ -304,7 +304,7 @@
 	d.Accept(d.now, full("fresh", "t", d.now))
 	var order []string
 	for i := range 4 {
-		starts := d.plan(board.OrderStart)
+		starts := d.plan(fleet.OrderStart)
 		is.Equal(len(starts), 1)
 		d.begin(starts)
 		order = append(order, string(starts[0].Task.Job))
@@ -323,7 +323,7 @@
 	d.Cancel(d.now, "j")
 	is.Equal(len(d.Expired(d.now.Add(time.Hour), time.Minute, 10)), 0) // not recorded yet
 	d.Batch()
-	d.Recorded(d.now)
+	d.BatchStored(d.now)
 	d.pass(59 * time.Second)
 	is.Equal(len(d.Expired(d.now, time.Minute, 10)), 0)
 	_, known := d.State("j")
@@ -345,8 +345,8 @@
 	d.held(d.hosts[0], nil, nil)
 	for id, age := range map[string]time.Duration{"close": 1950 * time.Millisecond, "fresh": 0} {
 		s := plain(id, 1, false) // 1 s long, owed within 3 s
-		s.Phases[0].Need.Cores, s.Sent = 4000, d.now.Add(-age)
+		s.Phases[0].Need.Cores, s.Accepted = 4000, d.now.Add(-age)
 		d.Accept(d.now, s)
 	}
-	is.Equal(d.plan(board.OrderStart)[0].Task.Job, core.JobID("fresh"))
+	is.Equal(d.plan(fleet.OrderStart)[0].Task.Job, core.JobID("fresh"))
 }
--- a/core/board/reborn_test.go
+++ b/core/fleet/restart_test.go
@@ -1,4 +1,4 @@
-package board_test
+package fleet_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 )
 
 func TestRebornWorker(t *testing.T) {
@@ -15,15 +15,15 @@
 	d.open()
 	old := d.Roster()
 	reborn := d.hosts[0]
-	reborn.Born = d.now
+	reborn.Incarnation = d.now
 	d.pass(time.Second)
 	d.held(reborn, nil, nil)
 	d.Accept(d.now, plain("j", 1, false))
-	is.Equal(len(d.plan(board.OrderStart)), 0)
-	d.Known(old) // a record that was on its way
-	is.Equal(len(d.plan(board.OrderStart)), 0)
-	d.Known(d.Roster())
-	is.Equal(len(d.plan(board.OrderStart)), 1)
+	is.Equal(len(d.plan(fleet.OrderStart)), 0)
+	d.RosterStored(old) // a record that was on its way
+	is.Equal(len(d.plan(fleet.OrderStart)), 0)
+	d.RosterStored(d.Roster())
+	is.Equal(len(d.plan(fleet.OrderStart)), 1)
 }
 
 func TestRebornBeforeFirstAnswer(t *testing.T) {
@@ -31,20 +31,20 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := newDesk(1, 1)
-			d.SetHosts(d.now, d.hosts)
-			d.Known(d.Roster())
+			d.SetWorkers(d.now, d.hosts)
+			d.RosterStored(d.Roster())
 			reborn := d.hosts[0]
-			reborn.Born = d.now
+			reborn.Incarnation = d.now
 			d.pass(time.Second)
 			if listed {
-				d.SetHosts(d.now, []board.Host{reborn})
+				d.SetWorkers(d.now, []fleet.WorkerInfo{reborn})
 			}
 			d.held(reborn, nil, nil)
 			d.Accept(d.now, plain("j", 1, false))
-			is.Equal(len(d.plan(board.OrderStart)), 0)
-			is.Equal(d.Roster()[0].Born, reborn.Born)
-			d.Known(d.Roster())
-			is.Equal(len(d.plan(board.OrderStart)), 1)
+			is.Equal(len(d.plan(fleet.OrderStart)), 0)
+			is.Equal(d.Roster()[0].Incarnation, reborn.Incarnation)
+			d.RosterStored(d.Roster())
+			is.Equal(len(d.plan(fleet.OrderStart)), 1)
 		})
 	}
 }
@@ -56,26 +56,26 @@
 			d := newDesk(1, 2)
 			d.open()
 			d.Accept(d.now, plain("j", 1, false))
-			s := d.plan(board.OrderStart)[0]
-			d.begin([]board.Order{s})
+			s := d.plan(fleet.OrderStart)[0]
+			d.begin([]fleet.Order{s})
 			d.pass(100 * time.Millisecond)
-			h := s.Host
-			h.Born = d.now
-			var active []board.Active
+			h := s.Info
+			h.Incarnation = d.now
+			var active []fleet.ActiveRun
 			if there {
-				active = []board.Active{{Task: s.Task, Run: s.Run, Percent: 10}}
+				active = []fleet.ActiveRun{{Task: s.Task, Run: s.Run, Percent: 10}}
 			}
 			d.held(h, active, nil)
 			for _, other := range d.hosts {
-				if other.Worker() != s.Worker {
+				if other.ID() != s.Worker {
 					d.held(other, nil, nil)
 				}
 			}
-			is.Equal(len(d.plan(board.OrderStart)) == 0, there)
+			is.Equal(len(d.plan(fleet.OrderStart)) == 0, there)
 			if there {
 				d.pass(time.Second)
 				d.held(h, nil, done(1, s))
-				is.Equal(len(d.plan(board.OrderStart)), 0)
+				is.Equal(len(d.plan(fleet.OrderStart)), 0)
 				is.Equal(len(d.Batch()), 1) // the job's end
 			}
 		})
@@ -87,35 +87,35 @@
 	d := newDesk(1, 2)
 	d.open()
 	d.Accept(d.now, plain("j", 1, false))
-	s := d.plan(board.OrderStart)[0]
-	d.Started(d.now, s.Worker, s.Task, s.Run, board.ReplyNone)
-	is.Equal(len(d.Orders()), 1)                               // a stop
-	d.Stopped(d.now, s.Worker, s.Task, s.Run, board.ReplyDone) // by the old one
+	s := d.plan(fleet.OrderStart)[0]
+	d.StartAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyUnanswered)
+	is.Equal(len(d.Orders()), 1)                                  // a stop
+	d.StopAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK) // by the old one
 	d.pass(100 * time.Millisecond)
-	h := s.Host
-	h.Born = d.now
+	h := s.Info
+	h.Incarnation = d.now
 	answer := func() {
 		for _, other := range d.hosts {
-			if other.Worker() != s.Worker {
+			if other.ID() != s.Worker {
 				d.held(other, nil, nil)
 			}
 		}
 		d.held(h, nil, nil)
 	}
 	answer()
-	d.Plan(d.now)
+	d.Tick(d.now)
 	stops := 0
 	for _, o := range d.Orders() {
-		is.True(o.Kind != board.OrderStart)
-		if o.Kind == board.OrderStop {
+		is.True(o.Kind != fleet.OrderStart)
+		if o.Kind == fleet.OrderStop {
 			stops++
 		}
 	}
 	is.Equal(stops, 1)
-	d.Stopped(d.now, s.Worker, s.Task, s.Run, board.ReplyDone)
+	d.StopAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
 	d.pass(100 * time.Millisecond)
 	answer()
-	is.Equal(len(d.plan(board.OrderStart)), 1)
+	is.Equal(len(d.plan(fleet.OrderStart)), 1)
 }
 
 // TestStaleAcknowledgement plays ends that are recorded a while after they were
@@ -126,17 +126,17 @@
 	d := newDesk(1, 1)
 	d.open()
 	d.Accept(d.now, plain("j", 1, false))
-	s := d.plan(board.OrderStart)[0]
-	d.begin([]board.Order{s})
+	s := d.plan(fleet.OrderStart)[0]
+	d.begin([]fleet.Order{s})
 	d.pass(time.Second)
 	d.held(d.hosts[0], nil, done(1, s))
 	is.Equal(len(d.Batch()), 1)
-	is.Equal(len(d.plan(board.OrderHold)), 0)
+	is.Equal(len(d.plan(fleet.OrderHeartbeat)), 0)
 	d.pass(time.Second)
-	d.Recorded(d.now)
-	holds := d.plan(board.OrderHold)
+	d.BatchStored(d.now)
+	holds := d.plan(fleet.OrderHeartbeat)
 	is.Equal(len(holds), 1)
-	is.Equal(holds[0].Seen, uint64(0)) // it has not been heard of for a second
+	is.Equal(holds[0].AckedEnd, uint64(0)) // it has not been heard of for a second
 	d.held(d.hosts[0], nil, done(1, s))
-	is.Equal(d.plan(board.OrderHold)[0].Seen, uint64(1))
+	is.Equal(d.plan(fleet.OrderHeartbeat)[0].AckedEnd, uint64(1))
 }
--- a/core/board/early.go
+++ b/core/fleet/roomhint.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"cmp"
@@ -14,20 +14,20 @@
 )
 
 const (
-	// RoomyPause is the time between two hints of where room is, in which a
+	// RoomHintInterval is the time between two hints of where room is, in which a
 	// third of the fleet's short tasks end.
-	RoomyPause = 250 * time.Millisecond
-	// RoomyFresh is how long a hint is used.
-	RoomyFresh = 4 * RoomyPause
+	RoomHintInterval = 250 * time.Millisecond
+	// RoomHintTTL is how long a hint is used.
+	RoomHintTTL = 4 * RoomHintInterval
 	// roomyPart of a worker's room must be free for it to be in a hint.
 	roomyPart = 6
 	// roomyMost bounds the workers of a hint, for the links between VMs.
 	roomyMost = 100
 )
 
-// Roomy returns workers on which a task of common size finds room. VMs that
+// WorkersWithRoom returns workers on which a task of common size finds room. VMs that
 // take jobs ask for advice on these before the owner has heard of the job.
-func (b *Board) Roomy(now time.Time) []core.WorkerID {
+func (b *Scheduler) WorkersWithRoom(now time.Time) []core.WorkerID {
 	b.now = now
 	var out []core.WorkerID
 	for _, w := range b.byName {
@@ -52,9 +52,9 @@
 	slices.SortFunc(ids, func(x, y core.WorkerID) int { return cmp.Compare(order[x], order[y]) })
 }
 
-// EarlyNames returns the workers that a VM names in its own call for the first
+// EarlyCandidates returns the workers that a VM names in its own call for the first
 // phase of a job that it has just taken, of those that may have room.
-func EarlyNames(spec *jobs.Spec, p policy.Advice, candidates []core.WorkerID) []core.WorkerID {
+func EarlyCandidates(spec *jobs.Spec, p policy.Advice, candidates []core.WorkerID) []core.WorkerID {
 	out := slices.Clone(candidates)
 	spread(out, xxhash.Sum64String(string(spec.ID)))
 	return out[:min(len(out), earlyCount(p, spec.Phases[0].Count))]
--- a/core/board/board.go
+++ b/core/fleet/scheduler.go
@@ -1,7 +1,7 @@
-// Package board decides on all jobs and workers of the fleet under one owner.
+// Package fleet decides on all jobs and workers of the fleet under one owner.
 // The owner calls it from one goroutine; time enters as a value, and orders to
 // workers, questions about placement and records leave as values.
-package board
+package fleet
 
 import (
 	"slices"
@@ -34,24 +34,24 @@
 type Limits struct {
 	// Lease is the longest time for which a worker goes on without contact.
 	Lease time.Duration
-	// Silence is for how long a worker has been silent, at least, when the
+	// ListTimeout is for how long a worker has been silent, at least, when the
 	// platform drops it from its list.
-	Silence time.Duration
-	// Keep is how long clients may ask for an ended job.
-	Keep time.Duration
-	// Gang is how long a gang's tasks wait for one another.
-	Gang time.Duration
-	// Remote multiplies run times away from a phase's rack.
-	Remote float64
+	ListTimeout time.Duration
+	// Retention is how long clients may ask for an ended job.
+	Retention time.Duration
+	// GangWait is how long a gang's tasks wait for one another.
+	GangWait time.Duration
+	// RemoteFactor multiplies run times away from a phase's rack.
+	RemoteFactor float64
 }
 
-// Board is the state of the fleet under one owner.
-type Board struct {
+// Scheduler is the state of the fleet under one owner.
+type Scheduler struct {
 	epoch  core.Epoch
 	now    time.Time
 	limits Limits
 	policy *policy.Policy
-	guess  *cell.Guess
+	guess  *cell.Estimator
 
 	jobs    map[core.JobID]*Job
 	workers map[core.WorkerID]*Worker
@@ -94,7 +94,7 @@
 	closed []closing
 
 	orders   []Order
-	notes    []Note
+	notes    []Decision
 	refusals []error
 	counts   Counts
 	seq      uint64
@@ -124,15 +124,15 @@
 	Starts, Refused, Unanswered, Ends, Failures, Cuts, Lapses, Stops, Asks uint64
 }
 
-// Note is one decision for the log.
-type Note struct {
-	Job     core.JobID
-	What    string
-	Worker  core.WorkerID
-	Task    string
-	Run     uint64
-	Wait    time.Duration
-	Because string
+// Decision is one decision for the log.
+type Decision struct {
+	Job    core.JobID
+	Event  string
+	Worker core.WorkerID
+	Task   string
+	Run    uint64
+	Wait   time.Duration
+	Reason string
 }
 
 // bounded returns the limits that the board goes by.
@@ -142,18 +142,18 @@
 }
 
 // Option changes a board under construction.
-type Option func(*Board)
+type Option func(*Scheduler)
 
-// Resumed is for an owner that has decided under its epoch before and has
+// WithLostState is for an owner that has decided under its epoch before and has
 // forgotten what.
-func Resumed() Option {
-	return func(b *Board) { b.settled, b.own = false, b.epoch+1 }
+func WithLostState() Option {
+	return func(b *Scheduler) { b.settled, b.own = false, b.epoch+1 }
 }
 
 // New returns an empty board under a new owner's epoch.
-func New(now time.Time, epoch core.Epoch, limits Limits, p *policy.Policy, opts ...Option) *Board {
-	b := &Board{
-		epoch: epoch, own: epoch, now: now, settled: epoch <= 1, limits: limits.bounded(), policy: p, guess: cell.NewGuess(),
+func New(now time.Time, epoch core.Epoch, limits Limits, p *policy.Policy, opts ...Option) *Scheduler {
+	b := &Scheduler{
+		epoch: epoch, own: epoch, now: now, settled: epoch <= 1, limits: limits.bounded(), policy: p, guess: cell.NewEstimator(),
 		jobs: map[core.JobID]*Job{}, workers: map[core.WorkerID]*Worker{},
 		open: map[*unit]struct{}{}, timed: map[*unit]struct{}{},
 		used: map[core.Team]core.Resources{}, shares: map[core.Team]*share{}, odds: map[core.Queue]odds{}, held: map[*Task]struct{}{}, awaited: map[core.Team]core.Resources{}, dirty: map[core.JobID]*Job{},
@@ -165,16 +165,16 @@
 }
 
 // Epoch returns the owner's epoch.
-func (b *Board) Epoch() core.Epoch { return b.epoch }
+func (b *Scheduler) Epoch() core.Epoch { return b.epoch }
 
 // Counts returns the running totals.
-func (b *Board) Counts() Counts { return b.counts }
+func (b *Scheduler) Counts() Counts { return b.counts }
 
 // SetLimits follows changed figures of the fleet.
-func (b *Board) SetLimits(l Limits) { b.limits = l.bounded() }
+func (b *Scheduler) SetLimits(l Limits) { b.limits = l.bounded() }
 
 // SetPolicy follows a newer configuration.
-func (b *Board) SetPolicy(p *policy.Policy) {
+func (b *Scheduler) SetPolicy(p *policy.Policy) {
 	b.policy = p
 	for _, j := range b.jobs {
 		if !j.ended() {
@@ -184,35 +184,35 @@
 	b.changed = true
 }
 
-// Notes returns and forgets the decisions since the last call.
-func (b *Board) Notes() []Note {
+// Decisions returns and forgets the decisions since the last call.
+func (b *Scheduler) Decisions() []Decision {
 	out := b.notes
 	b.notes = nil
 	return out
 }
 
 // Refusals returns and forgets the events that a chart refused.
-func (b *Board) Refusals() []error {
+func (b *Scheduler) Refusals() []error {
 	out := b.refusals
 	b.refusals = nil
 	return out
 }
 
-func (b *Board) refuse(err error) {
+func (b *Scheduler) refuse(err error) {
 	if err != nil {
 		b.refusals = append(b.refusals, err)
 	}
 }
 
 // Orders returns and forgets the calls to workers decided since the last call.
-func (b *Board) Orders() []Order {
+func (b *Scheduler) Orders() []Order {
 	out := b.orders
 	b.orders = nil
 	return out
 }
 
 // Accept takes in a job that is in the store. It reports whether it is new.
-func (b *Board) Accept(now time.Time, spec jobs.Spec) bool {
+func (b *Scheduler) Accept(now time.Time, spec jobs.Spec) bool {
 	b.now = now
 	if b.jobs[spec.ID] != nil || b.leave(&spec) {
 		return false
@@ -226,23 +226,23 @@
 
 // leave reports whether a job is left to a later owner, which relies on no earlier
 // one having started any of it.
-func (b *Board) leave(spec *jobs.Spec) bool {
-	if spec.From <= b.epoch {
+func (b *Scheduler) leave(spec *jobs.Spec) bool {
+	if spec.FirstEpoch <= b.epoch {
 		return false
 	}
-	b.later = max(b.later, spec.From)
+	b.later = max(b.later, spec.FirstEpoch)
 	return true
 }
 
-// Later returns the epoch of the latest owner that a job has named, 0 if none is
+// LaterEpoch returns the epoch of the latest owner that a job has named, 0 if none is
 // later than this one.
-func (b *Board) Later() core.Epoch { return b.later }
+func (b *Scheduler) LaterEpoch() core.Epoch { return b.later }
 
 // adopt finds what an earlier owner, which may have known the job first, has
 // started of it. Until every worker has been heard of, and has had its ends
 // taken in, it may have run anywhere, unless its VM knew of this owner before.
-func (b *Board) adopt(j *Job) {
-	if j.ended() || j.Spec.From >= b.own {
+func (b *Scheduler) adopt(j *Job) {
+	if j.ended() || j.Spec.FirstEpoch >= b.own {
 		return
 	}
 	started := !b.settled || b.unheard()
@@ -268,9 +268,9 @@
 	}
 }
 
-// Missed reports, once, whether a worker has named a job that the board does
+// UnknownJobSeen reports, once, whether a worker has named a job that the board does
 // not know.
-func (b *Board) Missed() bool {
+func (b *Scheduler) UnknownJobSeen() bool {
 	m := b.missed
 	b.missed = false
 	return m
@@ -278,9 +278,9 @@
 
 // Load takes over the recorded jobs. What an earlier owner may have started may
 // still run somewhere.
-func (b *Board) Load(now time.Time, specs []jobs.Spec, progress map[core.JobID]jobs.Progress) {
+func (b *Scheduler) Load(now time.Time, specs []jobs.Spec, progress map[core.JobID]jobs.Progress) {
 	b.now = now
-	slices.SortFunc(specs, func(x, y jobs.Spec) int { return x.Sent.Compare(y.Sent) })
+	slices.SortFunc(specs, func(x, y jobs.Spec) int { return x.Accepted.Compare(y.Accepted) })
 	for _, s := range specs {
 		p := progress[s.ID]
 		if b.jobs[s.ID] != nil || b.leave(&s) {
@@ -299,7 +299,7 @@
 
 // Cancel ends a job whose cancellation is in the store. It reports whether the
 // job is known.
-func (b *Board) Cancel(now time.Time, id core.JobID) bool {
+func (b *Scheduler) Cancel(now time.Time, id core.JobID) bool {
 	b.now = now
 	j := b.jobs[id]
 	if j == nil {
@@ -314,7 +314,7 @@
 }
 
 // State returns how a job is shown to its client, if it is known.
-func (b *Board) State(id core.JobID) (jobs.State, bool) {
+func (b *Scheduler) State(id core.JobID) (jobs.State, bool) {
 	j := b.jobs[id]
 	if j == nil {
 		return "", false
@@ -324,7 +324,7 @@
 
 // Pending returns how many jobs of each queue have not started any task and
 // are due.
-func (b *Board) Pending() map[core.Queue]int {
+func (b *Scheduler) Pending() map[core.Queue]int {
 	out := map[core.Queue]int{}
 	for _, j := range b.jobs {
 		if j.state == jobQueued {
@@ -336,7 +336,7 @@
 
 // Batch returns the progress to record next, and nothing while an earlier
 // record is in flight.
-func (b *Board) Batch() []jobs.Progress {
+func (b *Scheduler) Batch() []jobs.Progress {
 	if b.flying != nil || len(b.dirty) == 0 {
 		return nil
 	}
@@ -355,8 +355,8 @@
 	return rows
 }
 
-// Recorded follows a record that is in the store.
-func (b *Board) Recorded(now time.Time) {
+// BatchStored follows a record that is in the store.
+func (b *Scheduler) BatchStored(now time.Time) {
 	b.now = now
 	for _, f := range b.flying {
 		if f.state != "" && f.job.state == jobClosing {
@@ -373,7 +373,7 @@
 }
 
 // forgetOldest forgets the job that ended first, and returns its name.
-func (b *Board) forgetOldest() core.JobID {
+func (b *Scheduler) forgetOldest() core.JobID {
 	id := b.closed[0].job
 	b.closed = b.closed[1:]
 	b.forget(id)
@@ -382,7 +382,7 @@
 
 // Expired returns, and forgets, jobs that have ended longer ago than clients may
 // ask for them; their rows can be deleted. It returns at most a number of them.
-func (b *Board) Expired(now time.Time, keep time.Duration, most int) []core.JobID {
+func (b *Scheduler) Expired(now time.Time, keep time.Duration, most int) []core.JobID {
 	var out []core.JobID
 	for len(b.closed) > 0 && len(out) < most && now.Sub(b.closed[0].at) > keep {
 		out = append(out, b.forgetOldest())
@@ -390,8 +390,8 @@
 	return out
 }
 
-// Returned puts a record back that surely is not in the store.
-func (b *Board) Returned() {
+// BatchFailed puts a record back that surely is not in the store.
+func (b *Scheduler) BatchFailed() {
 	for _, f := range b.flying {
 		b.dirty[f.job.Spec.ID] = f.job
 	}
@@ -399,21 +399,21 @@
 	b.mark = b.confirmed
 }
 
-func (b *Board) forget(id core.JobID) {
+func (b *Scheduler) forget(id core.JobID) {
 	if j := b.jobs[id]; j != nil && j.live == 0 {
 		delete(b.jobs, id)
 	}
 }
 
-func (b *Board) take(team core.Team, r core.Resources) { b.used[team] = b.used[team].Add(r) }
+func (b *Scheduler) take(team core.Team, r core.Resources) { b.used[team] = b.used[team].Add(r) }
 
-func (b *Board) give(team core.Team, r core.Resources) {
+func (b *Scheduler) give(team core.Team, r core.Resources) {
 	b.used[team] = b.used[team].Sub(r)
 	b.changed = true
 }
 
 // task returns a task by its name.
-func (b *Board) task(id jobs.TaskID) *Task {
+func (b *Scheduler) task(id jobs.TaskID) *Task {
 	j := b.jobs[id.Job]
 	if j == nil || id.Phase >= len(j.Spec.Phases) || id.Occurrence >= j.Spec.Occurrences() {
 		return nil
@@ -427,11 +427,11 @@
 
 // Settled reports whether every worker that an earlier owner may have used has
 // been heard of.
-func (b *Board) Settled() bool { return b.settled }
+func (b *Scheduler) Settled() bool { return b.settled }
 
 // settle frees the recovered tasks once every worker has been heard of: what
 // no worker has reported runs nowhere.
-func (b *Board) settle() {
+func (b *Scheduler) settle() {
 	if b.settled && len(b.held) == 0 || b.unheard() {
 		return
 	}
@@ -452,12 +452,12 @@
 
 // unheard reports whether a worker may run, or may have ended, tasks that the
 // board does not know of.
-func (b *Board) unheard() bool { return slices.ContainsFunc(b.byName, (*Worker).unheard) }
+func (b *Scheduler) unheard() bool { return slices.ContainsFunc(b.byName, (*Worker).unheard) }
 
 func (w *Worker) unheard() bool { return w.state == workerFresh || !w.blocked.IsZero() }
 
 // unheardRoom returns the room of the workers that have not been heard of.
-func (b *Board) unheardRoom() core.Resources {
+func (b *Scheduler) unheardRoom() core.Resources {
 	var sum core.Resources
 	for _, w := range b.byName {
 		if w.unheard() {
--- a/core/board/share.go
+++ b/core/fleet/share.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"time"
@@ -19,7 +19,7 @@
 }
 
 // beyond takes in one job and reports whether it exceeds the team's share.
-func (b *Board) beyond(id core.Team, at time.Time) bool {
+func (b *Scheduler) beyond(id core.Team, at time.Time) bool {
 	t := b.policy.Teams[id]
 	if t == nil || t.Weight <= 0 {
 		return false
--- a/core/board/takeover_test.go
+++ b/core/fleet/takeover_test.go
@@ -1,4 +1,4 @@
-package board_test
+package fleet_test
 
 import (
 	"testing"
@@ -7,22 +7,22 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 )
 
 // desk is a board with workers that the test answers for.
 type desk struct {
-	*board.Board
+	*fleet.Scheduler
 	now   time.Time
-	hosts []board.Host
+	hosts []fleet.WorkerInfo
 }
 
 func newDesk(epoch core.Epoch, workers int) *desk {
-	d := &desk{now: dawn, Board: board.New(dawn, epoch, board.Limits{Lease: lease, Silence: 4500 * time.Millisecond, Remote: 1}, rules(core.Resources{}))}
+	d := &desk{now: dawn, Scheduler: fleet.New(dawn, epoch, fleet.Limits{Lease: lease, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, rules(core.Resources{}))}
 	for i := range workers {
 		h := host(i)
-		h.Born = dawn.Add(-time.Hour)
+		h.Incarnation = dawn.Add(-time.Hour)
 		d.hosts = append(d.hosts, h)
 	}
 	return d
@@ -30,26 +30,26 @@
 
 // open makes all workers known and heard.
 func (d *desk) open() {
-	d.SetHosts(d.now, d.hosts)
-	d.Known(d.Roster())
+	d.SetWorkers(d.now, d.hosts)
+	d.RosterStored(d.Roster())
 	for _, h := range d.hosts {
 		d.held(h, nil, nil)
 	}
 }
 
-func (d *desk) held(h board.Host, active []board.Active, ended []board.Ended) {
-	d.Held(d.now, h.Worker(), d.now, board.Lists{Clock: d.now.Sub(dawn), Born: h.Born, Active: active, Ended: ended})
+func (d *desk) held(h fleet.WorkerInfo, active []fleet.ActiveRun, ended []fleet.EndedRun) {
+	d.HeartbeatAnswered(d.now, h.ID(), d.now, fleet.RunLists{Clock: d.now.Sub(dawn), Incarnation: h.Incarnation, Active: active, Ended: ended})
 }
 
 // done is the end of an order's run, as its worker lists it.
-func done(number uint64, o board.Order) []board.Ended {
-	return []board.Ended{{Number: number, Task: o.Task, Run: o.Run, How: board.EndDone, Word: "done"}}
+func done(number uint64, o fleet.Order) []fleet.EndedRun {
+	return []fleet.EndedRun{{Number: number, Task: o.Task, Run: o.Run, Kind: fleet.EndDone, Reason: "done"}}
 }
 
 // plan returns the orders of one kind that the board gives now.
-func (d *desk) plan(kind board.OrderKind) []board.Order {
-	d.Plan(d.now)
-	var out []board.Order
+func (d *desk) plan(kind fleet.OrderKind) []fleet.Order {
+	d.Tick(d.now)
+	var out []fleet.Order
 	for _, o := range d.Orders() {
 		if o.Kind == kind {
 			out = append(out, o)
@@ -62,7 +62,7 @@
 
 // plain is a job of one phase.
 func plain(id string, count int, gang bool) jobs.Spec {
-	return jobs.Spec{ID: core.JobID(id), Team: "t", Queue: "q", Sent: dawn, Phases: []jobs.Phase{
+	return jobs.Spec{ID: core.JobID(id), Team: "t", Queue: "q", Accepted: dawn, Phases: []jobs.Phase{
 		{Count: count, Need: core.Resources{Cores: 1000}, Estimate: time.Second, Gang: gang},
 	}}
 }
@@ -79,12 +79,12 @@
 	d := newDesk(1, 2)
 	d.open()
 	d.Accept(d.now, plain("j", 1, false))
-	first := d.plan(board.OrderStart)
+	first := d.plan(fleet.OrderStart)
 	is.Equal(len(first), 1)
-	d.Started(d.now, first[0].Worker, first[0].Task, first[0].Run, board.ReplyDone)
+	d.StartAnswered(d.now, first[0].Worker, first[0].Task, first[0].Run, fleet.ReplyOK)
 	for _, h := range d.hosts {
-		if h.Worker() == first[0].Worker {
-			d.Silent(d.now, h.Worker())
+		if h.ID() == first[0].Worker {
+			d.HeartbeatFailed(d.now, h.ID())
 		} else {
 			d.held(h, nil, nil)
 		}
@@ -92,17 +92,17 @@
 	longest := lease*100/98 + 200*time.Millisecond
 	for d.now.Sub(dawn) < longest {
 		d.pass(100 * time.Millisecond)
-		d.SetHosts(d.now, d.hosts)
-		d.Plan(d.now)
-		var starts []board.Order
+		d.SetWorkers(d.now, d.hosts)
+		d.Tick(d.now)
+		var starts []fleet.Order
 		for _, o := range d.Orders() {
 			switch {
-			case o.Kind == board.OrderStart:
+			case o.Kind == fleet.OrderStart:
 				starts = append(starts, o)
 			case o.Worker == first[0].Worker:
-				d.Silent(d.now, o.Worker)
-			case o.Kind == board.OrderHold:
-				d.held(o.Host, nil, nil)
+				d.HeartbeatFailed(d.now, o.Worker)
+			case o.Kind == fleet.OrderHeartbeat:
+				d.held(o.Info, nil, nil)
 			}
 		}
 		if d.now.Sub(dawn) <= lease {
@@ -123,17 +123,17 @@
 	is := is.New(t)
 	d := newDesk(1, 1)
 	d.open()
-	d.plan(board.OrderHold)
-	d.Silent(d.now, d.hosts[0].Worker())
+	d.plan(fleet.OrderHeartbeat)
+	d.HeartbeatFailed(d.now, d.hosts[0].ID())
 	for range 100 {
 		d.pass(100 * time.Millisecond)
-		if len(d.plan(board.OrderHold)) > 0 {
-			d.Silent(d.now, d.hosts[0].Worker())
+		if len(d.plan(fleet.OrderHeartbeat)) > 0 {
+			d.HeartbeatFailed(d.now, d.hosts[0].ID())
 		}
 	}
 	d.held(d.hosts[0], nil, nil)
 	d.Accept(d.now, plain("j", 1, false))
-	is.Equal(len(d.plan(board.OrderStart)), 1)
+	is.Equal(len(d.plan(fleet.OrderStart)), 1)
 }
 
 // TestWorkerLeaves has rows: what the last entry of a worker said, how long
@@ -154,23 +154,23 @@
 			d := newDesk(1, 2)
 			d.open()
 			d.Accept(d.now, plain("j", 1, false))
-			first := d.plan(board.OrderStart)
+			first := d.plan(fleet.OrderStart)
 			d.begin(first)
-			var kept []board.Host
+			var kept []fleet.WorkerInfo
 			for i := range d.hosts {
-				d.hosts[i].Beat++
-				if d.hosts[i].Worker() == first[0].Worker {
+				d.hosts[i].Renewals++
+				if d.hosts[i].ID() == first[0].Worker {
 					d.hosts[i].Leaving = c.leaving
 				} else {
 					kept = append(kept, d.hosts[i])
 				}
 			}
-			d.SetHosts(d.now, d.hosts)
+			d.SetWorkers(d.now, d.hosts)
 			d.pass(c.silence)
 			d.held(kept[0], nil, nil)
-			d.Silent(d.now, first[0].Worker)
-			d.SetHosts(d.now, kept)
-			is.Equal(len(d.plan(board.OrderStart)) == 1, c.at1)
+			d.HeartbeatFailed(d.now, first[0].Worker)
+			d.SetWorkers(d.now, kept)
+			is.Equal(len(d.plan(fleet.OrderStart)) == 1, c.at1)
 		})
 	}
 }
@@ -181,10 +181,10 @@
 	is := is.New(t)
 	d := newDesk(1, 2)
 	d.open()
-	d.plan(board.OrderHold)
-	d.Silent(d.now, d.hosts[0].Worker())
+	d.plan(fleet.OrderHeartbeat)
+	d.HeartbeatFailed(d.now, d.hosts[0].ID())
 	for range 6 {
-		d.SetHosts(d.now, d.hosts[1:])
+		d.SetWorkers(d.now, d.hosts[1:])
 		d.pass(500 * time.Millisecond)
 	}
 	is.Equal(len(d.Roster()), 1)
@@ -201,18 +201,18 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := newDesk(2, 2)
-			a := board.NewAbsence()
-			a.Listed(d.now, d.hosts)
+			a := fleet.NewAbsenceTracker()
+			a.Observe(d.now, d.hosts)
 			for range 4 {
 				d.pass(c.pause)
-				a.Listed(d.now, d.hosts[:1])
+				a.Observe(d.now, d.hosts[:1])
 			}
 			d.Recover(d.hosts, a.Since())
 			d.Load(d.now, []jobs.Spec{plain("j", 1, false)}, nil)
-			d.SetHosts(d.now, d.hosts[:1])
-			d.Known(d.Roster())
+			d.SetWorkers(d.now, d.hosts[:1])
+			d.RosterStored(d.Roster())
 			d.held(d.hosts[0], nil, nil)
-			is.Equal(len(d.plan(board.OrderStart)), c.starts)
+			is.Equal(len(d.plan(fleet.OrderStart)), c.starts)
 		})
 	}
 }
@@ -222,19 +222,19 @@
 func TestEndOfUnknownJob(t *testing.T) {
 	is := is.New(t)
 	d := newDesk(2, 2)
-	d.SetHosts(d.now, d.hosts)
-	d.Known(d.Roster())
-	ends := []board.Ended{{Number: 1, Task: taskOf("j", 0), Run: 1, How: board.EndDone, Word: "done"}}
+	d.SetWorkers(d.now, d.hosts)
+	d.RosterStored(d.Roster())
+	ends := []fleet.EndedRun{{Number: 1, Task: taskOf("j", 0), Run: 1, Kind: fleet.EndDone, Reason: "done"}}
 	d.held(d.hosts[0], nil, ends)
 	d.held(d.hosts[1], nil, nil)
-	is.True(d.Missed()) // the owner is told to read what is recorded
+	is.True(d.UnknownJobSeen()) // the owner is told to read what is recorded
 	d.Accept(d.now, plain("j", 1, false))
-	is.Equal(len(d.plan(board.OrderStart)), 0)
+	is.Equal(len(d.plan(fleet.OrderStart)), 0)
 	d.pass(100 * time.Millisecond)
 	d.held(d.hosts[0], nil, ends)
-	is.Equal(len(d.plan(board.OrderStart)), 0)
+	is.Equal(len(d.plan(fleet.OrderStart)), 0)
 	is.Equal(len(d.Batch()), 1)
-	d.Recorded(d.now)
+	d.BatchStored(d.now)
 	state, known := d.State("j")
 	is.True(known)
 	is.Equal(state, jobs.Completed)
@@ -244,12 +244,12 @@
 func TestRunOfUnknownJob(t *testing.T) {
 	is := is.New(t)
 	d := newDesk(2, 2)
-	d.SetHosts(d.now, d.hosts)
-	d.Known(d.Roster())
-	d.held(d.hosts[0], []board.Active{{Task: taskOf("j", 0), Run: 1}}, nil)
+	d.SetWorkers(d.now, d.hosts)
+	d.RosterStored(d.Roster())
+	d.held(d.hosts[0], []fleet.ActiveRun{{Task: taskOf("j", 0), Run: 1}}, nil)
 	d.held(d.hosts[1], nil, nil)
 	d.Accept(d.now, plain("j", 1, false))
-	is.Equal(len(d.plan(board.OrderStart)), 0)
+	is.Equal(len(d.plan(fleet.OrderStart)), 0)
 	state, _ := d.State("j")
 	is.Equal(state, jobs.Running)
 }
@@ -282,29 +282,29 @@
 			d := newDesk(2, 2)
 			d.Recover(d.hosts, nil)
 			old, young := plain("old", 1, false), plain("young", 1, false)
-			old.From, young.From = 1, c.from
+			old.FirstEpoch, young.FirstEpoch = 1, c.from
 			recorded := []jobs.Spec{old}
 			if c.load {
 				recorded = append(recorded, young)
 			}
 			d.Load(d.now, recorded, nil)
-			d.SetHosts(d.now, d.hosts)
-			d.Known(d.Roster())
+			d.SetWorkers(d.now, d.hosts)
+			d.RosterStored(d.Roster())
 			d.held(d.hosts[0], nil, nil)
 			if !c.load {
 				d.Accept(d.now, young)
 			}
-			starts := d.plan(board.OrderStart)
+			starts := d.plan(fleet.OrderStart)
 			is.Equal(len(starts), c.starts)
 			for _, s := range starts {
 				is.Equal(s.Task.Job, young.ID)
-				is.Equal(s.Worker, d.hosts[0].Worker())
+				is.Equal(s.Worker, d.hosts[0].ID())
 			}
-			is.Equal(d.Later() > 0, c.from > 2)
+			is.Equal(d.LaterEpoch() > 0, c.from > 2)
 			d.begin(starts)
 			d.held(d.hosts[1], nil, nil)
 			if c.from <= 2 {
-				is.Equal(len(d.plan(board.OrderStart)), 2-c.starts) // all has been heard of
+				is.Equal(len(d.plan(fleet.OrderStart)), 2-c.starts) // all has been heard of
 			}
 		})
 	}
@@ -316,17 +316,17 @@
 	for _, epoch := range []core.Epoch{1, 2} {
 		is := is.New(t)
 		d := newDesk(epoch, 2)
-		d.Board = board.New(dawn, epoch, board.Limits{Lease: lease, Remote: 1}, rules(core.Resources{}), board.Resumed())
+		d.Scheduler = fleet.New(dawn, epoch, fleet.Limits{Lease: lease, RemoteFactor: 1}, rules(core.Resources{}), fleet.WithLostState())
 		d.Recover(d.hosts, nil)
 		j := plain("j", 1, false)
-		j.From = epoch
+		j.FirstEpoch = epoch
 		d.Load(d.now, []jobs.Spec{j}, nil)
-		d.SetHosts(d.now, d.hosts)
-		d.Known(d.Roster())
+		d.SetWorkers(d.now, d.hosts)
+		d.RosterStored(d.Roster())
 		d.held(d.hosts[0], nil, nil)
-		is.Equal(len(d.plan(board.OrderStart)), 0)
+		is.Equal(len(d.plan(fleet.OrderStart)), 0)
 		d.held(d.hosts[1], nil, nil)
-		is.Equal(len(d.plan(board.OrderStart)), 1)
+		is.Equal(len(d.plan(fleet.OrderStart)), 1)
 	}
 }
 
@@ -344,14 +344,14 @@
 			d.SetPolicy(rules(core.Resources{Cores: c.limit}))
 			d.Recover(d.hosts, nil)
 			old, young := plain("old", 40, false), plain("young", 4, false)
-			young.From = 2
+			young.FirstEpoch = 2
 			d.Load(d.now, []jobs.Spec{old}, nil)
-			d.SetHosts(d.now, d.hosts)
-			d.Known(d.Roster())
+			d.SetWorkers(d.now, d.hosts)
+			d.RosterStored(d.Roster())
 			d.held(d.hosts[0], nil, nil)
 			d.held(d.hosts[1], nil, nil)
 			d.Accept(d.now, young)
-			is.Equal(len(d.plan(board.OrderStart)), c.starts) // the third has room for 4,000
+			is.Equal(len(d.plan(fleet.OrderStart)), c.starts) // the third has room for 4,000
 		})
 	}
 }
@@ -362,16 +362,16 @@
 	is := is.New(t)
 	d := newDesk(2, 2)
 	d.Load(d.now, []jobs.Spec{plain("j", 2, true)}, nil)
-	d.SetHosts(d.now, d.hosts)
-	d.Known(d.Roster())
-	d.held(d.hosts[0], []board.Active{{Task: taskOf("j", 0), Run: 1}}, nil)
+	d.SetWorkers(d.now, d.hosts)
+	d.RosterStored(d.Roster())
+	d.held(d.hosts[0], []fleet.ActiveRun{{Task: taskOf("j", 0), Run: 1}}, nil)
 	d.held(d.hosts[1], nil, nil)
-	stops := d.plan(board.OrderStop)
+	stops := d.plan(fleet.OrderStop)
 	is.Equal(len(stops), 1)
-	d.Stopped(d.now, stops[0].Worker, stops[0].Task, stops[0].Run, board.ReplyDone)
+	d.StopAnswered(d.now, stops[0].Worker, stops[0].Task, stops[0].Run, fleet.ReplyOK)
 	d.pass(300 * time.Millisecond)
-	d.held(d.hosts[0], nil, []board.Ended{{Number: 1, Task: taskOf("j", 0), Run: 1, How: board.EndOther, Word: "stopped"}})
-	starts := d.plan(board.OrderStart)
+	d.held(d.hosts[0], nil, []fleet.EndedRun{{Number: 1, Task: taskOf("j", 0), Run: 1, Kind: fleet.EndOther, Reason: "stopped"}})
+	starts := d.plan(fleet.OrderStart)
 	is.Equal(len(starts), 2)
 	is.Equal(starts[0].Run, starts[1].Run)
 	is.True(starts[0].Run > 1)
@@ -383,13 +383,13 @@
 	is := is.New(t)
 	d := newDesk(2, 2)
 	d.Load(d.now, []jobs.Spec{plain("j", 1, false)}, nil)
-	d.SetHosts(d.now, d.hosts)
-	d.Known(d.Roster())
-	d.held(d.hosts[0], []board.Active{{Task: taskOf("j", 0), Run: 1}}, nil)
+	d.SetWorkers(d.now, d.hosts)
+	d.RosterStored(d.Roster())
+	d.held(d.hosts[0], []fleet.ActiveRun{{Task: taskOf("j", 0), Run: 1}}, nil)
 	d.held(d.hosts[1], nil, nil)
 	for range 3 {
 		d.pass(200 * time.Millisecond)
-		is.Equal(len(d.plan(board.OrderStart)), 0)
+		is.Equal(len(d.plan(fleet.OrderStart)), 0)
 		d.held(d.hosts[1], nil, nil)
 	}
 	is.Equal(d.Counts().Lapses, uint64(0))
@@ -402,19 +402,19 @@
 	d := newDesk(1, 1)
 	d.open()
 	d.Accept(d.now, plain("j", 1, false))
-	s := d.plan(board.OrderStart)[0]
-	d.Started(d.now, s.Worker, s.Task, s.Run, board.ReplyNone)
-	stops := d.plan(board.OrderStop)
+	s := d.plan(fleet.OrderStart)[0]
+	d.StartAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyUnanswered)
+	stops := d.plan(fleet.OrderStop)
 	is.Equal(len(stops), 1)
 	d.pass(50 * time.Millisecond)
 	d.held(d.hosts[0], nil, nil)
-	is.Equal(len(d.plan(board.OrderStart)), 0) // the stop has not been answered
+	is.Equal(len(d.plan(fleet.OrderStart)), 0) // the stop has not been answered
 	d.pass(600 * time.Millisecond)
-	is.Equal(len(d.plan(board.OrderStop)), 1) // and is repeated
-	d.Stopped(d.now, s.Worker, s.Task, s.Run, board.ReplyDone)
+	is.Equal(len(d.plan(fleet.OrderStop)), 1) // and is repeated
+	d.StopAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
 	d.pass(50 * time.Millisecond)
 	d.held(d.hosts[0], nil, nil)
-	again := d.plan(board.OrderStart)
+	again := d.plan(fleet.OrderStart)
 	is.Equal(len(again), 1)
 	is.True(again[0].Run > s.Run)
 }
@@ -426,22 +426,22 @@
 	d := newDesk(1, 1)
 	d.open()
 	d.Accept(d.now, plain("j", 1, false))
-	s := d.plan(board.OrderStart)[0]
-	d.Started(d.now, s.Worker, s.Task, s.Run, board.ReplyDone)
+	s := d.plan(fleet.OrderStart)[0]
+	d.StartAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
 	d.pass(time.Second)
 	d.held(d.hosts[0], nil, done(1, s))
 	is.Equal(len(d.Batch()), 1)
 	state, _ := d.State("j")
 	is.Equal(state, jobs.Running)
 	d.pass(1800 * time.Millisecond)
-	holds := d.plan(board.OrderHold)
+	holds := d.plan(fleet.OrderHeartbeat)
 	is.Equal(len(holds), 1) // the lease is renewed all the same
-	is.Equal(holds[0].Seen, uint64(0))
-	d.Recorded(d.now)
+	is.Equal(holds[0].AckedEnd, uint64(0))
+	d.BatchStored(d.now)
 	state, _ = d.State("j")
 	is.Equal(state, jobs.Completed)
 	d.held(d.hosts[0], nil, nil)
-	is.Equal(d.plan(board.OrderHold)[0].Seen, uint64(1))
+	is.Equal(d.plan(fleet.OrderHeartbeat)[0].AckedEnd, uint64(1))
 }
 
 // TestVanishedWorkerOfEarlierOwner plays a take-over on a platform that allows
@@ -451,22 +451,22 @@
 func TestVanishedWorkerOfEarlierOwner(t *testing.T) {
 	is := is.New(t)
 	d := newDesk(2, 2)
-	d.Board = board.New(dawn, 2, board.Limits{Lease: 10 * time.Second, Silence: 4500 * time.Millisecond, Remote: 1}, rules(core.Resources{}))
+	d.Scheduler = fleet.New(dawn, 2, fleet.Limits{Lease: 10 * time.Second, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, rules(core.Resources{}))
 	d.Recover(d.hosts, nil)
 	d.Load(d.now, []jobs.Spec{plain("j", 1, false)}, nil)
-	d.SetHosts(d.now, d.hosts[:1])
-	d.Known(d.Roster())
+	d.SetWorkers(d.now, d.hosts[:1])
+	d.RosterStored(d.Roster())
 	d.held(d.hosts[0], nil, nil)
 	bound := 2500 * time.Millisecond // also how long an entry must be missing
 	for d.now.Sub(dawn) <= bound+200*time.Millisecond {
-		starts := d.plan(board.OrderStart)
+		starts := d.plan(fleet.OrderStart)
 		if len(starts) > 0 {
 			is.True(d.now.Sub(dawn) >= 6*time.Second*100/98-4500*time.Millisecond)
-			is.True(starts[0].Until <= d.now.Sub(dawn)+6*time.Second)
+			is.True(starts[0].LeaseUntil <= d.now.Sub(dawn)+6*time.Second)
 			return
 		}
 		d.pass(100 * time.Millisecond)
-		d.SetHosts(d.now, d.hosts[:1])
+		d.SetWorkers(d.now, d.hosts[:1])
 		d.held(d.hosts[0], nil, nil)
 	}
 	t.Fatal("the task was not started")
--- a/core/board/task.go
+++ b/core/fleet/task.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"math"
@@ -176,12 +176,12 @@
 	if u.phase.Gang {
 		at = u.base
 	}
-	if !u.job.progress.AddFail(at, t.run) {
+	if !u.job.progress.AddFailedRun(at, t.run) {
 		return
 	}
 	u.job.board.counts.Failures++
 	u.job.touch()
-	if !u.phase.Lasts && len(u.job.progress.Fails[at]) >= u.attempts() {
+	if !u.phase.LongRunning && len(u.job.progress.FailedRuns[at]) >= u.attempts() {
 		u.job.fail()
 	}
 }
@@ -197,14 +197,14 @@
 }
 
 // ended takes in the end of one run as its worker lists it.
-func (t *Task) ended(w *Worker, run uint64, how End, saved string) {
+func (t *Task) ended(w *Worker, run uint64, how EndKind, saved string) {
 	u, b := t.unit, t.unit.job.board
 	mine := t.worker == w && t.run == run
 	if saved != "" {
 		t.keep(run, saved)
 	}
 	switch {
-	case u.phase.Lasts && (how == EndDone || how == EndFailed):
+	case u.phase.LongRunning && (how == EndDone || how == EndFailed):
 		if mine {
 			t.fire(taskCut)
 		}
--- a/core/board/worker.go
+++ b/core/fleet/worker.go
@@ -1,4 +1,4 @@
-package board
+package fleet
 
 import (
 	"cmp"
@@ -38,20 +38,20 @@
 	asideMost  = 8 * time.Second
 )
 
-// Host is a worker as the platform lists it.
-type Host struct {
+// WorkerInfo is a worker as the platform lists it.
+type WorkerInfo struct {
 	core.VM
 	Labels []string
-	// Left is the least time until a leaving worker is gone.
-	Left time.Duration
-	// Born marks the incarnation, as far as the list tells.
-	Born time.Time
-	// Beat changes whenever the worker renews its entry.
-	Beat uint64
+	// LeavesIn is the least time until a leaving worker is gone.
+	LeavesIn time.Duration `json:"Left"`
+	// Incarnation marks the incarnation, as far as the list tells.
+	Incarnation time.Time `json:"Born"`
+	// Renewals changes whenever the worker renews its entry.
+	Renewals uint64 `json:"Beat"`
 }
 
-// Worker returns the worker's name.
-func (h Host) Worker() core.WorkerID { return core.WorkerID(h.Name) }
+// ID returns the worker's name.
+func (h WorkerInfo) ID() core.WorkerID { return core.WorkerID(h.Name) }
 
 // stray is a run that holds room on a worker but is not what the board wants
 // there.
@@ -68,11 +68,11 @@
 // Worker is a worker VM as the owner knows it.
 type Worker struct {
 	id    core.WorkerID
-	board *Board
+	board *Scheduler
 	// order is a hash of the name.
 	order uint64
 	state chart.State
-	host  Host
+	host  WorkerInfo
 	// recorded is set once the worker is in the roster that a later owner reads.
 	recorded bool
 	// listed is set while the platform lists the worker, missing since when it
@@ -120,12 +120,12 @@
 
 func (w *Worker) fire(ev chart.Event) { w.board.refuse(workerChart.Fire(&w.state, ev, w)) }
 
-// SetHosts follows a new list of the platform.
-func (b *Board) SetHosts(now time.Time, hosts []Host) {
+// SetWorkers follows a new list of the platform.
+func (b *Scheduler) SetWorkers(now time.Time, hosts []WorkerInfo) {
 	b.now = now
 	listed := map[core.WorkerID]bool{}
 	for _, h := range hosts {
-		id := h.Worker()
+		id := h.ID()
 		listed[id] = true
 		w := b.workers[id]
 		if w == nil {
@@ -147,43 +147,43 @@
 // Recover adds the workers that an earlier owner may have used. Absent tells
 // since when the platform has not listed a worker, as far as this process has
 // seen.
-func (b *Board) Recover(hosts []Host, absent map[core.WorkerID]time.Time) {
+func (b *Scheduler) Recover(hosts []WorkerInfo, absent map[core.WorkerID]time.Time) {
 	for _, h := range hosts {
-		if b.workers[h.Worker()] == nil {
-			b.addWorker(h.Worker(), h).missing = absent[h.Worker()]
+		if b.workers[h.ID()] == nil {
+			b.addWorker(h.ID(), h).missing = absent[h.ID()]
 		}
 	}
 }
 
 // RosterVersion changes whenever the roster does.
-func (b *Board) RosterVersion() uint64 { return b.roster }
+func (b *Scheduler) RosterVersion() uint64 { return b.roster }
 
 // Roster returns the workers that a later owner must hear of before it starts
 // older tasks.
-func (b *Board) Roster() []Host {
-	out := make([]Host, 0, len(b.byName))
+func (b *Scheduler) Roster() []WorkerInfo {
+	out := make([]WorkerInfo, 0, len(b.byName))
 	for _, w := range b.byName {
 		out = append(out, w.host)
 	}
 	return out
 }
 
-// Known tells which incarnations of workers are in the recorded roster. Tasks
+// RosterStored tells which incarnations of workers are in the recorded roster. Tasks
 // are placed on no other: an owner that has been replaced unawares can record
 // nothing, and so uses no worker that its successor does not know.
-func (b *Board) Known(roster []Host) {
+func (b *Scheduler) RosterStored(roster []WorkerInfo) {
 	known := make(map[core.WorkerID]time.Time, len(roster))
 	for _, h := range roster {
-		known[h.Worker()] = h.Born
+		known[h.ID()] = h.Incarnation
 	}
 	for _, w := range b.byName {
 		born, ok := known[w.id]
-		w.recorded = ok && born.Equal(w.host.Born)
+		w.recorded = ok && born.Equal(w.host.Incarnation)
 	}
 	b.changed = true
 }
 
-func (b *Board) addWorker(id core.WorkerID, h Host) *Worker {
+func (b *Scheduler) addWorker(id core.WorkerID, h WorkerInfo) *Worker {
 	w := &Worker{id: id, board: b, order: xxhash.Sum64String(string(id)), state: workerChart.Start(), host: h, free: h.Room, tasks: map[jobs.TaskID]*Task{}}
 	b.workers[id] = w
 	b.roster++
@@ -199,8 +199,8 @@
 	return w
 }
 
-func (w *Worker) follow(h Host) {
-	if h.Beat != w.host.Beat {
+func (w *Worker) follow(h WorkerInfo) {
+	if h.Renewals != w.host.Renewals {
 		w.renewed = w.board.now
 	}
 	w.listed, w.missing = true, time.Time{}
@@ -208,10 +208,10 @@
 		w.free = w.free.Add(h.Room).Sub(w.host.Room)
 	}
 	if w.born.IsZero() {
-		w.setBorn(h.Born)
+		w.setBorn(h.Incarnation)
 	}
 	// What the worker itself says of its incarnation is newer than the list.
-	h.Born = w.host.Born
+	h.Incarnation = w.host.Incarnation
 	w.host = h
 }
 
@@ -227,7 +227,7 @@
 		w.missing = b.now
 	}
 	gone := b.now.Sub(w.missing)
-	left := time.Duration(float64(b.limits.Lease)/slowestClock) - b.limits.Silence
+	left := time.Duration(float64(b.limits.Lease)/slowestClock) - b.limits.ListTimeout
 	switch {
 	case w.hasLeft():
 	case gone < vanishWait:
@@ -246,7 +246,7 @@
 // silence.
 func (w *Worker) hasLeft() bool {
 	b := w.board
-	return w.host.Leaving && !w.renewed.IsZero() && b.now.Sub(w.renewed) < b.limits.Silence-leftMargin
+	return w.host.Leaving && !w.renewed.IsZero() && b.now.Sub(w.renewed) < b.limits.ListTimeout-leftMargin
 }
 
 // quiet reports whether nothing runs on the worker, nor may begin to.
@@ -254,7 +254,7 @@
 	return len(w.tasks) == 0 && len(w.strays) == 0 && len(w.foreign) == 0 && w.blocked.IsZero() && w.seen == w.taken
 }
 
-func (b *Board) dropGone() {
+func (b *Scheduler) dropGone() {
 	b.byName = slices.DeleteFunc(b.byName, func(w *Worker) bool {
 		if w.state == workerGone {
 			delete(b.workers, w.id)
@@ -268,7 +268,7 @@
 func (w *Worker) cut() {
 	w.board.counts.Lapses++
 	for _, t := range w.ownTasks() {
-		w.board.note(Note{Job: t.unit.id.Job, What: "lost with its worker", Worker: w.id, Task: t.ID().String(), Run: t.run, Because: workerChart.Name(w.state)})
+		w.board.note(Decision{Job: t.unit.id.Job, Event: "lost with its worker", Worker: w.id, Task: t.ID().String(), Run: t.run, Reason: workerChart.Name(w.state)})
 		t.fire(taskCut)
 	}
 	for _, s := range w.strays {
--- a/core/jobs/jobs.go
+++ b/core/jobs/jobs.go
@@ -39,14 +39,14 @@
 	Gang bool `json:",omitempty"`
 	// SameRack tasks run slower if spread over racks.
 	SameRack bool `json:",omitempty"`
-	// Saves is set for tasks that write checkpoints.
-	Saves bool `json:",omitempty"`
-	// Copies may run side by side; the first that ends counts.
-	Copies bool `json:",omitempty"`
-	// Lasts is set for tasks that run until the job is cancelled.
-	Lasts bool `json:",omitempty"`
-	// Fills is set for tasks that take only what others leave unused.
-	Fills bool `json:",omitempty"`
+	// Checkpoints is set for tasks that write checkpoints.
+	Checkpoints bool `json:"Saves,omitempty"`
+	// Speculative may run side by side; the first that ends counts.
+	Speculative bool `json:"Copies,omitempty"`
+	// LongRunning is set for tasks that run until the job is cancelled.
+	LongRunning bool `json:"Lasts,omitempty"`
+	// Filler is set for tasks that take only what others leave unused.
+	Filler bool `json:"Fills,omitempty"`
 	// Label is one that the worker must have; empty means any worker.
 	Label string `json:",omitempty"`
 	// Rack holds the data; tasks run slower elsewhere.
@@ -55,11 +55,11 @@
 	PerWorker int `json:",omitempty"`
 	// Image names what the tasks run.
 	Image string `json:",omitempty"`
-	// Target is the latency bound of tasks that serve users.
-	Target time.Duration `json:",omitempty"`
-	// MayMiss is how many lasting tasks the scheduler may take down at once; it
+	// LatencyTarget is the latency bound of tasks that serve users.
+	LatencyTarget time.Duration `json:"Target,omitempty"`
+	// DisruptionBudget is how many lasting tasks the scheduler may take down at once; it
 	// is absent if the client has set no budget.
-	MayMiss *int `json:",omitempty"`
+	DisruptionBudget *int `json:"MayMiss,omitempty"`
 }
 
 // Spec is an accepted job as it is recorded. It never changes.
@@ -67,24 +67,24 @@
 	ID    core.JobID
 	Team  core.Team
 	Queue core.Queue
-	// Text is handed to every task as it is.
-	Text   string
-	Phases []Phase
+	// Payload is handed to every task as it is.
+	Payload string `json:"Text"`
+	Phases  []Phase
 	// Repeat is how often the phases run; 0 means once, at once.
 	Repeat int           `json:",omitempty"`
 	First  time.Time     `json:",omitzero"`
 	Every  time.Duration `json:",omitempty"`
-	// Sent is the wall clock of the VM that accepted the job.
-	Sent time.Time
-	// From is the epoch of the first owner that may start any of the job: the VM
+	// Accepted is the wall clock of the VM that accepted the job.
+	Accepted time.Time `json:"Sent"`
+	// FirstEpoch is the epoch of the first owner that may start any of the job: the VM
 	// that accepted it knew of that owner before it recorded the job.
-	From core.Epoch `json:",omitempty"`
+	FirstEpoch core.Epoch `json:"From,omitempty"`
 }
 
-// Check reports why a job cannot be accepted.
-func (s *Spec) Check() error {
-	if len(s.Text) > maxText {
-		return &SpecError{fmt.Sprintf("the text has %d bytes of at most %d", len(s.Text), maxText)}
+// Validate reports why a job cannot be accepted.
+func (s *Spec) Validate() error {
+	if len(s.Payload) > maxText {
+		return &SpecError{fmt.Sprintf("the text has %d bytes of at most %d", len(s.Payload), maxText)}
 	}
 	if len(s.Phases) == 0 {
 		return &SpecError{"there is no phase"}
@@ -124,9 +124,9 @@
 	return s.First.Add(time.Duration(occurrence) * s.Every)
 }
 
-// Chain returns the longest chain of estimated run times, with extra added for
+// CriticalPath returns the longest chain of estimated run times, with extra added for
 // each phase.
-func (s *Spec) Chain(extra time.Duration) time.Duration {
+func (s *Spec) CriticalPath(extra time.Duration) time.Duration {
 	ends := make([]time.Duration, len(s.Phases))
 	longest := time.Duration(0)
 	for i, p := range s.Phases {
@@ -198,10 +198,10 @@
 	// Done holds a bit for each task that has ended well, in order of
 	// occurrence, phase and index.
 	Done []byte `json:",omitempty"`
-	// Fails holds the numbers of the failed runs of tasks by their position in
+	// FailedRuns holds the numbers of the failed runs of tasks by their position in
 	// Done; those of a gang are kept at its first task. A run is kept once,
 	// however often a worker reports its end.
-	Fails map[int][]uint64 `json:",omitempty"`
+	FailedRuns map[int][]uint64 `json:"Fails,omitempty"`
 }
 
 // SetDone marks the task at a position.
@@ -217,26 +217,26 @@
 	return at/8 < len(p.Done) && p.Done[at/8]&(1<<(at%8)) != 0
 }
 
-// AddFail keeps a failed run of the task at a position and reports whether it
+// AddFailedRun keeps a failed run of the task at a position and reports whether it
 // was not known yet.
-func (p *Progress) AddFail(at int, run uint64) bool {
-	if slices.Contains(p.Fails[at], run) {
+func (p *Progress) AddFailedRun(at int, run uint64) bool {
+	if slices.Contains(p.FailedRuns[at], run) {
 		return false
 	}
-	if p.Fails == nil {
-		p.Fails = map[int][]uint64{}
+	if p.FailedRuns == nil {
+		p.FailedRuns = map[int][]uint64{}
 	}
-	p.Fails[at] = append(p.Fails[at], run)
+	p.FailedRuns[at] = append(p.FailedRuns[at], run)
 	return true
 }
 
 // Clone returns a copy that shares nothing.
 func (p *Progress) Clone() Progress {
 	c := Progress{Job: p.Job, State: p.State, Done: append([]byte(nil), p.Done...)}
-	if len(p.Fails) > 0 {
-		c.Fails = make(map[int][]uint64, len(p.Fails))
-		for k, v := range p.Fails {
-			c.Fails[k] = slices.Clone(v)
+	if len(p.FailedRuns) > 0 {
+		c.FailedRuns = make(map[int][]uint64, len(p.FailedRuns))
+		for k, v := range p.FailedRuns {
+			c.FailedRuns[k] = slices.Clone(v)
 		}
 	}
 	return c
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -32,21 +32,21 @@
 	}
 }
 
-// Drop gives the right up at once.
-func (l *Lease) Drop() { l.until = time.Time{} }
+// Release gives the right up at once.
+func (l *Lease) Release() { l.until = time.Time{} }
 
 // Until returns when the lease ends unless renewed.
 func (l *Lease) Until() time.Time { return l.until }
 
-// Holds reports whether the right may be used now. A wall clock that moved
+// Valid reports whether the right may be used now. A wall clock that moved
 // further than the monotonic one, or a gap between checks longer than allowed,
 // is a pause: the lease counts as lapsed.
-func (l *Lease) Holds(now time.Time) bool {
+func (l *Lease) Valid(now time.Time) bool {
 	if !l.looked.IsZero() {
 		mono := now.Sub(l.looked)
 		wall := now.Round(0).Sub(l.looked.Round(0))
 		if mono > l.gap || wall-mono > l.gap {
-			l.Drop()
+			l.Release()
 		}
 	}
 	l.looked = now
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -101,8 +101,8 @@
 	Row     Row
 }
 
-// Book is one holder's view of all rows that it takes part in.
-type Book struct {
+// Ledger is one holder's view of all rows that it takes part in.
+type Ledger struct {
 	holder  Holder
 	entries map[string]*entry
 	// busy is set while a write is in flight; there is at most one.
@@ -110,12 +110,12 @@
 }
 
 // New returns an empty book of one holder.
-func New(h Holder) *Book { return &Book{holder: h, entries: map[string]*entry{}} }
+func New(h Holder) *Ledger { return &Ledger{holder: h, entries: map[string]*entry{}} }
 
 // Holder returns the name under which the book holds its parts.
-func (b *Book) Holder() Holder { return b.holder }
+func (b *Ledger) Holder() Holder { return b.holder }
 
-func (b *Book) at(name string) *entry {
+func (b *Ledger) at(name string) *entry {
 	e, ok := b.entries[name]
 	if !ok {
 		e = &entry{}
@@ -125,14 +125,14 @@
 }
 
 // Declare sets a row's total and the slack that this holder keeps.
-func (b *Book) Declare(name string, total, slack int64) {
+func (b *Ledger) Declare(name string, total, slack int64) {
 	e := b.at(name)
 	e.total = total
 	e.slack = slack
 }
 
-// Forget sets the total of every row that keep refuses to zero.
-func (b *Book) Forget(keep func(name string) bool) {
+// ZeroTotals sets the total of every row that keep refuses to zero.
+func (b *Ledger) ZeroTotals(keep func(name string) bool) {
 	for name, e := range b.entries {
 		if !keep(name) {
 			e.total, e.slack = 0, 0
@@ -140,8 +140,8 @@
 	}
 }
 
-// Free returns how much of a row may still be used.
-func (b *Book) Free(name string) int64 {
+// Available returns how much of a row may still be used.
+func (b *Ledger) Available(name string) int64 {
 	e, ok := b.entries[name]
 	if !ok {
 		return 0
@@ -151,7 +151,7 @@
 
 // Excess returns how much of its use the holder must end because a total has
 // been lowered below the sum of the parts.
-func (b *Book) Excess(name string) int64 {
+func (b *Ledger) Excess(name string) int64 {
 	e, ok := b.entries[name]
 	if !ok || e.version == 0 {
 		return 0
@@ -166,7 +166,7 @@
 }
 
 // Held returns this holder's part of a row.
-func (b *Book) Held(name string) int64 {
+func (b *Ledger) Held(name string) int64 {
 	if e, ok := b.entries[name]; ok {
 		return e.held
 	}
@@ -174,7 +174,7 @@
 }
 
 // Used returns how much of a row this holder uses.
-func (b *Book) Used(name string) int64 {
+func (b *Ledger) Used(name string) int64 {
 	if e, ok := b.entries[name]; ok {
 		return e.used
 	}
@@ -183,13 +183,13 @@
 
 // Use takes n of a row; n may be negative to return it. The caller has asked
 // Free before, except for use that it found already running.
-func (b *Book) Use(name string, n int64) { b.at(name).used += n }
+func (b *Ledger) Use(name string, n int64) { b.at(name).used += n }
 
-// Want sets what the holder could use of a row now, the used part included.
-func (b *Book) Want(name string, n int64) { b.at(name).want = n }
+// SetDemand sets what the holder could use of a row now, the used part included.
+func (b *Ledger) SetDemand(name string, n int64) { b.at(name).want = n }
 
-// Starved reports whether the holder wants more of some row than it has.
-func (b *Book) Starved() bool {
+// NeedsMore reports whether the holder wants more of some row than it has.
+func (b *Ledger) NeedsMore() bool {
 	for _, e := range b.entries {
 		if e.want > e.held && e.held < e.total {
 			return true
@@ -199,7 +199,7 @@
 }
 
 // Total returns the sum that all holders have of a row, as last read.
-func (b *Book) Total(name string) int64 {
+func (b *Ledger) Total(name string) int64 {
 	e, ok := b.entries[name]
 	if !ok {
 		return 0
@@ -207,9 +207,9 @@
 	return e.row.Total - e.row.free()
 }
 
-// Seen takes in a row as read from the store. While a write is in flight, what
+// Observe takes in a row as read from the store. While a write is in flight, what
 // was read may be older than the write, so it is passed over.
-func (b *Book) Seen(name string, version uint64, row Row) {
+func (b *Ledger) Observe(name string, version uint64, row Row) {
 	e := b.at(name)
 	if b.busy || version < e.version {
 		return
@@ -218,9 +218,9 @@
 	e.held = row.Parts[b.holder]
 }
 
-// Broken takes in a row that does not parse. It must not keep the others from
+// MarkMalformed takes in a row that does not parse. It must not keep the others from
 // being written, so it is left alone until somebody has mended it.
-func (b *Book) Broken(name string) {
+func (b *Ledger) MarkMalformed(name string) {
 	e := b.at(name)
 	e.broken, e.held = true, 0
 }
@@ -228,7 +228,7 @@
 // Plan returns the writes that bring the parts closer to what is wanted, and
 // marks the book busy if there are any. Parts to be given back stop being
 // usable at once.
-func (b *Book) Plan() []Change {
+func (b *Ledger) Plan() []Change {
 	if b.busy {
 		return nil
 	}
@@ -246,7 +246,7 @@
 	return out
 }
 
-func (b *Book) plan(e *entry) (Row, bool) {
+func (b *Ledger) plan(e *entry) (Row, bool) {
 	row := e.row.Clone()
 	row.Total = e.total
 	want := max(e.want, e.used)
@@ -263,7 +263,7 @@
 }
 
 // goal returns the part that the holder should have now.
-func (b *Book) goal(e *entry, row Row, want int64) int64 {
+func (b *Ledger) goal(e *entry, row Row, want int64) int64 {
 	others := len(row.Wants)
 	if _, ok := row.Wants[b.holder]; ok {
 		others--
@@ -306,7 +306,7 @@
 
 // Applied ends a write. When ok is false, the store has refused it or the
 // outcome is not known; the rows must be read again before the next plan.
-func (b *Book) Applied(changes []Change, versions []uint64, ok bool) {
+func (b *Ledger) Applied(changes []Change, versions []uint64, ok bool) {
 	b.busy = false
 	if !ok {
 		return
@@ -332,8 +332,8 @@
 	return c, true
 }
 
-// Restart carries use over to a new holder name after a process has rejoined.
-func (b *Book) Restart(h Holder) {
+// Rename carries use over to a new holder name after a process has rejoined.
+func (b *Ledger) Rename(h Holder) {
 	b.holder = h
 	b.busy = false
 	for _, e := range b.entries {
@@ -343,7 +343,7 @@
 }
 
 // Names returns the names of all rows, sorted.
-func (b *Book) Names() []string {
+func (b *Ledger) Names() []string {
 	out := make([]string, 0, len(b.entries))
 	for name := range b.entries {
 		out = append(out, name)
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -28,7 +28,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const total = 20
 		s := &store{row: ledger.Row{}}
-		books := []*ledger.Book{ledger.New("a"), ledger.New("b"), ledger.New("c")}
+		books := []*ledger.Ledger{ledger.New("a"), ledger.New("b"), ledger.New("c")}
 		for _, b := range books {
 			b.Declare("r", total, int64(rapid.IntRange(0, 6).Draw(t, "slack")))
 		}
@@ -38,7 +38,7 @@
 			b := books[i]
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				b.Seen("r", s.version, s.row)
+				b.Observe("r", s.version, s.row)
 			case 1:
 				if c := b.Plan(); len(c) > 0 {
 					flights[i] = c
@@ -53,9 +53,9 @@
 				lost := rapid.Bool().Draw(t, "lost")
 				b.Applied(f, []uint64{s.version}, ok && !lost)
 			case 3:
-				b.Want("r", int64(rapid.IntRange(0, 30).Draw(t, "want")))
+				b.SetDemand("r", int64(rapid.IntRange(0, 30).Draw(t, "want")))
 			case 4:
-				if b.Free("r") > 0 {
+				if b.Available("r") > 0 {
 					b.Use("r", 1)
 				}
 			case 5:
@@ -81,23 +81,23 @@
 func TestShift(t *testing.T) {
 	s := &store{row: ledger.Row{}}
 	a, b := ledger.New("a"), ledger.New("b")
-	for _, book := range []*ledger.Book{a, b} {
+	for _, book := range []*ledger.Ledger{a, b} {
 		book.Declare("r", 8, 4)
 	}
-	round := func(book *ledger.Book) {
-		book.Seen("r", s.version, s.row)
+	round := func(book *ledger.Ledger) {
+		book.Observe("r", s.version, s.row)
 		if c := book.Plan(); len(c) > 0 {
 			ok := s.write(c[0])
 			book.Applied(c, []uint64{s.version}, ok)
 		}
 	}
-	a.Want("r", 8)
+	a.SetDemand("r", 8)
 	round(a)
 	if a.Held("r") != 8 {
 		t.Fatalf("a alone holds %d of 8", a.Held("r"))
 	}
-	a.Want("r", 0)
-	b.Want("r", 6)
+	a.SetDemand("r", 0)
+	b.SetDemand("r", 6)
 	for range 6 {
 		round(b)
 		round(a)
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -201,19 +201,19 @@
 // State returns the name of the session's state.
 func (m *Member) State() string { return sessionChart.Name(m.state) }
 
-// Live reports whether the session holds now.
-func (m *Member) Live(now time.Time) bool {
-	return m.lease.Holds(now) && (m.state == sessLive || m.state == sessLeaving)
+// SessionValid reports whether the session holds now.
+func (m *Member) SessionValid(now time.Time) bool {
+	return m.lease.Valid(now) && (m.state == sessLive || m.state == sessLeaving)
 }
 
-// Gone reports whether the process has left.
-func (m *Member) Gone() bool { return m.state == sessGone }
+// HasLeft reports whether the process has left.
+func (m *Member) HasLeft() bool { return m.state == sessGone }
 
-// Left ends a leaving process's session.
-func (m *Member) Left() { m.note(sessionChart.Fire(&m.state, sessLeft, m)) }
+// EndSession ends a leaving process's session.
+func (m *Member) EndSession() { m.note(sessionChart.Fire(&m.state, sessLeft, m)) }
 
-// Stored returns when the store was last reached.
-func (m *Member) Stored() time.Time { return m.stored }
+// StoreReachedAt returns when the store was last reached.
+func (m *Member) StoreReachedAt() time.Time { return m.stored }
 
 // SetConfig sets the version that the session row shows.
 func (m *Member) SetConfig(v core.Version) { m.config = v }
@@ -233,7 +233,7 @@
 
 // drop gives up all cells at once.
 func (m *Member) drop() {
-	m.lease.Drop()
+	m.lease.Release()
 	for _, h := range m.cells {
 		m.note(cellChart.Fire(&h.state, cellLapse, h))
 	}
@@ -252,8 +252,8 @@
 	m.version, m.beat, m.busy, m.scanned, m.round = 0, 0, false, false, nil
 }
 
-// Leave begins a planned stop.
-func (m *Member) Leave() { m.note(sessionChart.Fire(&m.state, sessLeave, m)) }
+// Drain begins a planned stop.
+func (m *Member) Drain() { m.note(sessionChart.Fire(&m.state, sessLeave, m)) }
 
 // Row returns the session row to be written next.
 func (m *Member) Row() Session {
@@ -396,9 +396,9 @@
 	return out
 }
 
-// Lowest returns the lowest configuration version in force in any live
+// LowestConfig returns the lowest configuration version in force in any live
 // process.
-func (m *Member) Lowest(now time.Time) core.Version {
+func (m *Member) LowestConfig(now time.Time) core.Version {
 	low := m.config
 	for _, p := range m.peers {
 		if !lease.Lapsed(p.seen, now, m.ttl) {
--- a/core/member/plan.go
+++ b/core/member/plan.go
@@ -80,7 +80,7 @@
 	}
 	// A gate owns nothing that another process may take over by time alone: its
 	// slots stay its own until it is proved dead.
-	if m.state == sessLive && m.self.Role == core.RoleSched && !m.lease.Holds(now) {
+	if m.state == sessLive && m.self.Role == core.RoleSched && !m.lease.Valid(now) {
 		m.note(sessionChart.Fire(&m.state, sessLapse, m))
 	}
 	if r, ok := m.resigned.Get(); ok {
--- a/core/mimic/mimic.go
+++ b/core/model/worker.go
@@ -1,21 +1,21 @@
-// Package mimic is a model of the platform's workers for tests: it obeys
+// Package model is a model of the platform's workers for tests: it obeys
 // orders as they do, and records what a test must be able to check.
-package mimic
+package model
 
 import (
 	"slices"
 	"time"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 )
 
 // GangTime is how long a task of a gang waits for the others.
 const GangTime = 3 * time.Second
 
-// Spec is what a test says of the tasks of a phase.
-type Spec struct {
+// TaskSpec is what a test says of the tasks of a phase.
+type TaskSpec struct {
 	Need core.Resources
 	// Work is how long a run takes.
 	Work time.Duration
@@ -27,7 +27,7 @@
 
 // Tasks tells a worker what it is asked to run.
 type Tasks interface {
-	Task(id jobs.TaskID) Spec
+	Task(id jobs.TaskID) TaskSpec
 	// Present returns how many members of a gang's run are on any worker.
 	Present(id jobs.PhaseID, run uint64) int
 }
@@ -56,7 +56,7 @@
 	Run    uint64
 	// End is zero while the run goes on.
 	End time.Time
-	How board.End
+	How fleet.EndKind
 	// Lost is set if the worker crashed before the end was acknowledged: nobody
 	// can learn of it any more.
 	Lost bool
@@ -64,7 +64,7 @@
 
 // Worker is one worker.
 type Worker struct {
-	Host  board.Host
+	Info  fleet.WorkerInfo
 	tasks Tasks
 	// rate is that of its clock; born is when the incarnation began.
 	rate float64
@@ -76,7 +76,7 @@
 	fence  core.Epoch
 	until  time.Duration
 	active []*run
-	ended  []board.Ended
+	ended  []fleet.EndedRun
 	number uint64
 	// barred holds the highest run stopped or ended of each task.
 	barred map[jobs.TaskID]uint64
@@ -89,17 +89,17 @@
 }
 
 // New returns a worker that starts at a time; rate is that of its clock.
-func New(h board.Host, t Tasks, at time.Time, rate float64, lease time.Duration) *Worker {
-	w := &Worker{Host: h, tasks: t, rate: rate, Up: true, Most: lease}
-	w.Begin(at)
+func New(h fleet.WorkerInfo, t Tasks, at time.Time, rate float64, lease time.Duration) *Worker {
+	w := &Worker{Info: h, tasks: t, rate: rate, Up: true, Most: lease}
+	w.Restart(at)
 	return w
 }
 
-// Begin starts a new incarnation, which knows nothing.
-func (w *Worker) Begin(at time.Time) {
+// Restart starts a new incarnation, which knows nothing.
+func (w *Worker) Restart(at time.Time) {
 	w.end(at)
 	w.born, w.now, w.Up = at, at, true
-	w.Host.Born = at
+	w.Info.Incarnation = at
 	w.fence, w.until, w.number = 0, 0, 0
 	w.ended, w.barred = nil, map[jobs.TaskID]uint64{}
 }
@@ -112,7 +112,7 @@
 
 func (w *Worker) end(at time.Time) {
 	for _, r := range w.active {
-		w.close(r, at, board.EndOther)
+		w.close(r, at, fleet.EndOther)
 	}
 	w.active = nil
 	for _, e := range w.ended {
@@ -125,7 +125,7 @@
 	w.ended = nil
 }
 
-func (w *Worker) close(r *run, at time.Time, how board.End) {
+func (w *Worker) close(r *run, at time.Time, how fleet.EndKind) {
 	for _, s := range w.Log {
 		if s.Task == r.key.task && s.Run == r.key.run && s.End.IsZero() {
 			s.End, s.How = at, how
@@ -138,9 +138,9 @@
 	return time.Duration(float64(w.now.Sub(w.born)) * w.rate)
 }
 
-// Work lets time pass for what runs; Settle then ends what is over. All workers
+// Advance lets time pass for what runs; Settle then ends what is over. All workers
 // work before any settles, so that the members of a gang end together.
-func (w *Worker) Work(now time.Time) {
+func (w *Worker) Advance(now time.Time) {
 	passed := now.Sub(w.now)
 	w.now = now
 	for _, r := range w.active {
@@ -152,8 +152,8 @@
 	}
 }
 
-// Settle ends the runs that are over.
-func (w *Worker) Settle() {
+// EndFinished ends the runs that are over.
+func (w *Worker) EndFinished() {
 	if w.Clock() > w.until {
 		w.Lapsed = w.now
 	}
@@ -171,62 +171,62 @@
 }
 
 // over returns how a run ends now; word is empty if it goes on.
-func (r *run) over(w *Worker, s Spec) (how board.End, word string) {
+func (r *run) over(w *Worker, s TaskSpec) (how fleet.EndKind, word string) {
 	switch {
 	case w.Clock() > w.until:
-		return board.EndOther, "lapsed"
+		return fleet.EndOther, "lapsed"
 	case !r.stopAt.IsZero() && !w.now.Before(r.stopAt):
-		return board.EndOther, "stopped"
+		return fleet.EndOther, "stopped"
 	case r.worked >= s.Work && s.Fails:
-		return board.EndFailed, "failed"
+		return fleet.EndFailed, "failed"
 	case r.worked >= s.Work:
-		return board.EndDone, "done"
+		return fleet.EndDone, "done"
 	case r.together && w.tasks.Present(r.key.task.PhaseID, r.key.run) < s.Gang:
-		return board.EndOther, "broken"
+		return fleet.EndOther, "broken"
 	case !r.together && w.now.Sub(r.began) > GangTime:
-		return board.EndOther, "alone"
+		return fleet.EndOther, "alone"
 	}
 	return "", ""
 }
 
-func (w *Worker) finish(r *run, how board.End, word string) {
+func (w *Worker) finish(r *run, how fleet.EndKind, word string) {
 	w.number++
-	w.ended = append(w.ended, board.Ended{Number: w.number, Task: r.key.task, Run: r.key.run, How: how, Word: word})
+	w.ended = append(w.ended, fleet.EndedRun{Number: w.number, Task: r.key.task, Run: r.key.run, Kind: how, Reason: word})
 	w.barred[r.key.task] = max(w.barred[r.key.task], r.key.run)
 	w.close(r, w.now, how)
 }
 
 // allow checks the fence and extends the lease.
-func (w *Worker) allow(o board.Order) bool {
+func (w *Worker) allow(o fleet.Order) bool {
 	if o.Epoch < w.fence {
 		return false
 	}
 	w.fence = o.Epoch
-	w.until = max(w.until, min(o.Until, w.Clock()+w.Most))
+	w.until = max(w.until, min(o.LeaseUntil, w.Clock()+w.Most))
 	return true
 }
 
 // Start carries out an order to start.
-func (w *Worker) Start(o board.Order) board.Reply {
+func (w *Worker) Start(o fleet.Order) fleet.Reply {
 	switch {
 	case !w.allow(o):
-		return board.ReplyFenced
+		return fleet.ReplyFenced
 	case slices.ContainsFunc(w.active, func(r *run) bool { return r.key == runKey{o.Task, o.Run} }):
-		return board.ReplyDone
+		return fleet.ReplyOK
 	case o.Run <= w.barred[o.Task]:
-		return board.ReplyOld
-	case o.Until < w.Clock():
-		return board.ReplyLate
+		return fleet.ReplyStaleRun
+	case o.LeaseUntil < w.Clock():
+		return fleet.ReplyLeaseExpired
 	}
 	w.active = append(w.active, &run{key: runKey{o.Task, o.Run}, began: w.now})
-	w.Log = append(w.Log, &Start{At: w.now, Worker: w.Host.Worker(), Task: o.Task, Run: o.Run})
-	return board.ReplyDone
+	w.Log = append(w.Log, &Start{At: w.now, Worker: w.Info.ID(), Task: o.Task, Run: o.Run})
+	return fleet.ReplyOK
 }
 
 // Stop carries out an order to stop; it takes effect after a delay.
-func (w *Worker) Stop(o board.Order, delay time.Duration) board.Reply {
+func (w *Worker) Stop(o fleet.Order, delay time.Duration) fleet.Reply {
 	if o.Epoch < w.fence {
-		return board.ReplyFenced
+		return fleet.ReplyFenced
 	}
 	w.fence = o.Epoch
 	w.barred[o.Task] = max(w.barred[o.Task], o.Run)
@@ -235,25 +235,25 @@
 			r.stopAt = w.now.Add(delay)
 		}
 	}
-	return board.ReplyDone
+	return fleet.ReplyOK
 }
 
-// Hold renews the lease and returns the lists.
-func (w *Worker) Hold(o board.Order) (board.Lists, board.Reply) {
+// Heartbeat renews the lease and returns the lists.
+func (w *Worker) Heartbeat(o fleet.Order) (fleet.RunLists, fleet.Reply) {
 	if !w.allow(o) {
-		return board.Lists{}, board.ReplyFenced
+		return fleet.RunLists{}, fleet.ReplyFenced
 	}
-	w.ended = slices.DeleteFunc(w.ended, func(e board.Ended) bool { return e.Number <= o.Seen })
-	l := board.Lists{Clock: w.Clock(), Born: w.born, Ended: slices.Clone(w.ended)}
+	w.ended = slices.DeleteFunc(w.ended, func(e fleet.EndedRun) bool { return e.Number <= o.AckedEnd })
+	l := fleet.RunLists{Clock: w.Clock(), Incarnation: w.born, Ended: slices.Clone(w.ended)}
 	for _, r := range w.active {
 		done := 100 * r.worked / max(w.tasks.Task(r.key.task).Work, 1)
-		l.Active = append(l.Active, board.Active{Task: r.key.task, Run: r.key.run, Percent: int(done)})
+		l.Active = append(l.Active, fleet.ActiveRun{Task: r.key.task, Run: r.key.run, Percent: int(done)})
 	}
-	return l, board.ReplyDone
+	return l, fleet.ReplyOK
 }
 
-// Holds returns what runs on the worker.
-func (w *Worker) Holds() core.Resources {
+// Running returns what runs on the worker.
+func (w *Worker) Running() core.Resources {
 	var sum core.Resources
 	for _, r := range w.active {
 		sum = sum.Add(w.tasks.Task(r.key.task).Need)
@@ -261,8 +261,8 @@
 	return sum
 }
 
-// Runs returns how many members of a gang's run are on the worker.
-func (w *Worker) Runs(id jobs.PhaseID, number uint64) int {
+// GangSize returns how many members of a gang's run are on the worker.
+func (w *Worker) GangSize(id jobs.PhaseID, number uint64) int {
 	n := 0
 	for _, r := range w.active {
 		if r.key.task.PhaseID == id && r.key.run == number {
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -59,8 +59,8 @@
 // Service is a pool of interchangeable workers.
 type Service struct {
 	Name core.Service
-	// Guards is set when the workers themselves refuse what does not fit.
-	Guards bool
+	// RefusesOverload is set when the workers themselves refuse what does not fit.
+	RefusesOverload bool
 	// Standby pools are switched off.
 	Standby bool
 	// Health is the path that a worker answers with 200 while it is healthy.
