--- a/io/pace/pace.go
+++ b/io/adapt/adapt.go
@@ -1,6 +1,6 @@
-// Package pace bounds calls of the platform's table by how long its answers take, so
+// Package adapt bounds calls of the platform's table by how long its answers take, so
 // that a lost one is noticed soon and a slow one is waited for.
-package pace
+package adapt
 
 import (
 	"context"
@@ -32,12 +32,12 @@
 
 // Store is a table whose calls are bounded. It implements table.Doer.
 type Store struct {
-	table       table.Doer
+	table       table.Client
 	write, read pace
 }
 
 // New returns a table with bounded calls.
-func New(t table.Doer) *Store { return &Store{table: t} }
+func New(t table.Client) *Store { return &Store{table: t} }
 
 // pace learns how long one kind of call takes.
 type pace struct {
@@ -59,7 +59,7 @@
 func (p *pace) learn(took time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var down *table.DownError
+	var down *table.UnansweredError
 	if errors.As(err, &down) {
 		p.slack = min(p.slack+1, 3)
 		return
@@ -71,7 +71,7 @@
 // do makes one call within the limit. An answer that comes later still tells how
 // slow the store is.
 func (p *pace) do(ctx context.Context, call func(ctx context.Context) error) error {
-	ctx = table.WithLate(ctx, func(took time.Duration, _ table.Outcome) { p.learn(took, nil) })
+	ctx = table.WithLateHook(ctx, func(took time.Duration, _ table.Outcome) { p.learn(took, nil) })
 	ctx, cancel := context.WithTimeout(ctx, p.limit())
 	defer cancel()
 	began := time.Now()
@@ -96,7 +96,7 @@
 			page, err = s.table.Read(ctx, r)
 			return err
 		})
-		var down *table.DownError
+		var down *table.UnansweredError
 		if !errors.As(err, &down) || ctx.Err() != nil {
 			break
 		}
--- a/io/pace/pace_test.go
+++ b/io/adapt/adapt_test.go
@@ -1,4 +1,4 @@
-package pace_test
+package adapt_test
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"github.com/matryer/is"
 
-	"chicoryturn/core/reign"
-	"chicoryturn/io/pace"
+	"chicoryturn/core/elect"
+	"chicoryturn/io/adapt"
 	"chicoryturn/io/table"
 )
 
@@ -27,7 +27,7 @@
 	}
 	select {
 	case <-ctx.Done():
-		return &table.DownError{Err: ctx.Err()}
+		return &table.UnansweredError{Err: ctx.Err()}
 	case <-time.After(d):
 		return nil
 	}
@@ -59,7 +59,7 @@
 	ctx := context.Background()
 	s := &slow{}
 	s.takes.Store(int64(10 * time.Millisecond))
-	p := pace.New(s)
+	p := adapt.New(s)
 	write := func() error {
 		_, err := p.Write(ctx, table.Txn{})
 		return err
@@ -69,9 +69,9 @@
 	}
 	s.lose.Store(true)
 	began := time.Now()
-	var down *table.DownError
+	var down *table.UnansweredError
 	is.True(errors.As(write(), &down))
-	is.True(time.Since(began) < reign.TTL/4)
+	is.True(time.Since(began) < elect.TTL/4)
 	s.lose.Store(false)
 	is.NoErr(write())
 
--- a/io/guide/guide.go
+++ b/io/advice/client.go
@@ -1,6 +1,6 @@
-// Package guide asks the external placement policy on behalf of one VM. The
+// Package advice asks the external placement policy on behalf of one VM. The
 // policy serves one call of a VM at a time.
-package guide
+package advice
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 )
 
@@ -20,23 +20,23 @@
 	grace    = time.Second
 )
 
-// Policy answers which workers may run a phase.
-type Policy interface {
-	Advise(ctx context.Context, id jobs.PhaseID, workers []core.WorkerID) (allowed []board.Allowed, valid time.Duration, err error)
+// Advisor answers which workers may run a phase.
+type Advisor interface {
+	Advise(ctx context.Context, id jobs.PhaseID, workers []core.WorkerID) (allowed []fleet.AllowedWorker, valid time.Duration, err error)
 }
 
 // Result is the outcome of one call; Err is set if it has failed.
 type Result struct {
-	Ask     board.Ask
-	Allowed []board.Allowed
-	// Valid is how long the tickets were good when the answer came, at At.
-	Valid time.Duration
-	At    time.Time
-	Err   error
+	Request fleet.AdviceRequest
+	Allowed []fleet.AllowedWorker
+	// TicketTTL is how long the tickets were good when the answer came, at At.
+	TicketTTL time.Duration
+	At        time.Time
+	Err       error
 }
 
-// Left returns what is left of the tickets' time.
-func (r Result) Left(now time.Time) time.Duration { return r.Valid - now.Sub(r.At) }
+// TicketsLeft returns what is left of the tickets' time.
+func (r Result) TicketsLeft(now time.Time) time.Duration { return r.TicketTTL - now.Sub(r.At) }
 
 // FullError reports that too many calls wait.
 type FullError struct{}
@@ -45,13 +45,13 @@
 func (*FullError) Error() string { return "too many calls for placement advice wait" }
 
 type entry struct {
-	ask  board.Ask
+	ask  fleet.AdviceRequest
 	then func(Result)
 }
 
-// Guide makes the calls of one VM, one after another.
-type Guide struct {
-	policy Policy
+// Client makes the calls of one VM, one after another.
+type Client struct {
+	policy Advisor
 	calls  chan entry
 
 	// mu guards the expected length of the calls that wait and of the one under
@@ -62,10 +62,10 @@
 }
 
 // New returns a guide; Run makes its calls.
-func New(p Policy) *Guide { return &Guide{policy: p, calls: make(chan entry, queue)} }
+func New(p Advisor) *Client { return &Client{policy: p, calls: make(chan entry, queue)} }
 
-// Ask queues a call; then gets its result on another goroutine.
-func (g *Guide) Ask(a board.Ask, then func(Result)) {
+// Request queues a call; then gets its result on another goroutine.
+func (g *Client) Request(a fleet.AdviceRequest, then func(Result)) {
 	g.mu.Lock()
 	full := len(g.calls) == cap(g.calls)
 	if !full {
@@ -74,32 +74,32 @@
 	}
 	g.mu.Unlock()
 	if full {
-		then(Result{Ask: a, Err: &FullError{}})
+		then(Result{Request: a, Err: &FullError{}})
 	}
 }
 
 // Delay returns how long a call would wait for those before it.
-func (g *Guide) Delay() time.Duration {
+func (g *Client) Delay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.waiting + max(g.now-time.Since(g.began), 0)
 }
 
-func (g *Guide) begin(a board.Ask) {
+func (g *Client) begin(a fleet.AdviceRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.waiting -= a.Cost
 	g.now, g.began = a.Cost, time.Now()
 }
 
-func (g *Guide) end() {
+func (g *Client) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.now = 0
 }
 
 // Run makes the calls until the context ends.
-func (g *Guide) Run(ctx context.Context) error {
+func (g *Client) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -113,9 +113,9 @@
 	}
 }
 
-func (g *Guide) call(ctx context.Context, a board.Ask) Result {
+func (g *Client) call(ctx context.Context, a fleet.AdviceRequest) Result {
 	ctx, cancel := context.WithTimeout(ctx, patience*a.Cost+grace)
 	defer cancel()
 	allowed, valid, err := g.policy.Advise(ctx, a.Phase, a.Workers)
-	return Result{Ask: a, Allowed: allowed, Valid: valid, At: time.Now(), Err: err}
+	return Result{Request: a, Allowed: allowed, TicketTTL: valid, At: time.Now(), Err: err}
 }
--- a/io/guide/guide_test.go
+++ b/io/advice/client_test.go
@@ -1,4 +1,4 @@
-package guide_test
+package advice_test
 
 import (
 	"context"
@@ -8,20 +8,20 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
-	"chicoryturn/io/guide"
+	"chicoryturn/io/advice"
 )
 
 // policy answers after a while.
 type policy struct{ wait time.Duration }
 
-func (p policy) Advise(ctx context.Context, _ jobs.PhaseID, _ []core.WorkerID) ([]board.Allowed, time.Duration, error) {
+func (p policy) Advise(ctx context.Context, _ jobs.PhaseID, _ []core.WorkerID) ([]fleet.AllowedWorker, time.Duration, error) {
 	select {
 	case <-ctx.Done():
 		return nil, 0, ctx.Err()
 	case <-time.After(p.wait):
-		return []board.Allowed{{Worker: "w", Ticket: "t"}}, time.Second, nil
+		return []fleet.AllowedWorker{{Worker: "w", Ticket: "t"}}, time.Second, nil
 	}
 }
 
@@ -29,25 +29,25 @@
 // its tickets are not taken for fresh ones.
 func TestAge(t *testing.T) {
 	is := is.New(t)
-	g := guide.New(policy{10 * time.Millisecond})
+	g := advice.New(policy{10 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = g.Run(ctx) }()
-	got := make(chan guide.Result, 1)
-	g.Ask(board.Ask{Cost: 10 * time.Millisecond}, func(r guide.Result) { got <- r })
+	got := make(chan advice.Result, 1)
+	g.Request(fleet.AdviceRequest{Cost: 10 * time.Millisecond}, func(r advice.Result) { got <- r })
 	r := <-got
 	is.NoErr(r.Err)
-	is.True(r.Left(r.At.Add(400*time.Millisecond)) == 600*time.Millisecond)
-	is.True(r.Left(r.At.Add(2*time.Second)) < 0)
+	is.True(r.TicketsLeft(r.At.Add(400*time.Millisecond)) == 600*time.Millisecond)
+	is.True(r.TicketsLeft(r.At.Add(2*time.Second)) < 0)
 }
 
 // TestFull asks for more than can wait: the call fails at once.
 func TestFull(t *testing.T) {
 	is := is.New(t)
-	g := guide.New(policy{})
+	g := advice.New(policy{})
 	failed := 0
 	for range 100 {
-		g.Ask(board.Ask{}, func(r guide.Result) {
+		g.Request(fleet.AdviceRequest{}, func(r advice.Result) {
 			if r.Err != nil {
 				failed++
 			}
@@ -59,13 +59,13 @@
 // TestDelay has calls under way and waiting: a further one would wait for both.
 func TestDelay(t *testing.T) {
 	is := is.New(t)
-	g := guide.New(policy{time.Second})
+	g := advice.New(policy{time.Second})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	is.Equal(g.Delay(), time.Duration(0))
-	done := make(chan guide.Result, 2)
+	done := make(chan advice.Result, 2)
 	for range 2 {
-		g.Ask(board.Ask{Cost: time.Second}, func(r guide.Result) { done <- r })
+		g.Request(fleet.AdviceRequest{Cost: time.Second}, func(r advice.Result) { done <- r })
 	}
 	is.Equal(g.Delay(), 2*time.Second)
 	go func() { _ = g.Run(ctx) }()
--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -69,7 +69,7 @@
 	log    *logrus.Entry
 	name   core.SessionID
 	Member *member.Member
-	Conf   *conf.Book
+	Conf   *conf.Config
 	books  []*shelf
 	vms    []core.VM
 	listed bool
@@ -85,7 +85,7 @@
 
 // shelf is one book of divided limits with the rows that it follows.
 type shelf struct {
-	book     *ledger.Book
+	book     *ledger.Ledger
 	prefixes []string
 	busy     bool
 	next     time.Time
@@ -99,13 +99,13 @@
 	}
 }
 
-// AddBook has the agent follow a book's rows below some prefixes.
-func (a *Agent) AddBook(b *ledger.Book, prefixes ...string) {
+// AddLedger has the agent follow a book's rows below some prefixes.
+func (a *Agent) AddLedger(b *ledger.Ledger, prefixes ...string) {
 	a.books = append(a.books, &shelf{book: b, prefixes: prefixes})
 }
 
-// DropBook ends the following of a book.
-func (a *Agent) DropBook(b *ledger.Book) {
+// RemoveLedger ends the following of a book.
+func (a *Agent) RemoveLedger(b *ledger.Ledger) {
 	for i, s := range a.books {
 		if s.book == b {
 			a.books = append(a.books[:i:i], a.books[i+1:]...)
@@ -145,8 +145,8 @@
 	}
 }
 
-// Refused logs the events that a chart has refused.
-func (a *Agent) Refused(errs []error) {
+// LogRefusals logs the events that a chart has refused.
+func (a *Agent) LogRefusals(errs []error) {
 	for _, err := range errs {
 		a.log.WithError(err).Warn("event refused")
 	}
@@ -192,13 +192,13 @@
 	return true
 }
 
-// Wake does what is due and returns when to be called next.
-func (a *Agent) Wake(now time.Time) time.Time {
+// Tick does what is due and returns when to be called next.
+func (a *Agent) Tick(now time.Time) time.Time {
 	for _, act := range a.Member.Plan(now) {
 		a.act(act)
 	}
-	a.Refused(a.Member.Refusals())
-	if a.Member.Gone() {
+	a.LogRefusals(a.Member.Refusals())
+	if a.Member.HasLeft() {
 		return now.Add(time.Second)
 	}
 	a.follow(now)
@@ -234,7 +234,7 @@
 // Dump returns the agent's state.
 func (a *Agent) Dump() Dump {
 	d := Dump{
-		Session: string(a.Member.Self().ID), State: a.Member.State(), Stored: a.Member.Stored(),
+		Session: string(a.Member.Self().ID), State: a.Member.State(), Stored: a.Member.StoreReachedAt(),
 		Config: a.Conf.Version(), Confirmed: a.Conf.Confirmed(), Peers: a.Member.Peers(),
 		Owners: map[string]core.SessionID{}, VMs: len(a.vms),
 	}
@@ -244,7 +244,7 @@
 	for _, s := range a.books {
 		b := s.book
 		for _, name := range b.Names() {
-			d.Limits = append(d.Limits, Part{b.Holder(), name, b.Held(name), b.Used(name), b.Free(name), b.Total(name)})
+			d.Limits = append(d.Limits, Part{b.Holder(), name, b.Held(name), b.Used(name), b.Available(name), b.Total(name)})
 		}
 	}
 	return d
--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -255,11 +255,11 @@
 	return loop.Ask(ctx, a.loop, func(c chan<- View) loop.Message { return viewAsked{c} })
 }
 
-// Viewed answers a View question and reports whether m was one.
-func (a *Agent) Viewed(now time.Time, m loop.Message) bool {
+// HandleView answers a View question and reports whether m was one.
+func (a *Agent) HandleView(now time.Time, m loop.Message) bool {
 	q, ok := m.(viewAsked)
 	if ok {
-		q.reply <- View{a.Conf.Version(), a.Conf.Rules(), a.Conf.Keys(), a.object, a.Member.Lowest(now)}
+		q.reply <- View{a.Conf.Version(), a.Conf.Rules(), a.Conf.Keys(), a.object, a.Member.LowestConfig(now)}
 	}
 	return ok
 }
@@ -342,7 +342,7 @@
 			v++
 		default:
 			if written, rerr := a.settle(ctx, v, c.Nonce); rerr != nil {
-				return 0, core.Unknown(core.CodeStore, err, "the change may or may not have been accepted as version %d", v)
+				return 0, core.RefuseUnknown(core.CodeStore, err, "the change may or may not have been accepted as version %d", v)
 			} else if written {
 				return v, nil
 			}
--- a/io/agent/limits.go
+++ b/io/agent/limits.go
@@ -93,7 +93,7 @@
 
 // readBook reads a book's rows; the changes that it plans follow the reading.
 func (a *Agent) readBook(now time.Time, s *shelf) {
-	hurry := now.After(s.read.Add(starvedEvery)) && s.book.Starved()
+	hurry := now.After(s.read.Add(starvedEvery)) && s.book.NeedsMore()
 	if s.busy || (now.Before(s.next) && !hurry) {
 		return
 	}
@@ -126,10 +126,10 @@
 		var row ledger.Row
 		if err := json.Unmarshal(r.Val, &row); err != nil {
 			a.warn("parsing the limit "+name, &store.FormatError{Key: r.Key, Err: err})
-			s.book.Broken(name)
+			s.book.MarkMalformed(name)
 			continue
 		}
-		s.book.Seen(name, r.Version, row)
+		s.book.Observe(name, r.Version, row)
 	}
 	a.host.BookRead(now)
 	a.writeBook(s)
--- a/io/agent/session.go
+++ b/io/agent/session.go
@@ -271,9 +271,9 @@
 	return held{act.Peer.ID, act.Round, answer}
 }
 
-// Hold answers a peer that cannot renew its session; it is called by traffic
+// RenewOrPromise answers a peer that cannot renew its session; it is called by traffic
 // goroutines.
-func (a *Agent) Hold(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
+func (a *Agent) RenewOrPromise(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
 	return loop.Ask(ctx, a.loop, func(c chan<- member.Answer) loop.Message { return holdAsked{row, version, resign, c} })
 }
 
@@ -320,12 +320,12 @@
 	}
 }
 
-// Release writes the row that hands a cell over.
-func (a *Agent) Release(now time.Time, c member.Claim) { a.act(a.Member.Release(now, c)) }
+// ReleaseCell writes the row that hands a cell over.
+func (a *Agent) ReleaseCell(now time.Time, c member.Claim) { a.act(a.Member.Release(now, c)) }
 
-// Depart deletes the own session row and closes done, which ends a planned
+// DeleteSession deletes the own session row and closes done, which ends a planned
 // stop.
-func (a *Agent) Depart(done chan<- struct{}) {
+func (a *Agent) DeleteSession(done chan<- struct{}) {
 	key := sessionKey(a.Member.Self().ID)
 	a.loop.Go(func(ctx context.Context) loop.Message {
 		if _, err := a.store.Write(ctx, store.Txn{Dels: []string{key}}); err != nil {
@@ -334,5 +334,5 @@
 		close(done)
 		return nil
 	})
-	a.Member.Left()
+	a.Member.EndSession()
 }
--- a/io/check/check.go
+++ b/io/check/check.go
@@ -8,18 +8,18 @@
 	"time"
 
 	"chicoryturn/core"
-	"chicoryturn/io/stand"
+	"chicoryturn/io/fakes"
 )
 
-// Fault is one broken invariant.
-type Fault struct {
+// Violation is one broken invariant.
+type Violation struct {
 	Invariant string
 	What      string
 	At        time.Time
 }
 
 // String returns the fault as one line.
-func (f Fault) String() string {
+func (f Violation) String() string {
 	return fmt.Sprintf("%s: %s at %s", f.Invariant, f.What, f.At.Format("15:04:05.000000"))
 }
 
@@ -35,12 +35,12 @@
 
 // Log is all task events of a run in order of time.
 type Log struct {
-	events []stand.Record
+	events []fakes.TaskRecord
 	rooms  map[string]core.Resources
 }
 
 // NewLog merges the records of all workers.
-func NewLog(workers []stand.WorkerRecord) *Log {
+func NewLog(workers []fakes.WorkerRecord) *Log {
 	l := &Log{rooms: map[string]core.Resources{}}
 	for _, w := range workers {
 		for _, r := range w.Records {
@@ -60,11 +60,11 @@
 }
 
 // Events returns the events in order of time.
-func (l *Log) Events() []stand.Record { return l.events }
+func (l *Log) Events() []fakes.TaskRecord { return l.events }
 
-// Faults replays the run. Limits are in thousandths of a core.
-func (l *Log) Faults(limits map[core.Team]int64) []Fault {
-	var out []Fault
+// Violations replays the run. Limits are in thousandths of a core.
+func (l *Log) Violations(limits map[core.Team]int64) []Violation {
+	var out []Violation
 	used := map[string]core.Resources{}
 	where := map[string]string{}
 	team := map[string]int64{}
@@ -79,16 +79,16 @@
 			continue
 		}
 		if other, ok := where[e.Task]; ok {
-			out = append(out, Fault{Twice, fmt.Sprintf("task %s on %s and %s", e.Task, other, e.Worker), e.At})
+			out = append(out, Violation{Twice, fmt.Sprintf("task %s on %s and %s", e.Task, other, e.Worker), e.At})
 		}
 		where[e.Task] = e.Worker
 		used[e.Worker] = used[e.Worker].Add(need)
 		if !used[e.Worker].Fits(l.rooms[e.Worker]) {
-			out = append(out, Fault{Room, fmt.Sprintf("%s holds %+v of %+v", e.Worker, used[e.Worker], l.rooms[e.Worker]), e.At})
+			out = append(out, Violation{Room, fmt.Sprintf("%s holds %+v of %+v", e.Worker, used[e.Worker], l.rooms[e.Worker]), e.At})
 		}
 		team[e.Team] += need.Cores
 		if most, ok := limits[core.Team(e.Team)]; ok && team[e.Team] > most {
-			out = append(out, Fault{Limit, fmt.Sprintf("team %s runs %d of %d", e.Team, team[e.Team], most), e.At})
+			out = append(out, Violation{Limit, fmt.Sprintf("team %s runs %d of %d", e.Team, team[e.Team], most), e.At})
 		}
 	}
 	return out
@@ -120,8 +120,8 @@
 // thousandths of a core and seconds.
 func (l *Log) Use(from, to time.Time) map[core.Team]core.Resources {
 	out := map[core.Team]core.Resources{}
-	began := map[string]stand.Record{}
-	add := func(e stand.Record, end time.Time) {
+	began := map[string]fakes.TaskRecord{}
+	add := func(e fakes.TaskRecord, end time.Time) {
 		a, b := e.At, end
 		if a.Before(from) {
 			a = from
@@ -153,7 +153,7 @@
 
 // Calls returns the instants at which a team had more requests running than
 // its limit.
-func Calls(targets []stand.TargetRecord, limits map[core.Team]int64) []Fault {
+func Calls(targets []fakes.TargetRecord, limits map[core.Team]int64) []Violation {
 	type edge struct {
 		at   time.Time
 		team string
@@ -174,12 +174,12 @@
 		}
 		return edges[i].add < edges[j].add
 	})
-	var out []Fault
+	var out []Violation
 	running := map[string]int64{}
 	for _, e := range edges {
 		running[e.team] += e.add
 		if most, ok := limits[core.Team(e.team)]; ok && e.add > 0 && running[e.team] > most {
-			out = append(out, Fault{Limit, fmt.Sprintf("team %s has %d requests of %d", e.team, running[e.team], most), e.at})
+			out = append(out, Violation{Limit, fmt.Sprintf("team %s has %d requests of %d", e.team, running[e.team], most), e.at})
 		}
 	}
 	return out
@@ -188,16 +188,16 @@
 // Targets returns the faults that targets have recorded: more requests at once
 // than slots, and requests seen more often than once. Once holds the names of
 // the requests that must not be repeated.
-func Targets(targets []stand.TargetRecord, once core.Set[string]) []Fault {
-	var out []Fault
-	seen := map[string]stand.Hit{}
+func Targets(targets []fakes.TargetRecord, once core.Set[string]) []Violation {
+	var out []Violation
+	seen := map[string]fakes.Hit{}
 	for _, t := range targets {
 		if t.Overfull > 0 {
-			out = append(out, Fault{Slots, fmt.Sprintf("%d requests at once on %d slots", t.Most, t.Slots), time.Time{}})
+			out = append(out, Violation{Slots, fmt.Sprintf("%d requests at once on %d slots", t.Most, t.Slots), time.Time{}})
 		}
 		for _, h := range t.Hits {
 			if first, ok := seen[h.ID]; ok && once.Has(h.ID) {
-				out = append(out, Fault{Repeat, fmt.Sprintf("request %s on %s and %s", h.ID, first.Target, h.Target), h.Began})
+				out = append(out, Violation{Repeat, fmt.Sprintf("request %s on %s and %s", h.ID, first.Target, h.Target), h.Began})
 			}
 			seen[h.ID] = h
 		}
--- a/io/check/check_test.go
+++ b/io/check/check_test.go
@@ -8,42 +8,42 @@
 
 	"chicoryturn/core"
 	"chicoryturn/io/check"
-	"chicoryturn/io/stand"
+	"chicoryturn/io/fakes"
 	"chicoryturn/io/work"
 )
 
 var zero = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
 
-func record(worker, task, team, event string, cores int64, at int) stand.Record {
-	return stand.Record{Worker: worker, Task: task, Team: team, Need: work.Room{Cores: cores}, Event: event, At: zero.Add(time.Duration(at) * time.Second)}
+func record(worker, task, team, event string, cores int64, at int) fakes.TaskRecord {
+	return fakes.TaskRecord{Worker: worker, Task: task, Team: team, Need: work.Room{Cores: cores}, Event: event, At: zero.Add(time.Duration(at) * time.Second)}
 }
 
 // TestFaults shows that the checker finds each broken invariant, so that a
 // proof without faults means something.
 func TestFaults(t *testing.T) {
 	tests := map[string]struct {
-		records []stand.Record
+		records []fakes.TaskRecord
 		want    string
 	}{
-		"clean": {[]stand.Record{
+		"clean": {[]fakes.TaskRecord{
 			record("w1", "j.0", "a", "start", 4000, 0), record("w1", "j.0", "a", "stopped", 4000, 1),
 			record("w2", "j.0", "a", "start", 4000, 1), record("w2", "j.0", "a", "done", 4000, 2),
 		}, ""},
-		"twice": {[]stand.Record{
+		"twice": {[]fakes.TaskRecord{
 			record("w1", "j.0", "a", "start", 1000, 0), record("w2", "j.0", "a", "start", 1000, 1),
 		}, check.Twice},
-		"overfull": {[]stand.Record{
+		"overfull": {[]fakes.TaskRecord{
 			record("w1", "j.0", "a", "start", 5000, 0), record("w1", "j.1", "a", "start", 4000, 1),
 		}, check.Room},
-		"over the limit": {[]stand.Record{
+		"over the limit": {[]fakes.TaskRecord{
 			record("w1", "j.0", "b", "start", 3000, 0), record("w2", "j.1", "b", "start", 3000, 1),
 		}, check.Limit},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := check.NewLog([]stand.WorkerRecord{{Room: work.Room{Cores: 8000}, Records: tt.records}})
-			faults := l.Faults(map[core.Team]int64{"b": 5000})
+			l := check.NewLog([]fakes.WorkerRecord{{Room: work.Room{Cores: 8000}, Records: tt.records}})
+			faults := l.Violations(map[core.Team]int64{"b": 5000})
 			if tt.want == "" {
 				is.Equal(len(faults), 0)
 				return
@@ -56,9 +56,9 @@
 
 func TestTargets(t *testing.T) {
 	is := is.New(t)
-	records := []stand.TargetRecord{
-		{Slots: 8, Most: 9, Overfull: 1, Hits: []stand.Hit{{Target: "t1", ID: "r1"}}},
-		{Slots: 8, Most: 1, Hits: []stand.Hit{{Target: "t2", ID: "r1"}, {Target: "t2", ID: "r2"}, {Target: "t2", ID: "r2"}}},
+	records := []fakes.TargetRecord{
+		{Slots: 8, Most: 9, Overfull: 1, Hits: []fakes.Hit{{Target: "t1", ID: "r1"}}},
+		{Slots: 8, Most: 1, Hits: []fakes.Hit{{Target: "t2", ID: "r1"}, {Target: "t2", ID: "r2"}, {Target: "t2", ID: "r2"}}},
 	}
 	faults := check.Targets(records, core.NewSet("r1"))
 	is.Equal(len(faults), 2)
--- a/io/clock/clock.go
+++ b/io/clock/clock.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Counting returns the time since the VM started, suspensions included.
-func Counting() time.Duration { return read(unix.CLOCK_BOOTTIME) }
+// BootTime returns the time since the VM started, suspensions included.
+func BootTime() time.Duration { return read(unix.CLOCK_BOOTTIME) }
 
-// Steady returns the time since the VM started without suspensions.
-func Steady() time.Duration { return read(unix.CLOCK_MONOTONIC) }
+// Monotonic returns the time since the VM started without suspensions.
+func Monotonic() time.Duration { return read(unix.CLOCK_MONOTONIC) }
 
 func read(id int32) time.Duration {
 	var ts unix.Timespec
@@ -25,9 +25,9 @@
 	return time.Duration(ts.Nano())
 }
 
-// Wait waits for a while, or until the context ends; it reports whether the
+// Sleep waits for a while, or until the context ends; it reports whether the
 // context goes on.
-func Wait(ctx context.Context, d time.Duration) bool {
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/io/demo/caller.go
+++ b/io/demo/caller.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"chicoryturn/core"
-	"chicoryturn/io/door"
 	"chicoryturn/io/gate"
+	"chicoryturn/io/httpx"
 )
 
 const (
@@ -49,7 +49,7 @@
 	Team   core.Team
 	ID     string
 	Status int
-	Run    core.Run
+	Run    core.Execution
 	Code   core.Code
 	Body   string
 	// Took is the time from sending to the whole answer, Work the part of it
@@ -82,9 +82,9 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	r.Took = time.Since(began)
-	r.Status, r.Run, r.Body, r.Err = resp.StatusCode, core.Run(resp.Header.Get(door.RunHeader)), string(body), err
+	r.Status, r.Run, r.Body, r.Err = resp.StatusCode, core.Execution(resp.Header.Get(httpx.RunHeader)), string(body), err
 	if resp.StatusCode >= http.StatusBadRequest {
-		var refusal door.Refusal
+		var refusal httpx.Refusal
 		_ = json.Unmarshal(body, &refusal)
 		r.Code = core.Code(refusal.Code)
 	}
@@ -110,9 +110,9 @@
 		return fmt.Errorf("reading the answer of %s: %w", at, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		var r door.Refusal
+		var r httpx.Refusal
 		_ = json.Unmarshal(text, &r)
-		return &core.RefusalError{Code: core.Code(r.Code), Run: core.Run(r.Run), Reason: r.Reason + strings.Join(r.Lines, "; ")}
+		return &core.RefusalError{Code: core.Code(r.Code), Execution: core.Execution(r.Run), Reason: r.Reason + strings.Join(r.Lines, "; ")}
 	}
 	if out == nil {
 		return nil
--- a/io/demo/demo.go
+++ b/io/demo/demo.go
@@ -15,11 +15,11 @@
 	"chicoryturn/core"
 	"chicoryturn/core/rules"
 	"chicoryturn/io/check"
-	"chicoryturn/io/door"
+	"chicoryturn/io/deploy"
+	"chicoryturn/io/fakes"
 	"chicoryturn/io/gate"
+	"chicoryturn/io/httpx"
 	"chicoryturn/io/parse"
-	"chicoryturn/io/site"
-	"chicoryturn/io/stand"
 )
 
 const (
@@ -40,7 +40,7 @@
 func (e *TimeoutError) Error() string { return fmt.Sprintf("timed out: %s (last: %v)", e.What, e.Last) }
 
 // BrokenError reports invariants that did not hold.
-type BrokenError struct{ Faults []check.Fault }
+type BrokenError struct{ Faults []check.Violation }
 
 // Error implements error.
 func (e *BrokenError) Error() string {
@@ -66,26 +66,26 @@
 	}
 }
 
-// Load is the work that a run offers.
-type Load struct {
-	// For is how long work is offered.
-	For time.Duration
+// Workload is the work that a run offers.
+type Workload struct {
+	// Duration is how long work is offered.
+	Duration time.Duration
 	// Calls offers requests, Jobs jobs.
-	Calls []CallLoad
-	Jobs  []JobLoad
+	Calls []RequestStream
+	Jobs  []JobStream
 	Seed  uint64
 }
 
-// CallLoad is a stream of requests.
-type CallLoad struct {
+// RequestStream is a stream of requests.
+type RequestStream struct {
 	Queue core.Queue
 	Team  core.Team
 	// Every is the time between two requests; Work is how long one takes.
 	Every, Work time.Duration
 }
 
-// JobLoad is a stream of jobs of equal tasks.
-type JobLoad struct {
+// JobStream is a stream of jobs of equal tasks.
+type JobStream struct {
 	Queue core.Queue
 	Team  core.Team
 	Every time.Duration
@@ -95,28 +95,28 @@
 	Memory int64
 	// Run is how long a task runs; Off is by what factor the declared time may
 	// differ from it.
-	Run time.Duration
-	Off float64
+	Run           time.Duration
+	EstimateError float64
 }
 
 // submittedJob is a job that was accepted.
 type submittedJob struct {
 	id    string
-	load  JobLoad
+	load  JobStream
 	at    time.Time
 	tasks int
 }
 
 // Fleet is a running deployment.
 type Fleet interface {
-	WorkerRecords() []stand.WorkerRecord
-	TargetRecords() []stand.TargetRecord
+	WorkerRecords() []fakes.WorkerRecord
+	TargetRecords() []fakes.TargetRecord
 }
 
 // Run is one run of a load on a deployment.
 type Run struct {
 	fleet   Fleet
-	doors   site.Doors
+	doors   deploy.Addresses
 	total   core.Resources
 	client  *http.Client
 	callers map[core.Team]*Caller
@@ -130,7 +130,7 @@
 }
 
 // Open waits for a deployment, pushes its rules and grants a key to each team.
-func Open(ctx context.Context, f Fleet, doors site.Doors, p site.Plan) (*Run, error) {
+func Open(ctx context.Context, f Fleet, doors deploy.Addresses, p deploy.Plan) (*Run, error) {
 	r := &Run{
 		fleet: f, doors: doors, total: p.Total(), client: NewClient(),
 		callers: map[core.Team]*Caller{}, refused: map[core.Queue]int{},
@@ -148,7 +148,7 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for team := range set.Teams {
-		var granted door.Pushed
+		var granted httpx.Pushed
 		err := Until(ctx, startWait, "a key is granted", func(ctx context.Context) error {
 			return send(ctx, r.client, http.MethodPost, doors.Ops[0], "/keys?team="+string(team), "", nil, &granted)
 		})
@@ -163,8 +163,8 @@
 // Caller returns the callers of a team.
 func (r *Run) Caller(t core.Team) *Caller { return r.callers[t] }
 
-// Keep adds a request that was sent outside of a load to the run's checks.
-func (r *Run) Keep(res Result) {
+// AddResult adds a request that was sent outside of a load to the run's checks.
+func (r *Run) AddResult(res Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, res)
@@ -174,7 +174,7 @@
 func (r *Run) await(ctx context.Context) error {
 	for _, at := range append(append([]netip.AddrPort{}, r.doors.Ops...), r.doors.Scheds...) {
 		err := Until(ctx, startWait, "every process is ready", func(ctx context.Context) error {
-			var c door.Config
+			var c httpx.Config
 			if err := send(ctx, r.client, http.MethodGet, at, "/config", "", nil, &c); err != nil {
 				return err
 			}
@@ -190,23 +190,23 @@
 	return nil
 }
 
-// Drive offers a load and waits until all of its work has ended.
-func (r *Run) Drive(ctx context.Context, l Load) error {
-	if err := r.Offer(ctx, l); err != nil {
+// RunWorkload offers a load and waits until all of its work has ended.
+func (r *Run) RunWorkload(ctx context.Context, l Workload) error {
+	if err := r.Submit(ctx, l); err != nil {
 		return err
 	}
-	return r.Settle(ctx)
+	return r.WaitJobs(ctx)
 }
 
-// Offer offers a load and waits until all of its requests are answered.
-func (r *Run) Offer(ctx context.Context, l Load) error {
+// Submit offers a load and waits until all of its requests are answered.
+func (r *Run) Submit(ctx context.Context, l Workload) error {
 	r.began = time.Now()
 	group, gctx := errgroup.WithContext(ctx)
 	for i, c := range l.Calls {
-		group.Go(func() error { r.stream(gctx, c, l.For, rand.New(rand.NewPCG(l.Seed, uint64(i)))); return nil })
+		group.Go(func() error { r.stream(gctx, c, l.Duration, rand.New(rand.NewPCG(l.Seed, uint64(i)))); return nil })
 	}
 	for i, j := range l.Jobs {
-		group.Go(func() error { return r.submits(gctx, j, l.For, rand.New(rand.NewPCG(l.Seed, uint64(1000+i)))) })
+		group.Go(func() error { return r.submits(gctx, j, l.Duration, rand.New(rand.NewPCG(l.Seed, uint64(1000+i)))) })
 	}
 	err := group.Wait()
 	r.ended = time.Now()
@@ -214,7 +214,7 @@
 }
 
 // stream sends requests at a steady rate, each on a goroutine of its own.
-func (r *Run) stream(ctx context.Context, l CallLoad, most time.Duration, rng *rand.Rand) {
+func (r *Run) stream(ctx context.Context, l RequestStream, most time.Duration, rng *rand.Rand) {
 	tick := time.NewTicker(l.Every)
 	defer tick.Stop()
 	group, ctx := errgroup.WithContext(ctx)
@@ -224,7 +224,7 @@
 		work := time.Duration((0.5 + rng.Float64()) * float64(l.Work))
 		id := fmt.Sprintf("%s-%s-%d", l.Queue, l.Team, n)
 		group.Go(func() error {
-			r.Keep(c.Call(ctx, at, l.Queue, id, work, nil))
+			r.AddResult(c.Call(ctx, at, l.Queue, id, work, nil))
 			return nil
 		})
 		select {
@@ -236,7 +236,7 @@
 	_ = group.Wait()
 }
 
-func (r *Run) submits(ctx context.Context, l JobLoad, most time.Duration, rng *rand.Rand) error {
+func (r *Run) submits(ctx context.Context, l JobStream, most time.Duration, rng *rand.Rand) error {
 	tick := time.NewTicker(l.Every)
 	defer tick.Stop()
 	for time.Since(r.began) < most {
@@ -253,10 +253,10 @@
 	return nil
 }
 
-func (r *Run) submit(ctx context.Context, at netip.AddrPort, l JobLoad, rng *rand.Rand) error {
+func (r *Run) submit(ctx context.Context, at netip.AddrPort, l JobStream, rng *rand.Rand) error {
 	off := 1.0
-	if l.Off > 1 {
-		off = 1 / l.Off * pow(l.Off*l.Off, rng.Float64())
+	if l.EstimateError > 1 {
+		off = 1 / l.EstimateError * pow(l.EstimateError*l.EstimateError, rng.Float64())
 	}
 	run := time.Duration((0.5 + rng.Float64()) * float64(l.Run))
 	job := gate.JobRequest{Queue: string(l.Queue), Tasks: []gate.TaskRequest{{
@@ -275,8 +275,8 @@
 	return nil
 }
 
-// Settle waits until every accepted job has ended.
-func (r *Run) Settle(ctx context.Context) error {
+// WaitJobs waits until every accepted job has ended.
+func (r *Run) WaitJobs(ctx context.Context) error {
 	for _, j := range r.jobs {
 		if r.set.Queues[j.load.Queue].Kind == rules.Daemon {
 			continue
@@ -299,14 +299,14 @@
 	return nil
 }
 
-// Faults returns every broken invariant of the run.
-func (r *Run) Faults() []check.Fault {
+// Violations returns every broken invariant of the run.
+func (r *Run) Violations() []check.Violation {
 	limits, calls := map[core.Team]int64{}, map[core.Team]int64{}
 	for name, t := range r.set.Teams {
 		limits[name], calls[name] = t.Cores, t.Slots
 	}
 	log := check.NewLog(r.fleet.WorkerRecords())
-	faults := log.Faults(limits)
+	faults := log.Violations(limits)
 	once := core.NewSet[string]()
 	for _, res := range r.results {
 		if !r.set.Queues[res.Queue].Repeat {
@@ -321,7 +321,7 @@
 		for i := range j.tasks {
 			id := core.TaskID{Job: core.JobID(j.id), Index: i}.String()
 			if !done.Has(id) && r.set.Queues[j.load.Queue].Kind != rules.Daemon {
-				faults = append(faults, check.Fault{Invariant: check.Lost, What: "task " + id, At: j.at})
+				faults = append(faults, check.Violation{Invariant: check.Lost, What: "task " + id, At: j.at})
 			}
 		}
 	}
@@ -329,24 +329,24 @@
 }
 
 // Show runs the demonstration of one deployment and prints its tables.
-func Show(ctx context.Context, out io.Writer, p site.Plan, l Load) error {
+func Show(ctx context.Context, out io.Writer, p deploy.Plan, l Workload) error {
 	fmt.Fprintf(out, "%s: starting %d gates, %d scheds, %d workers, %d targets\n", p.Name,
 		p.Gates*len(p.Regions), p.Scheds*len(p.Regions), p.Workers, p.Targets)
-	s, err := site.Start(ctx, p)
+	s, err := deploy.Start(ctx, p)
 	if err != nil {
 		return err
 	}
-	r, err := Open(ctx, s, s.Doors, p)
+	r, err := Open(ctx, s, s.Addresses, p)
 	if err == nil {
-		fmt.Fprintf(out, "%s: rules and keys are in force; offering work for %s\n", p.Name, l.For)
-		err = r.Drive(ctx, l)
+		fmt.Fprintf(out, "%s: rules and keys are in force; offering work for %s\n", p.Name, l.Duration)
+		err = r.RunWorkload(ctx, l)
 	}
 	if err != nil {
 		_ = s.Stop()
 		return err
 	}
 	r.Report(out)
-	faults := r.Faults()
+	faults := r.Violations()
 	if err := s.Stop(); err != nil {
 		return err
 	}
--- a/io/site/site.go
+++ b/io/deploy/deployment.go
@@ -1,6 +1,6 @@
-// Package site describes the users' deployments and starts them in one
+// Package deploy describes the users' deployments and starts them in one
 // process on loopback: gates, scheds and the stand-ins around them.
-package site
+package deploy
 
 import (
 	"context"
@@ -17,10 +17,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"chicoryturn/core"
+	"chicoryturn/io/fakes"
 	"chicoryturn/io/parse"
 	"chicoryturn/io/proc"
 	"chicoryturn/io/sched"
-	"chicoryturn/io/stand"
 	"chicoryturn/io/store"
 	"chicoryturn/io/work"
 )
@@ -77,20 +77,20 @@
 	return core.Resources{Cores: p.Room.Cores * n, Memory: p.Room.Memory * n, Accel: p.Room.Accel * n}
 }
 
-// Doors are the addresses of a deployment's processes.
-type Doors struct {
+// Addresses are the addresses of a deployment's processes.
+type Addresses struct {
 	// Callers and Ops are those of the gates, Scheds the operators' addresses
 	// of the scheds.
 	Callers, Ops, Scheds []netip.AddrPort
 }
 
-// Site is a running deployment.
-type Site struct {
+// Deployment is a running deployment.
+type Deployment struct {
 	Plan       Plan
-	Platform   *stand.Platform
-	Workers    []*stand.Worker
-	Targets    []*stand.Target
-	Doors      Doors
+	Platform   *fakes.Platform
+	Workers    []*fakes.Worker
+	Targets    []*fakes.Target
+	Addresses  Addresses
 	VMs        []store.VM
 	group      *errgroup.Group
 	cancel     func()
@@ -102,10 +102,10 @@
 const zonesPerRegion = 2
 
 // Start starts a deployment on loopback.
-func Start(ctx context.Context, p Plan) (*Site, error) {
+func Start(ctx context.Context, p Plan) (*Deployment, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	s := &Site{Plan: p, group: group, cancel: cancel, Platform: stand.NewPlatform(ctx)}
+	s := &Deployment{Plan: p, group: group, cancel: cancel, Platform: fakes.NewPlatform(ctx)}
 	if err := s.start(ctx); err != nil {
 		cancel()
 		return nil, fmt.Errorf("starting %s: %w", p.Name, err)
@@ -113,7 +113,7 @@
 	return s, nil
 }
 
-func (s *Site) start(ctx context.Context) error {
+func (s *Deployment) start(ctx context.Context) error {
 	l, addr, err := listen()
 	if err != nil {
 		return err
@@ -221,21 +221,21 @@
 	}
 }
 
-func (s *Site) region(i int) (region, zone string) {
+func (s *Deployment) region(i int) (region, zone string) {
 	region = s.Plan.Regions[i%len(s.Plan.Regions)]
 	return region, fmt.Sprintf("%s-%c", region, 'a'+(i/len(s.Plan.Regions))%zonesPerRegion)
 }
 
 const perRack = 8
 
-func (s *Site) addWorker(ctx context.Context, i int) error {
+func (s *Deployment) addWorker(ctx context.Context, i int) error {
 	l, addr, err := listen()
 	if err != nil {
 		return err
 	}
 	region, zone := s.region(i)
 	name := fmt.Sprintf("worker%d", i)
-	w := stand.NewWorker(ctx, name, s.Plan.Room)
+	w := fakes.NewWorker(ctx, name, s.Plan.Room)
 	s.group.Go(w.Run)
 	proc.Serve(ctx, s.group, l, w.Handler())
 	s.Workers = append(s.Workers, w)
@@ -246,14 +246,14 @@
 	return nil
 }
 
-func (s *Site) addTarget(ctx context.Context, i int) error {
+func (s *Deployment) addTarget(ctx context.Context, i int) error {
 	l, addr, err := listen()
 	if err != nil {
 		return err
 	}
 	region, zone := s.region(i)
 	name := fmt.Sprintf("target%d", i)
-	t := stand.NewTarget(ctx, name, s.Plan.Slots)
+	t := fakes.NewTarget(ctx, name, s.Plan.Slots)
 	s.group.Go(t.Run)
 	proc.Serve(ctx, s.group, l, t.Handler())
 	s.Targets = append(s.Targets, t)
@@ -264,7 +264,7 @@
 	return nil
 }
 
-func (s *Site) addProcess(ctx context.Context, region string, role core.Role) error {
+func (s *Deployment) addProcess(ctx context.Context, region string, role core.Role) error {
 	addrs := make([]netip.AddrPort, 3)
 	for i := range addrs {
 		var err error
@@ -281,25 +281,25 @@
 	}
 	s.VMs = append(s.VMs, store.VM{Name: set.VM, Kind: "entry", Addr: set.Peers.String(), Region: region, Zone: string(set.Zone)})
 	if role == core.RoleSched {
-		s.Doors.Scheds = append(s.Doors.Scheds, set.Ops)
+		s.Addresses.Scheds = append(s.Addresses.Scheds, set.Ops)
 		s.group.Go(func() error { return proc.Sched(ctx, set, nil, s.Plan.Options...) })
 		return nil
 	}
-	s.Doors.Callers = append(s.Doors.Callers, set.Callers)
-	s.Doors.Ops = append(s.Doors.Ops, set.Ops)
+	s.Addresses.Callers = append(s.Addresses.Callers, set.Callers)
+	s.Addresses.Ops = append(s.Addresses.Ops, set.Ops)
 	s.group.Go(func() error { return proc.Gate(ctx, set, nil) })
 	return nil
 }
 
 // Stop ends the deployment.
-func (s *Site) Stop() error {
+func (s *Deployment) Stop() error {
 	s.cancel()
 	return s.group.Wait()
 }
 
 // WorkerRecords returns what all workers have recorded.
-func (s *Site) WorkerRecords() []stand.WorkerRecord {
-	var out []stand.WorkerRecord
+func (s *Deployment) WorkerRecords() []fakes.WorkerRecord {
+	var out []fakes.WorkerRecord
 	for _, w := range s.Workers {
 		out = append(out, w.Record())
 	}
@@ -307,8 +307,8 @@
 }
 
 // TargetRecords returns what all targets have recorded.
-func (s *Site) TargetRecords() []stand.TargetRecord {
-	var out []stand.TargetRecord
+func (s *Deployment) TargetRecords() []fakes.TargetRecord {
+	var out []fakes.TargetRecord
 	for _, t := range s.Targets {
 		out = append(out, t.Record())
 	}
--- a/io/entry/early_test.go
+++ b/io/entry/early_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 	"chicoryturn/core/policy"
 )
@@ -25,11 +25,11 @@
 		Name: "q", Host: "h", Prefix: "/", Service: "s",
 		Advice: core.Some(policy.Advice{Base: 10 * time.Millisecond, PerWorker: 500 * time.Microsecond, Valid: time.Second}),
 	}}, nil, []policy.Service{{Name: "s"}}, 0))
-	var hosts []board.Host
+	var hosts []fleet.WorkerInfo
 	for i := range 350 {
-		hosts = append(hosts, board.Host{VM: core.VM{Name: fmt.Sprintf("w%03d", i), Service: "s", Room: core.Resources{Cores: 64000}}})
+		hosts = append(hosts, fleet.WorkerInfo{VM: core.VM{Name: fmt.Sprintf("w%03d", i), Service: "s", Room: core.Resources{Cores: 64000}}})
 	}
-	e.SetHosts(hosts)
+	e.SetWorkers(hosts)
 	submit := func(id string) []core.WorkerID {
 		o.asks = nil
 		is.NoErr(e.Submit(context.Background(), jobs.Spec{ID: core.JobID(id), Queue: "q", Phases: []jobs.Phase{{Count: 3, Need: core.Resources{Cores: 9900}}}}))
@@ -44,8 +44,8 @@
 	o.delay = 600 * time.Millisecond
 	is.Equal(len(submit("busy")), 0) // another VM answers sooner
 	o.delay = 0
-	e.SetRoomy([]core.WorkerID{"w300", "w200"})
+	e.SetRoomHint([]core.WorkerID{"w300", "w200"})
 	is.Equal(len(submit("c")), 2)
-	e.SetRoomy(nil)
+	e.SetRoomHint(nil)
 	is.Equal(len(submit("d")), 0)
 }
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -14,12 +14,12 @@
 	"github.com/sirupsen/logrus"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 	"chicoryturn/core/policy"
-	"chicoryturn/core/reign"
+	"chicoryturn/io/advice"
 	"chicoryturn/io/clock"
-	"chicoryturn/io/guide"
 )
 
 const (
@@ -35,29 +35,29 @@
 	cancelRetry = 100 * time.Millisecond
 )
 
-// Vault records and reads what lasts.
-type Vault interface {
+// RecordStore records and reads what lasts.
+type RecordStore interface {
 	Accept(ctx context.Context, spec jobs.Spec) (jobs.Spec, error)
 	Cancel(ctx context.Context, id core.JobID, now time.Time) error
 	State(ctx context.Context, id core.JobID) (jobs.State, error)
-	// Away reports whether the store cannot be reached.
-	Away() bool
+	// Unreachable reports whether the store cannot be reached.
+	Unreachable() bool
 }
 
-// Link reaches the owner.
-type Link interface {
+// OwnerLink reaches the owner.
+type OwnerLink interface {
 	Accepted(spec jobs.Spec, asking bool)
-	Advised(r guide.Result)
+	Advised(r advice.Result)
 	Cancelled(id core.JobID)
 	State(ctx context.Context, id core.JobID) (state jobs.State, known bool, err error)
 	Pending(ctx context.Context, q core.Queue) (n int, known bool, err error)
-	// Joined reports whether another VM can be reached.
-	Joined() bool
+	// Connected reports whether another VM can be reached.
+	Connected() bool
 }
 
-// Adviser asks the placement policy.
-type Adviser interface {
-	Ask(a board.Ask, then func(guide.Result))
+// Advisor asks the placement policy.
+type Advisor interface {
+	Request(a fleet.AdviceRequest, then func(advice.Result))
 	// Delay returns how long a call would wait for those before it.
 	Delay() time.Duration
 }
@@ -70,14 +70,14 @@
 // Entry is the state that the traffic goroutines of a VM share. All of it is
 // replaced whole.
 type Entry struct {
-	vault   Vault
-	link    Link
-	adviser Adviser
+	vault   RecordStore
+	link    OwnerLink
+	adviser Advisor
 	meter   Meter
 	log     *logrus.Entry
 
 	policy atomic.Pointer[policy.Policy]
-	hosts  atomic.Pointer[[]board.Host]
+	hosts  atomic.Pointer[[]fleet.WorkerInfo]
 	// rooms holds the most of each resource that any worker of a service has had
 	// since the process began: workers that are away may come back.
 	rooms atomic.Pointer[map[core.Service]core.Resources]
@@ -96,14 +96,14 @@
 	at      time.Time
 }
 
-// SetRoomy follows the owner's hint of the workers that have room.
-func (e *Entry) SetRoomy(ids []core.WorkerID) {
+// SetRoomHint follows the owner's hint of the workers that have room.
+func (e *Entry) SetRoomHint(ids []core.WorkerID) {
 	e.roomy.Store(&hint{core.NewSet(ids...), time.Now()})
 }
 
 // SetOwner follows the seat as this VM last saw it. An owner that has resigned
 // starts nothing more.
-func (e *Entry) SetOwner(s reign.Seat) {
+func (e *Entry) SetOwner(s elect.Record) {
 	from := s.Epoch
 	if s.Holder == "" {
 		from++
@@ -112,7 +112,7 @@
 }
 
 // New returns an entry without a configuration; it refuses all calls.
-func New(v Vault, l Link, a Adviser, m Meter, log *logrus.Entry) *Entry {
+func New(v RecordStore, l OwnerLink, a Advisor, m Meter, log *logrus.Entry) *Entry {
 	return &Entry{vault: v, link: l, adviser: a, meter: m, log: log}
 }
 
@@ -131,8 +131,8 @@
 	return 0
 }
 
-// SetHosts follows a new list of workers. It is called by one goroutine.
-func (e *Entry) SetHosts(hosts []board.Host) {
+// SetWorkers follows a new list of workers. It is called by one goroutine.
+func (e *Entry) SetWorkers(hosts []fleet.WorkerInfo) {
 	e.hosts.Store(&hosts)
 	rooms := map[core.Service]core.Resources{}
 	if old := e.rooms.Load(); old != nil {
@@ -144,17 +144,17 @@
 	e.rooms.Store(&rooms)
 }
 
-// Leave has the VM report that it takes no more clients.
-func (e *Entry) Leave() { e.leaving.Store(true) }
+// Drain has the VM report that it takes no more clients.
+func (e *Entry) Drain() { e.leaving.Store(true) }
 
-// Busy returns how many calls are being answered.
-func (e *Entry) Busy() int64 { return e.busy.Load() }
+// InFlight returns how many calls are being answered.
+func (e *Entry) InFlight() int64 { return e.busy.Load() }
 
 // Ready reports whether clients should be sent here: not while this VM is cut off
 // from the store and from the other VMs. An outage of the store alone is the
 // same for all.
 func (e *Entry) Ready() bool {
-	cutOff := e.vault.Away() && !e.link.Joined()
+	cutOff := e.vault.Unreachable() && !e.link.Connected()
 	return !e.leaving.Load() && e.policy.Load() != nil && !cutOff
 }
 
@@ -220,14 +220,14 @@
 // will be run.
 func (e *Entry) Submit(ctx context.Context, spec jobs.Spec) error {
 	return e.track("submit", spec.ID, func() (string, error) {
-		if err := spec.Check(); err != nil {
+		if err := spec.Validate(); err != nil {
 			return "", core.Refuse(core.CodeBadInput, "%v", err)
 		}
 		if err := e.checkRoom(&spec); err != nil {
 			return "", err
 		}
 		early := e.askEarly(&spec)
-		spec.From = core.Epoch(e.owner.Load())
+		spec.FirstEpoch = core.Epoch(e.owner.Load())
 		recorded, err := e.vault.Accept(ctx, spec)
 		if err != nil {
 			return "", err
@@ -259,7 +259,7 @@
 // askEarly asks for advice on the first phase while the job is being recorded,
 // if the call is short, its turn comes soon and some worker has room. The channel
 // yields one result.
-func (e *Entry) askEarly(spec *jobs.Spec) <-chan guide.Result {
+func (e *Entry) askEarly(spec *jobs.Spec) <-chan advice.Result {
 	p, hosts := e.policy.Load(), e.hosts.Load()
 	q := p.Queues[spec.Queue]
 	if q == nil || hosts == nil || spec.Repeat > 0 {
@@ -270,20 +270,20 @@
 		return nil
 	}
 	room := e.roomy.Load()
-	hinted := room != nil && time.Since(room.at) < board.RoomyFresh
+	hinted := room != nil && time.Since(room.at) < fleet.RoomHintTTL
 	var candidates []core.WorkerID
 	for _, h := range *hosts {
-		if h.Service == q.Service && !h.Leaving && (!hinted || room.workers.Has(h.Worker())) {
-			candidates = append(candidates, h.Worker())
+		if h.Service == q.Service && !h.Leaving && (!hinted || room.workers.Has(h.ID())) {
+			candidates = append(candidates, h.ID())
 		}
 	}
-	ask := board.Ask{Phase: jobs.PhaseID{Job: spec.ID}, Workers: board.EarlyNames(spec, a, candidates)}
+	ask := fleet.AdviceRequest{Phase: jobs.PhaseID{Job: spec.ID}, Workers: fleet.EarlyCandidates(spec, a, candidates)}
 	ask.Cost = a.Cost(len(ask.Workers))
 	if len(ask.Workers) == 0 || ask.Cost > shortCall {
 		return nil
 	}
-	out := make(chan guide.Result, 1)
-	e.adviser.Ask(ask, func(r guide.Result) { out <- r })
+	out := make(chan advice.Result, 1)
+	e.adviser.Request(ask, func(r advice.Result) { out <- r })
 	return out
 }
 
@@ -326,8 +326,8 @@
 			if errors.As(err, &r) {
 				return "", err
 			}
-			if !clock.Wait(ctx, cancelRetry) {
-				return "", core.Unknown(core.CodeStore, err, "the cancellation is not confirmed")
+			if !clock.Sleep(ctx, cancelRetry) {
+				return "", core.RefuseUnknown(core.CodeStore, err, "the cancellation is not confirmed")
 			}
 		}
 	})
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -11,12 +11,12 @@
 	"github.com/sirupsen/logrus"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 	"chicoryturn/core/policy"
-	"chicoryturn/core/reign"
+	"chicoryturn/io/advice"
 	"chicoryturn/io/entry"
-	"chicoryturn/io/guide"
 )
 
 // outside stands for the store, the owner, the placement policy and the metrics.
@@ -28,7 +28,7 @@
 	linked bool
 	knows  map[core.JobID]jobs.State
 	err    error
-	asks   []board.Ask
+	asks   []fleet.AdviceRequest
 	// from are the owners that the accepted jobs name.
 	from []core.Epoch
 	// delay is that of calls to the placement policy.
@@ -40,7 +40,7 @@
 func (o *outside) Accept(_ context.Context, s jobs.Spec) (jobs.Spec, error) {
 	if o.err == nil {
 		o.accepted = append(o.accepted, s.ID)
-		o.from = append(o.from, s.From)
+		o.from = append(o.from, s.FirstEpoch)
 	}
 	return s, o.err
 }
@@ -62,11 +62,11 @@
 
 func (o *outside) Accepted(s jobs.Spec, _ bool) { o.told = append(o.told, s.ID) }
 
-func (o *outside) Advised(guide.Result) {}
+func (o *outside) Advised(advice.Result) {}
 
-func (o *outside) Joined() bool { return o.linked }
+func (o *outside) Connected() bool { return o.linked }
 
-func (o *outside) Away() bool { return o.away }
+func (o *outside) Unreachable() bool { return o.away }
 
 func (o *outside) Cancelled(id core.JobID) { o.told = append(o.told, id) }
 
@@ -82,9 +82,9 @@
 	return 3, o.linked, nil
 }
 
-func (o *outside) Ask(a board.Ask, then func(guide.Result)) {
+func (o *outside) Request(a fleet.AdviceRequest, then func(advice.Result)) {
 	o.asks = append(o.asks, a)
-	then(guide.Result{Ask: a})
+	then(advice.Result{Request: a})
 }
 
 func (o *outside) Delay() time.Duration { return o.delay }
@@ -115,12 +115,12 @@
 // may start a job taken then.
 func TestFirstOwner(t *testing.T) {
 	for name, c := range map[string]struct {
-		seat reign.Seat
+		seat elect.Record
 		from core.Epoch
 	}{
-		"no seat seen":       {reign.Seat{}, 1},
-		"an owner":           {reign.Seat{Holder: "a/1", Epoch: 3}, 3},
-		"an owner that left": {reign.Seat{Epoch: 3}, 4},
+		"no seat seen":       {elect.Record{}, 1},
+		"an owner":           {elect.Record{Holder: "a/1", Epoch: 3}, 3},
+		"an owner that left": {elect.Record{Epoch: 3}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -162,11 +162,11 @@
 
 func TestSubmit(t *testing.T) {
 	spec := jobs.Spec{ID: "a", Team: "t", Queue: "q", Phases: []jobs.Phase{{Count: 1, Need: core.Resources{Cores: 900}}}}
-	room := func(cores int64) []board.Host {
-		return []board.Host{{VM: core.VM{Name: "w", Service: "s", Room: core.Resources{Cores: cores}}}}
+	room := func(cores int64) []fleet.WorkerInfo {
+		return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s", Room: core.Resources{Cores: cores}}}}
 	}
 	for name, c := range map[string]struct {
-		hosts []board.Host
+		hosts []fleet.WorkerInfo
 		err   error
 		code  core.Code
 	}{
@@ -181,7 +181,7 @@
 			e := newEntry(o)
 			e.SetPolicy(rules(1, "k"))
 			if c.hosts != nil {
-				e.SetHosts(c.hosts)
+				e.SetWorkers(c.hosts)
 			}
 			is.Equal(code(e.Submit(context.Background(), spec)), c.code)
 			is.Equal(len(o.told) == 1, c.code == "") // the owner hears only of what is in the store
--- a/io/stand/platform.go
+++ b/io/fakes/platform.go
@@ -1,7 +1,7 @@
-// Package stand holds small stand-ins for what surrounds the system: the
+// Package fakes holds small stand-ins for what surrounds the system: the
 // platform, workers, targets and faulty links. They are for tests and the
 // demonstration only.
-package stand
+package fakes
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 
 const idleWake = time.Second
 
-// Faults are what the platform can be told to do wrong.
-type Faults struct {
+// PlatformFaults are what the platform can be told to do wrong.
+type PlatformFaults struct {
 	// Down makes every call fail.
 	Down bool `json:"down"`
 	// Delay is added to every call.
@@ -37,7 +37,7 @@
 	rows    map[string]store.Row
 	objects map[string][]byte
 	list    store.List
-	faults  Faults
+	faults  PlatformFaults
 	delay   time.Duration
 	writes  uint64
 	reads   uint64
@@ -266,7 +266,7 @@
 }
 
 func (p *Platform) setFaults(_ *http.Request, body []byte) func(*Platform) reply {
-	var f Faults
+	var f PlatformFaults
 	delay, err := time.Duration(0), json.Unmarshal(body, &f)
 	if err == nil && f.Delay != "" {
 		delay, err = time.ParseDuration(f.Delay)
--- a/io/stand/proxy.go
+++ b/io/fakes/proxy.go
@@ -1,4 +1,4 @@
-package stand
+package fakes
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Link is how a proxied link behaves.
-type Link struct {
+// LinkFaults is how a proxied link behaves.
+type LinkFaults struct {
 	// Delay is added in each direction.
 	Delay string `json:"delay"`
 	// Cut drops what is sent in both directions; connections stay open.
@@ -30,7 +30,7 @@
 }
 
 type linkState struct {
-	Link
+	LinkFaults
 	delay time.Duration
 }
 
@@ -55,8 +55,8 @@
 }
 
 // Set changes the link's behaviour, also for open connections.
-func (p *Proxy) Set(l Link) error {
-	s := &linkState{Link: l}
+func (p *Proxy) Set(l LinkFaults) error {
+	s := &linkState{LinkFaults: l}
 	if l.Delay != "" {
 		d, err := time.ParseDuration(l.Delay)
 		if err != nil {
@@ -77,7 +77,7 @@
 func (p *Proxy) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /stand/link", func(w http.ResponseWriter, r *http.Request) {
-		var l Link
+		var l LinkFaults
 		if json.NewDecoder(r.Body).Decode(&l) != nil || p.Set(l) != nil {
 			http.Error(w, "malformed link", http.StatusBadRequest)
 		}
--- a/io/stand/target.go
+++ b/io/fakes/target.go
@@ -1,4 +1,4 @@
-package stand
+package fakes
 
 import (
 	"context"
--- a/io/stand/worker.go
+++ b/io/fakes/worker.go
@@ -1,4 +1,4 @@
-package stand
+package fakes
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"chicoryturn/io/work"
 )
 
-// Habits are what a worker can be told to do wrong.
-type Habits struct {
+// WorkerFaults are what a worker can be told to do wrong.
+type WorkerFaults struct {
 	// FailAll makes every task fail as soon as it starts.
 	FailAll bool `json:"failall"`
 	// Frozen makes the worker answer nothing.
@@ -26,8 +26,8 @@
 	Room *work.Room `json:"room,omitempty"`
 }
 
-// Record is one start or end of a task, as the worker saw it.
-type Record struct {
+// TaskRecord is one start or end of a task, as the worker saw it.
+type TaskRecord struct {
 	Worker string    `json:"worker"`
 	Task   string    `json:"task"`
 	Team   string    `json:"team"`
@@ -39,9 +39,9 @@
 
 // WorkerRecord is all that a worker has seen.
 type WorkerRecord struct {
-	Room     work.Room `json:"room"`
-	Overfull int       `json:"overfull"`
-	Records  []Record  `json:"records"`
+	Room     work.Room    `json:"room"`
+	Overfull int          `json:"overfull"`
+	Records  []TaskRecord `json:"records"`
 }
 
 type run struct {
@@ -63,7 +63,7 @@
 const usageLag = 500 * time.Millisecond
 
 type waiter struct {
-	contact work.Contact
+	contact work.Heartbeat
 	until   time.Time
 	reply   chan<- reply
 }
@@ -73,7 +73,7 @@
 	loop   *loop.Loop
 	name   string
 	room   work.Room
-	habits Habits
+	habits WorkerFaults
 	epoch  uint64
 	order  uint64
 	seq    uint64
@@ -82,7 +82,7 @@
 	lease    time.Time
 	tasks    map[string]*run
 	waiters  []waiter
-	records  []Record
+	records  []TaskRecord
 	overfull int
 }
 
@@ -95,7 +95,7 @@
 func (w *Worker) Run() error { return w.loop.Run(w) }
 
 type contactMsg struct {
-	contact work.Contact
+	contact work.Heartbeat
 	// full is set when the sender has to be told every task.
 	full  bool
 	reply chan<- reply
@@ -116,7 +116,7 @@
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /contact", func(rw http.ResponseWriter, r *http.Request) {
-		var k work.Contact
+		var k work.Heartbeat
 		if err := json.NewDecoder(r.Body).Decode(&k); err != nil {
 			http.Error(rw, "malformed contact", http.StatusBadRequest)
 			return
@@ -127,7 +127,7 @@
 		w.admin(rw, r, workerRecord)
 	})
 	mux.HandleFunc("PUT /stand/habits", func(rw http.ResponseWriter, r *http.Request) {
-		var h Habits
+		var h WorkerFaults
 		body, _ := io.ReadAll(r.Body)
 		if json.Unmarshal(body, &h) != nil {
 			http.Error(rw, "malformed habits", http.StatusBadRequest)
@@ -146,7 +146,7 @@
 }
 
 func workerRecord(w *Worker) reply {
-	return reply{body: WorkerRecord{w.room, w.overfull, append([]Record{}, w.records...)}}
+	return reply{body: WorkerRecord{w.room, w.overfull, append([]TaskRecord{}, w.records...)}}
 }
 
 func (w *Worker) admin(rw http.ResponseWriter, r *http.Request, do func(w *Worker) reply) {
@@ -186,7 +186,7 @@
 		m.full = true
 		w.flush()
 	}
-	m.full = m.full || k.Born != w.bornText() || k.Stamp == ""
+	m.full = m.full || k.Incarnation != w.bornText() || k.Stamp == ""
 	fresh := w.renew(now, k)
 	if k.Order > w.order {
 		w.order = k.Order
@@ -202,7 +202,7 @@
 
 // renew extends the lease and reports whether the stamp is recent enough for
 // new tasks.
-func (w *Worker) renew(now time.Time, k work.Contact) bool {
+func (w *Worker) renew(now time.Time, k work.Heartbeat) bool {
 	var born, made int64
 	if n, err := fmt.Sscanf(k.Stamp, "%d/%d", &born, &made); err != nil || n != 2 || born != w.born.UnixNano() {
 		return false
@@ -218,9 +218,9 @@
 	return until.After(now)
 }
 
-func (w *Worker) obey(now time.Time, k work.Contact, fresh bool) {
+func (w *Worker) obey(now time.Time, k work.Heartbeat, fresh bool) {
 	for _, a := range k.Acks {
-		if t := w.tasks[a.Task]; t != nil && t.state != "running" && t.start.Try == a.Try {
+		if t := w.tasks[a.Task]; t != nil && t.state != "running" && t.start.Run == a.Run {
 			delete(w.tasks, a.Task)
 		}
 	}
@@ -238,7 +238,7 @@
 		}
 	}
 	for _, s := range k.Starts {
-		if t := w.tasks[s.Task]; fresh && (t == nil || t.state != "running" && t.start.Try != s.Try) {
+		if t := w.tasks[s.Task]; fresh && (t == nil || t.state != "running" && t.start.Run != s.Run) {
 			w.start(now, s)
 		}
 	}
@@ -297,7 +297,7 @@
 }
 
 func (w *Worker) record(now time.Time, t *run, event string) {
-	w.records = append(w.records, Record{w.name, t.start.Task, t.start.Team, t.start.Need, event, now})
+	w.records = append(w.records, TaskRecord{w.name, t.start.Task, t.start.Team, t.start.Need, event, now})
 }
 
 // news answers the waiting calls on the next wake.
@@ -339,7 +339,7 @@
 // number.
 func (w *Worker) report(now time.Time, after uint64, full bool) work.Report {
 	r := work.Report{
-		Born: w.bornText(), Full: full, Stamp: fmt.Sprintf("%d/%d", w.born.UnixNano(), now.Sub(w.born)), Seq: w.seq, Room: w.room,
+		Incarnation: w.bornText(), Full: full, Stamp: fmt.Sprintf("%d/%d", w.born.UnixNano(), now.Sub(w.born)), Seq: w.seq, Room: w.room,
 	}
 	if w.habits.Room != nil {
 		r.Room = *w.habits.Room
@@ -359,7 +359,7 @@
 		if t.state == "running" {
 			ran = now.Sub(t.began)
 		}
-		r.Tasks = append(r.Tasks, work.Task{Task: id, Try: t.start.Try, State: t.state, Team: t.start.Team, Need: t.start.Need, Used: used, Ran: ran.String()})
+		r.Tasks = append(r.Tasks, work.Task{Task: id, Run: t.start.Run, State: t.state, Team: t.start.Team, Need: t.start.Need, Used: used, Elapsed: ran.String()})
 	}
 	return r
 }
--- a/io/gate/call.go
+++ b/io/gate/call.go
@@ -16,7 +16,7 @@
 	"chicoryturn/core"
 	"chicoryturn/core/admit"
 	"chicoryturn/core/rules"
-	"chicoryturn/io/door"
+	"chicoryturn/io/httpx"
 	"chicoryturn/io/loop"
 )
 
@@ -107,7 +107,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
-		door.WriteError(w, err)
+		httpx.WriteError(w, err)
 	}
 }
 
@@ -130,7 +130,7 @@
 	if rule.Kind != rules.Answer {
 		return nil, core.Refuse(core.CodeBadInput, "queue %q takes jobs, not requests", queue)
 	}
-	body, err := door.ReadBody(w, r, maxBody)
+	body, err := httpx.ReadBody(w, r, maxBody)
 	if err != nil {
 		return nil, err
 	}
@@ -153,7 +153,7 @@
 		return err
 	}
 	events := make(chan admit.Event, 2)
-	if err := c.gate.loop.Post(slotAsked{admit.Ask{ID: c.id, Team: c.team, Rule: c.rule}, events}); err != nil {
+	if err := c.gate.loop.Post(slotAsked{admit.Request{ID: c.id, Team: c.team, Rule: c.rule}, events}); err != nil {
 		return core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
 	gone := r.Context().Done()
@@ -172,7 +172,7 @@
 			case !granted:
 				return nil
 			case left:
-				c.post(ended{c.id, admit.Drop, nil})
+				c.post(ended{c.id, admit.Abandoned, nil})
 				continue
 			}
 			// The target's work goes on to its end even if the caller leaves:
@@ -181,11 +181,11 @@
 			answer, outcome, err := c.send(context.WithoutCancel(r.Context()), w, target)
 			c.count(target, answer)
 			c.post(ended{c.id, outcome, err})
-			if outcome == admit.Cut {
+			if outcome == admit.Truncated {
 				<-events
 				return &BrokenError{answerCut, err}
 			}
-			if outcome == admit.Whole && answer != nil {
+			if outcome == admit.Completed && answer != nil {
 				<-events
 				answer.write(w)
 				return nil
@@ -230,7 +230,7 @@
 		return e
 	}
 	if !v.first {
-		e := core.Unknown(core.CodeRepeat, nil, "the request with this key was first sent through %s at %s",
+		e := core.RefuseUnknown(core.CodeRepeat, nil, "the request with this key was first sent through %s at %s",
 			v.earlier.Gate, v.earlier.At.Format(time.RFC3339))
 		return e
 	}
@@ -246,7 +246,7 @@
 
 func (a *reply) write(w http.ResponseWriter) {
 	copyHeader(w.Header(), a.header)
-	w.Header().Set(door.RunHeader, string(core.RunYes))
+	w.Header().Set(httpx.RunHeader, string(core.Executed))
 	w.WriteHeader(a.status)
 	_, _ = w.Write(a.body)
 }
@@ -286,7 +286,7 @@
 		if conn == nil || conn.seal() {
 			return nil, admit.Unsent, err
 		}
-		return nil, admit.Broken, err
+		return nil, admit.Aborted, err
 	}
 	defer resp.Body.Close()
 	return c.read(w, resp)
@@ -294,22 +294,22 @@
 
 func (c *call) read(w http.ResponseWriter, resp *http.Response) (*reply, admit.Outcome, error) {
 	if id := resp.Header.Get(idHeader); id != "" && id != c.name {
-		return nil, admit.Broken, &BrokenError{"the answer belongs to request " + id, nil}
+		return nil, admit.Aborted, &BrokenError{"the answer belongs to request " + id, nil}
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && c.method != http.MethodHead {
-		return nil, admit.Broken, &BrokenError{"the answer has no length, so it cannot be known to be whole", nil}
+		return nil, admit.Aborted, &BrokenError{"the answer has no length, so it cannot be known to be whole", nil}
 	}
 	first, err := io.ReadAll(io.LimitReader(resp.Body, wholeUpTo))
 	if err != nil {
-		return nil, admit.Broken, err
+		return nil, admit.Aborted, err
 	}
 	if len(first) < wholeUpTo {
-		return &reply{resp.StatusCode, resp.Header, first}, admit.Whole, nil
+		return &reply{resp.StatusCode, resp.Header, first}, admit.Completed, nil
 	}
 	head := reply{resp.StatusCode, resp.Header, first}
 	head.write(w)
 	if _, err := io.Copy(w, resp.Body); err != nil {
-		return nil, admit.Cut, err
+		return nil, admit.Truncated, err
 	}
-	return nil, admit.Whole, nil
+	return nil, admit.Completed, nil
 }
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -54,8 +54,8 @@
 	peers   Peers
 	meter   Meter
 	log     *logrus.Entry
-	admit   *admit.Gate
-	book    *ledger.Book
+	admit   *admit.Controller
+	book    *ledger.Ledger
 	onces   *onces
 	targets http.RoundTripper
 	// waiting holds the traffic goroutine that waits for each request.
@@ -81,7 +81,7 @@
 	}
 	g.onces = newOnces(st)
 	g.Agent = agent.New(l, st, p, g, m, log)
-	g.Agent.AddBook(book, "slots/", "calls/")
+	g.Agent.AddLedger(book, "slots/", "calls/")
 	return g
 }
 
@@ -105,7 +105,7 @@
 		reply chan<- admitted
 	}
 	slotAsked struct {
-		ask    admit.Ask
+		ask    admit.Request
 		events chan<- admit.Event
 	}
 	ended struct {
@@ -172,22 +172,22 @@
 
 // Handle implements loop.Handler.
 func (g *Gate) Handle(now time.Time, m loop.Message) {
-	if g.Agent.Handle(now, m) || g.Agent.Viewed(now, m) {
+	if g.Agent.Handle(now, m) || g.Agent.HandleView(now, m) {
 		return
 	}
 	switch m := m.(type) {
 	case admitAsked:
 		m.reply <- g.admitted(now, m)
 	case ownerAsked:
-		team, err := g.Agent.Conf.Owner(now, m.key)
+		team, err := g.Agent.Conf.TeamOf(now, m.key)
 		m.reply <- admitted{team: team, err: err}
 	case slotAsked:
 		g.waiting[m.ask.ID] = m.events
 		g.tell(g.admit.Admit(now, m.ask))
 	case ended:
-		g.tell(g.admit.Ended(now, m.id, m.outcome, m.err))
+		g.tell(g.admit.RequestEnded(now, m.id, m.outcome, m.err))
 	case callerLeft:
-		g.tell(g.admit.Leave(now, m.id))
+		g.tell(g.admit.CallerGone(now, m.id))
 	case ownersRead:
 		m.reply <- owners{g.Agent.Member.Owners(), g.Agent.Member.Peers(), g.Agent.Member.Self()}
 	case placesAsked:
@@ -235,17 +235,17 @@
 	}
 	if !now.Before(g.nextWant) {
 		g.nextWant = now.Add(wantEvery)
-		g.admit.Wants()
+		g.admit.UpdateDemand()
 		g.countGates()
 	}
-	next := g.Agent.Wake(now)
+	next := g.Agent.Tick(now)
 	g.rename()
 	g.leave()
 	return core.Earlier(core.Earlier(next, g.nextTick), g.nextWant)
 }
 
 func (g *Gate) observe() {
-	g.Agent.Refused(g.admit.Refusals())
+	g.Agent.LogRefusals(g.admit.Refusals())
 	for _, w := range g.admit.Waits() {
 		g.meter.RequestWait(w.Queue, w.Time)
 	}
@@ -273,7 +273,7 @@
 // The parts of the old name stay counted until they are reclaimed.
 func (g *Gate) rename() {
 	if h := ledger.Holder(g.Agent.Member.Self().ID); h != g.book.Holder() {
-		g.book.Restart(h)
+		g.book.Rename(h)
 	}
 }
 
@@ -320,15 +320,15 @@
 	if waiting, sending := g.admit.Waiting(); waiting+sending > 0 || g.onces.active() > 0 {
 		return
 	}
-	g.book.Forget(func(string) bool { return false })
+	g.book.ZeroTotals(func(string) bool { return false })
 	for _, name := range g.book.Names() {
 		if g.book.Held(name) > 0 {
 			return
 		}
 	}
 	g.leftDone = true
-	g.Agent.Member.Leave()
-	g.Agent.Depart(g.left)
+	g.Agent.Member.Drain()
+	g.Agent.DeleteSession(g.left)
 }
 
 // Alive implements peer.Backend.
@@ -336,7 +336,7 @@
 
 // Hold implements peer.Backend.
 func (g *Gate) Hold(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
-	return g.Agent.Hold(ctx, row, version, resign)
+	return g.Agent.RenewOrPromise(ctx, row, version, resign)
 }
 
 func notSched() error { return core.Refuse(core.CodeOwner, "a gate owns no cells") }
--- a/io/gate/jobs.go
+++ b/io/gate/jobs.go
@@ -16,7 +16,7 @@
 	"chicoryturn/core"
 	"chicoryturn/core/cell"
 	"chicoryturn/core/rules"
-	"chicoryturn/io/door"
+	"chicoryturn/io/httpx"
 	"chicoryturn/io/loop"
 )
 
@@ -117,8 +117,8 @@
 			return req, nil, core.Refuse(core.CodeBadInput, "task %d needs a positive number of cores and no negative amount", i)
 		}
 		spec := cell.TaskSpec{
-			Need: core.Resources{Cores: int64(math.Ceil(t.Cores * milli)), Memory: t.Memory, Accel: t.Accel},
-			Run:  run, Command: t.Command,
+			Need:     core.Resources{Cores: int64(math.Ceil(t.Cores * milli)), Memory: t.Memory, Accel: t.Accel},
+			Estimate: run, Command: t.Command,
 		}
 		for range count {
 			tasks = append(tasks, spec)
@@ -133,14 +133,14 @@
 func (g *Gate) serveSubmit(w http.ResponseWriter, r *http.Request) {
 	sub, err := g.submit(w, r)
 	if err != nil {
-		door.WriteError(w, err)
+		httpx.WriteError(w, err)
 		return
 	}
-	door.WriteJSON(w, http.StatusAccepted, sub)
+	httpx.WriteJSON(w, http.StatusAccepted, sub)
 }
 
 func (g *Gate) submit(w http.ResponseWriter, r *http.Request) (Submitted, error) {
-	text, err := door.ReadBody(w, r, maxJobBody)
+	text, err := httpx.ReadBody(w, r, maxJobBody)
 	if err != nil {
 		return Submitted{}, err
 	}
@@ -271,7 +271,7 @@
 		if !sent {
 			return false, core.Refuse(core.CodeOwner, "no process owns the cell of job %s", spec.ID)
 		}
-		return false, core.Unknown(core.CodeOwner, err, "job %s may or may not have been recorded; ask for it by name", spec.ID)
+		return false, core.RefuseUnknown(core.CodeOwner, err, "job %s may or may not have been recorded; ask for it by name", spec.ID)
 	}
 	return repeated, err
 }
@@ -330,10 +330,10 @@
 func (g *Gate) serveShow(w http.ResponseWriter, r *http.Request) {
 	v, err := g.ownJob(r)
 	if err != nil {
-		door.WriteError(w, err)
+		httpx.WriteError(w, err)
 		return
 	}
-	door.WriteJSON(w, http.StatusOK, viewOf(v))
+	httpx.WriteJSON(w, http.StatusOK, viewOf(v))
 }
 
 // ownJob returns a job if it belongs to the team whose key is shown.
@@ -363,16 +363,16 @@
 		})
 	}
 	if err != nil {
-		door.WriteError(w, err)
+		httpx.WriteError(w, err)
 		return
 	}
-	door.WriteJSON(w, http.StatusAccepted, Submitted{ID: string(v.ID)})
+	httpx.WriteJSON(w, http.StatusAccepted, Submitted{ID: string(v.ID)})
 }
 
 func (g *Gate) serveList(w http.ResponseWriter, r *http.Request) {
 	team, err := g.team(r)
 	if err != nil {
-		door.WriteError(w, err)
+		httpx.WriteError(w, err)
 		return
 	}
 	most, err := strconv.Atoi(r.URL.Query().Get("most"))
@@ -381,14 +381,14 @@
 	}
 	views, err := g.list(r.Context(), team, most)
 	if err != nil {
-		door.WriteError(w, err)
+		httpx.WriteError(w, err)
 		return
 	}
 	out := []JobView{}
 	for _, v := range views {
 		out = append(out, viewOf(v))
 	}
-	door.WriteJSON(w, http.StatusOK, out)
+	httpx.WriteJSON(w, http.StatusOK, out)
 }
 
 // list gathers the newest jobs of every sched that answers.
--- a/io/gate/mux.go
+++ b/io/gate/mux.go
@@ -5,7 +5,7 @@
 	"net/http"
 
 	"chicoryturn/core"
-	"chicoryturn/io/door"
+	"chicoryturn/io/httpx"
 	"chicoryturn/io/loop"
 )
 
@@ -24,7 +24,7 @@
 		}
 	})
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		door.WriteError(w, core.Refuse(core.CodeBadInput, "no page %s %s; use /call/QUEUE/... or /jobs", r.Method, r.URL.Path))
+		httpx.WriteError(w, core.Refuse(core.CodeBadInput, "no page %s %s; use /call/QUEUE/... or /jobs", r.Method, r.URL.Path))
 	})
 	return mux
 }
--- a/io/door/door.go
+++ b/io/httpx/httpx.go
@@ -1,6 +1,6 @@
-// Package door holds what the HTTP interfaces of all processes share: how a
+// Package httpx holds what the HTTP interfaces of all processes share: how a
 // refusal is written, and the operators' pages.
-package door
+package httpx
 
 import (
 	"context"
@@ -71,7 +71,7 @@
 	var lines core.LineErrors
 	var r *core.RefusalError
 	if errors.As(err, &lines) {
-		body := Refusal{Code: string(core.CodeBadInput), Run: string(core.RunNo), Reason: "the file has faults; nothing was changed"}
+		body := Refusal{Code: string(core.CodeBadInput), Run: string(core.NotExecuted), Reason: "the file has faults; nothing was changed"}
 		for _, l := range lines {
 			body.Lines = append(body.Lines, l.Error())
 		}
@@ -79,7 +79,7 @@
 		return
 	}
 	if !errors.As(err, &r) {
-		r = core.Unknown(core.CodeStore, err, "the request failed")
+		r = core.RefuseUnknown(core.CodeStore, err, "the request failed")
 	}
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(max(r.RetryAfter, time.Second)/time.Second)))
@@ -88,7 +88,7 @@
 	if r.Err != nil {
 		reason += ": " + r.Err.Error()
 	}
-	write(w, Status(r.Code), Refusal{Code: string(r.Code), Run: string(r.Run), Reason: reason})
+	write(w, Status(r.Code), Refusal{Code: string(r.Code), Run: string(r.Execution), Reason: reason})
 }
 
 func write(w http.ResponseWriter, status int, body Refusal) {
--- a/io/link/carry.go
+++ b/io/link/carry.go
@@ -89,11 +89,11 @@
 	select {
 	case o, ok := <-reply:
 		if !ok {
-			return table.Outcome{Down: "the stream has ended"}, nil
+			return table.Outcome{NoAnswer: "the stream has ended"}, nil
 		}
 		return o, nil
 	case <-ctx.Done():
-		return table.Outcome{Down: ctx.Err().Error()}, nil
+		return table.Outcome{NoAnswer: ctx.Err().Error()}, nil
 	}
 }
 
--- a/io/link/client.go
+++ b/io/link/client.go
@@ -16,9 +16,9 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
-	"chicoryturn/io/guide"
+	"chicoryturn/io/advice"
 	"chicoryturn/io/table"
 	"chicoryturn/io/wire"
 )
@@ -30,29 +30,29 @@
 	redial = 250 * time.Millisecond
 )
 
-// Adviser makes calls to the placement policy for the owner.
-type Adviser interface {
-	Ask(a board.Ask, then func(guide.Result))
+// Advisor makes calls to the placement policy for the owner.
+type Advisor interface {
+	Request(a fleet.AdviceRequest, then func(advice.Result))
 }
 
-// Watch is told whether the owner answers.
-type Watch interface {
-	// SeatLost tells that the stream has ended; over is set if the owner's
+// OwnerWatcher is told whether the owner answers.
+type OwnerWatcher interface {
+	// OwnerLost tells that the stream has ended; over is set if the owner's
 	// incarnation seems to have ended as well.
-	SeatLost(holder core.SessionID, over bool)
-	SeatFound()
+	OwnerLost(holder core.SessionID, over bool)
+	OwnerFound()
 }
 
 // Client keeps a stream to the owner, wherever it is.
 type Client struct {
 	vm, zone string
-	adviser  Adviser
+	adviser  Advisor
 	log      *logrus.Entry
-	watch    Watch
+	watch    OwnerWatcher
 
 	// mu guards what the traffic goroutines share.
 	mu      sync.Mutex
-	target  Target
+	target  OwnerAddr
 	changed chan struct{}
 	out     chan *wire.Up
 
@@ -62,8 +62,8 @@
 	carrier *carrier
 }
 
-// Target is one incarnation of the owner.
-type Target struct {
+// OwnerAddr is one incarnation of the owner.
+type OwnerAddr struct {
 	Addr    netip.AddrPort
 	Session core.SessionID
 }
@@ -77,12 +77,12 @@
 // Option changes a client under construction.
 type Option func(*Client)
 
-// WithRoomyHook has a function told which workers have room.
-func WithRoomyHook(f func([]core.WorkerID)) Option { return func(c *Client) { c.onRoomy = f } }
+// WithRoomHint has a function told which workers have room.
+func WithRoomHint(f func([]core.WorkerID)) Option { return func(c *Client) { c.onRoomy = f } }
 
 // NewClient returns a client without a stream; Run opens one. Own carries out
 // calls of the table for the owner.
-func NewClient(vm, zone string, a Adviser, w Watch, own Serve, log *logrus.Entry, opts ...Option) *Client {
+func NewClient(vm, zone string, a Advisor, w OwnerWatcher, own Serve, log *logrus.Entry, opts ...Option) *Client {
 	c := &Client{
 		vm: vm, zone: zone, adviser: a, watch: w, log: log, changed: make(chan struct{}),
 		asked: newWaits[*wire.Reply](), carrier: newCarrier(own),
@@ -94,8 +94,8 @@
 	return c
 }
 
-// Follow tells where the owner is; an invalid address means nowhere.
-func (c *Client) Follow(t Target) {
+// SetOwner tells where the owner is; an invalid address means nowhere.
+func (c *Client) SetOwner(t OwnerAddr) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t == c.target {
@@ -106,7 +106,7 @@
 	c.changed = make(chan struct{})
 }
 
-func (c *Client) where() (Target, <-chan struct{}) {
+func (c *Client) where() (OwnerAddr, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.target, c.changed
@@ -127,7 +127,7 @@
 		if ctx.Err() == nil {
 			c.log.WithError(err).WithField("owner", to.Addr.String()).Info("link ended")
 			var over *OverError
-			c.watch.SeatLost(to.Session, errors.As(err, &over))
+			c.watch.OwnerLost(to.Session, errors.As(err, &over))
 		}
 		t := time.NewTimer(redial)
 		select {
@@ -141,7 +141,7 @@
 }
 
 // join opens a stream and serves it until it breaks or the owner changes.
-func (c *Client) join(ctx context.Context, to Target, changed <-chan struct{}) error {
+func (c *Client) join(ctx context.Context, to OwnerAddr, changed <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	refused := make(chan struct{}, 1)
@@ -230,7 +230,7 @@
 		return &OverError{"another incarnation answers at its address"}
 	}
 	c.open(out)
-	c.watch.SeatFound()
+	c.watch.OwnerFound()
 	c.log.WithField("owner", string(session)).Info("joined the owner")
 	for {
 		m, err := stream.Recv()
@@ -257,7 +257,7 @@
 		if err != nil {
 			return err
 		}
-		c.adviser.Ask(a, c.Advised)
+		c.adviser.Request(a, c.Advised)
 	case *wire.Down_Roomy:
 		c.onRoomy(workers(k.Roomy.Workers))
 	case *wire.Down_Reply:
@@ -270,13 +270,13 @@
 	return nil
 }
 
-// Carry implements relay.Carrier: the owner's VM carries out the call.
-func (c *Client) Carry(ctx context.Context, call table.Call) (table.Outcome, error) {
+// Forward implements relay.Carrier: the owner's VM carries out the call.
+func (c *Client) Forward(ctx context.Context, call table.Call) (table.Outcome, error) {
 	return c.carrier.carry(ctx, call, func(m *wire.Call) bool { return c.send(&wire.Up{Kind: &wire.Up_Call{Call: m}}) })
 }
 
-// Joined reports whether the stream to the owner is open.
-func (c *Client) Joined() bool {
+// Connected reports whether the stream to the owner is open.
+func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.out != nil
@@ -299,9 +299,9 @@
 
 // Advised passes the result of a call for advice to the owner. A lost one is
 // asked for again once its time is up.
-func (c *Client) Advised(r guide.Result) {
+func (c *Client) Advised(r advice.Result) {
 	if !c.send(&wire.Up{Kind: &wire.Up_Advised{Advised: fromResult(r)}}) {
-		c.log.WithField("job", r.Ask.Phase.Job).Warn("advice not passed on")
+		c.log.WithField("job", r.Request.Phase.Job).Warn("advice not passed on")
 	}
 }
 
--- a/io/link/link.go
+++ b/io/link/link.go
@@ -11,9 +11,9 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
-	"chicoryturn/io/guide"
+	"chicoryturn/io/advice"
 	"chicoryturn/io/wire"
 )
 
@@ -71,16 +71,16 @@
 	return jobs.PhaseID{Job: core.JobID(p.Job), Occurrence: int(p.Occurrence), Phase: int(p.Phase)}, nil
 }
 
-func fromAsk(a board.Ask) *wire.Advise {
+func fromAsk(a fleet.AdviceRequest) *wire.Advise {
 	return &wire.Advise{Phase: fromPhase(a.Phase), Workers: names(a.Workers), Cost: durationpb.New(a.Cost)}
 }
 
-func toAsk(a *wire.Advise) (board.Ask, error) {
+func toAsk(a *wire.Advise) (fleet.AdviceRequest, error) {
 	id, err := toPhase(a.GetPhase())
 	if err != nil {
-		return board.Ask{}, err
+		return fleet.AdviceRequest{}, err
 	}
-	return board.Ask{Phase: id, Workers: workers(a.Workers), Cost: a.GetCost().AsDuration()}, nil
+	return fleet.AdviceRequest{Phase: id, Workers: workers(a.Workers), Cost: a.GetCost().AsDuration()}, nil
 }
 
 func names(ids []core.WorkerID) []string {
@@ -99,8 +99,8 @@
 	return out
 }
 
-func fromResult(r guide.Result) *wire.Advised {
-	out := &wire.Advised{Phase: fromPhase(r.Ask.Phase), Failed: r.Err != nil, Named: names(r.Ask.Workers), Valid: durationpb.New(r.Left(time.Now()))}
+func fromResult(r advice.Result) *wire.Advised {
+	out := &wire.Advised{Phase: fromPhase(r.Request.Phase), Failed: r.Err != nil, Named: names(r.Request.Workers), Valid: durationpb.New(r.TicketsLeft(time.Now()))}
 	for _, a := range r.Allowed {
 		out.Allowed = append(out.Allowed, string(a.Worker))
 		out.Tickets = append(out.Tickets, a.Ticket)
@@ -108,17 +108,17 @@
 	return out
 }
 
-func toResult(a *wire.Advised) (guide.Result, error) {
+func toResult(a *wire.Advised) (advice.Result, error) {
 	id, err := toPhase(a.GetPhase())
 	if err != nil {
-		return guide.Result{}, err
+		return advice.Result{}, err
 	}
 	if len(a.Allowed) != len(a.Tickets) {
-		return guide.Result{}, &FormatError{"workers and tickets differ in number"}
+		return advice.Result{}, &FormatError{"workers and tickets differ in number"}
 	}
-	r := guide.Result{Ask: board.Ask{Phase: id, Workers: workers(a.Named)}, Valid: a.GetValid().AsDuration(), At: time.Now()}
+	r := advice.Result{Request: fleet.AdviceRequest{Phase: id, Workers: workers(a.Named)}, TicketTTL: a.GetValid().AsDuration(), At: time.Now()}
 	for i := range a.Allowed {
-		r.Allowed = append(r.Allowed, board.Allowed{Worker: core.WorkerID(a.Allowed[i]), Ticket: a.Tickets[i]})
+		r.Allowed = append(r.Allowed, fleet.AllowedWorker{Worker: core.WorkerID(a.Allowed[i]), Ticket: a.Tickets[i]})
 	}
 	if a.Failed {
 		r.Err = &FormatError{"the call for advice has failed"}
--- a/io/link/link_test.go
+++ b/io/link/link_test.go
@@ -13,12 +13,12 @@
 	"github.com/sirupsen/logrus"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
-	"chicoryturn/io/guide"
+	"chicoryturn/io/advice"
+	"chicoryturn/io/fakes"
 	"chicoryturn/io/link"
 	"chicoryturn/io/owner"
-	"chicoryturn/io/stand"
 	"chicoryturn/io/table"
 )
 
@@ -26,14 +26,16 @@
 // need it.
 type seat struct{ joined, found, lost atomic.Int64 }
 
-func (s *seat) Join(owner.Peer)                        { s.joined.Add(1) }
-func (s *seat) Part(owner.Peer)                        { s.joined.Add(-1) }
-func (*seat) Accepted(jobs.Spec, string)               {}
-func (*seat) Cancelled(core.JobID)                     {}
-func (*seat) Advised(string, guide.Result)             {}
-func (s *seat) SeatLost(core.SessionID, bool)          { s.lost.Add(1) }
-func (s *seat) SeatFound()                             { s.found.Add(1) }
-func (*seat) Ask(a board.Ask, then func(guide.Result)) { then(guide.Result{Ask: a}) }
+func (s *seat) AddPeer(owner.Peer)                 { s.joined.Add(1) }
+func (s *seat) RemovePeer(owner.Peer)              { s.joined.Add(-1) }
+func (*seat) Accepted(jobs.Spec, string)           {}
+func (*seat) Cancelled(core.JobID)                 {}
+func (*seat) AdviceReceived(string, advice.Result) {}
+func (s *seat) OwnerLost(core.SessionID, bool)     { s.lost.Add(1) }
+func (s *seat) OwnerFound()                        { s.found.Add(1) }
+func (*seat) Request(a fleet.AdviceRequest, then func(advice.Result)) {
+	then(advice.Result{Request: a})
+}
 func (*seat) State(context.Context, core.JobID) (state jobs.State, known, mine bool, err error) {
 	return "", false, true, nil
 }
@@ -78,17 +80,17 @@
 	log := quiet()
 	s := &seat{}
 	srv, at := serveOwner(t, s, log)
-	ways := []*way{{out: table.Outcome{Refused: 503}}, {out: table.Unreached()}, {out: table.Outcome{Done: &table.Done{Version: 7}}}}
+	ways := []*way{{out: table.Outcome{RefusedStatus: 503}}, {out: table.NotSent()}, {out: table.Outcome{Done: &table.Done{Version: 7}}}}
 	for i, w := range ways {
 		c := link.NewClient(string(rune('a'+i)), "zone", s, s, w.serve, log)
-		c.Follow(link.Target{Addr: at, Session: "owner/1"})
+		c.SetOwner(link.OwnerAddr{Addr: at, Session: "owner/1"})
 		go func() { _ = c.Run(ctx) }()
 	}
 	for s.joined.Load() < int64(len(ways)) {
 		time.Sleep(time.Millisecond)
 	}
 	for range 5 {
-		o, err := srv.Carry(ctx, table.Call{Write: &table.Txn{}})
+		o, err := srv.Forward(ctx, table.Call{Write: &table.Txn{}})
 		is.NoErr(err)
 		is.Equal(o.Done.Version, uint64(7))
 	}
@@ -106,20 +108,20 @@
 	log := quiet()
 	s := &seat{}
 	_, at := serveOwner(t, s, log)
-	p := stand.NewProxy(at)
+	p := fakes.NewProxy(at)
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() { _ = p.Serve(ctx, front) }()
 	w := &seat{}
 	c := link.NewClient("a", "zone", s, w, (&way{}).serve, log)
-	c.Follow(link.Target{Addr: netip.MustParseAddrPort(front.Addr().String()), Session: "owner/1"})
+	c.SetOwner(link.OwnerAddr{Addr: netip.MustParseAddrPort(front.Addr().String()), Session: "owner/1"})
 	go func() { _ = c.Run(ctx) }()
 	for w.found.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(1500 * time.Millisecond)
 	is.Equal(w.lost.Load(), int64(0)) // an idle owner is not a silent one
-	is.NoErr(p.Set(stand.Link{Cut: true}))
+	is.NoErr(p.Set(fakes.LinkFaults{Cut: true}))
 	began := time.Now()
 	for w.lost.Load() == 0 {
 		is.True(time.Since(began) < 3*time.Second)
--- a/io/link/server.go
+++ b/io/link/server.go
@@ -11,9 +11,9 @@
 	"google.golang.org/grpc"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
-	"chicoryturn/io/guide"
+	"chicoryturn/io/advice"
 	"chicoryturn/io/owner"
 	"chicoryturn/io/table"
 	"chicoryturn/io/wire"
@@ -21,11 +21,11 @@
 
 // Owner is what the server needs of the process's control state.
 type Owner interface {
-	Join(p owner.Peer)
-	Part(p owner.Peer)
+	AddPeer(p owner.Peer)
+	RemovePeer(p owner.Peer)
 	Accepted(spec jobs.Spec, asking string)
 	Cancelled(id core.JobID)
-	Advised(vm string, r guide.Result)
+	AdviceReceived(vm string, r advice.Result)
 	State(ctx context.Context, id core.JobID) (state jobs.State, known, mine bool, err error)
 	Pending(ctx context.Context, q core.Queue) (n int, ok bool, err error)
 }
@@ -62,9 +62,9 @@
 	return &Server{s, impl}
 }
 
-// Carry implements relay.Carrier: a VM that has joined carries out a call. One
+// Forward implements relay.Carrier: a VM that has joined carries out a call. One
 // that the table turns away as well is passed over for a while.
-func (s *Server) Carry(ctx context.Context, call table.Call) (table.Outcome, error) {
+func (s *Server) Forward(ctx context.Context, call table.Call) (table.Outcome, error) {
 	for try := 0; ; try++ {
 		p := s.impl.pick(time.Now())
 		if p == nil {
@@ -74,11 +74,11 @@
 		if err != nil {
 			return o, err
 		}
-		answered := o.Answered() && o.Refused == 0
+		answered := o.Answered() && o.RefusedStatus == 0
 		s.impl.rate(p, answered, time.Now())
 		// A call without an outcome may have been carried out: only reads are
 		// made again.
-		again := o.Refused != 0 || o.Down != "" && call.Write == nil
+		again := o.RefusedStatus != 0 || o.NoAnswer != "" && call.Write == nil
 		if answered || !again || try+1 == carryTries || ctx.Err() != nil {
 			return o, nil
 		}
@@ -153,16 +153,18 @@
 // Name implements owner.Peer.
 func (p *peer) Name() string { return p.name }
 
-// Advise implements owner.Peer.
-func (p *peer) Advise(a board.Ask) { p.send(&wire.Down{Kind: &wire.Down_Advise{Advise: fromAsk(a)}}) }
+// RequestAdvice implements owner.Peer.
+func (p *peer) RequestAdvice(a fleet.AdviceRequest) {
+	p.send(&wire.Down{Kind: &wire.Down_Advise{Advise: fromAsk(a)}})
+}
 
-// Roomy implements owner.Peer.
-func (p *peer) Roomy(ids []core.WorkerID) {
+// RoomHint implements owner.Peer.
+func (p *peer) RoomHint(ids []core.WorkerID) {
 	p.send(&wire.Down{Kind: &wire.Down_Roomy{Roomy: &wire.Roomy{Workers: names(ids)}}})
 }
 
-// Resigned implements owner.Peer.
-func (p *peer) Resigned() { p.send(&wire.Down{Kind: &wire.Down_Resigned{Resigned: true}}) }
+// OwnerResigned implements owner.Peer.
+func (p *peer) OwnerResigned() { p.send(&wire.Down{Kind: &wire.Down_Resigned{Resigned: true}}) }
 
 // send never blocks: a VM that does not keep up loses its stream and joins
 // again.
@@ -191,8 +193,8 @@
 	if err := stream.Send(&wire.Down{Kind: &wire.Down_Session{Session: string(s.session)}}); err != nil {
 		return err
 	}
-	s.owner.Join(p)
-	defer s.owner.Part(p)
+	s.owner.AddPeer(p)
+	defer s.owner.RemovePeer(p)
 	s.enter(p)
 	defer func() {
 		s.exit(p)
@@ -249,7 +251,7 @@
 		if err != nil {
 			return err
 		}
-		s.owner.Advised(p.name, r)
+		s.owner.AdviceReceived(p.name, r)
 	case *wire.Up_Cancelled:
 		s.owner.Cancelled(core.JobID(k.Cancelled))
 	case *wire.Up_Carried:
--- a/io/spool/spool.go
+++ b/io/logbuf/writer.go
@@ -1,6 +1,6 @@
-// Package spool writes logs without ever delaying who logs: lines beyond a
+// Package logbuf writes logs without ever delaying who logs: lines beyond a
 // bounded buffer are dropped and counted.
-package spool
+package logbuf
 
 import (
 	"bytes"
@@ -17,18 +17,18 @@
 	chunk = 16 << 10
 )
 
-// Spool is an io.Writer that never blocks.
-type Spool struct {
+// Writer is an io.Writer that never blocks.
+type Writer struct {
 	out     io.Writer
 	queue   chan []byte
 	dropped atomic.Uint64
 }
 
 // New returns a spool in front of a writer; Run writes.
-func New(out io.Writer) *Spool { return &Spool{out: out, queue: make(chan []byte, lines)} }
+func New(out io.Writer) *Writer { return &Writer{out: out, queue: make(chan []byte, lines)} }
 
 // Write implements io.Writer. It always succeeds.
-func (s *Spool) Write(line []byte) (int, error) {
+func (s *Writer) Write(line []byte) (int, error) {
 	select {
 	case s.queue <- bytes.Clone(line):
 	default:
@@ -38,10 +38,10 @@
 }
 
 // Dropped returns how many lines have been dropped.
-func (s *Spool) Dropped() uint64 { return s.dropped.Load() }
+func (s *Writer) Dropped() uint64 { return s.dropped.Load() }
 
 // Run writes what is queued until the context ends, then what is left.
-func (s *Spool) Run(ctx context.Context) error {
+func (s *Writer) Run(ctx context.Context) error {
 	told := uint64(0)
 	var buf bytes.Buffer
 	for {
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s *Spool) flush(buf *bytes.Buffer) {
+func (s *Writer) flush(buf *bytes.Buffer) {
 	for buf.Len() < chunk {
 		select {
 		case line := <-s.queue:
--- a/io/spool/spool_test.go
+++ b/io/logbuf/writer_test.go
@@ -1,4 +1,4 @@
-package spool_test
+package logbuf_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"chicoryturn/io/spool"
+	"chicoryturn/io/logbuf"
 )
 
 // pipe is a reader of logs that can stop reading.
@@ -34,7 +34,7 @@
 func TestBlockedReader(t *testing.T) {
 	is := is.New(t)
 	p := &pipe{stop: make(chan struct{})}
-	s := spool.New(p)
+	s := logbuf.New(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
--- a/io/node/meter.go
+++ b/io/node/meter.go
@@ -6,7 +6,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 )
 
 // gauge keeps the metrics of the process.
@@ -18,8 +18,8 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`chicoryturn_call_seconds{call=%q}`, kind)).Update(took.Seconds())
 }
 
-// Board takes in the running totals of the owner's decisions.
-func (gauge) Board(c board.Counts) {
+// Counts takes in the running totals of the owner's decisions.
+func (gauge) Counts(c fleet.Counts) {
 	for name, n := range map[string]uint64{
 		"starts": c.Starts, "refused": c.Refused, "unanswered": c.Unanswered, "ends": c.Ends, "failures": c.Failures,
 		"lapses": c.Lapses, "stops": c.Stops, "asks": c.Asks,
@@ -34,8 +34,8 @@
 	metrics.GetOrCreateHistogram("chicoryturn_record_seconds").Update(took.Seconds())
 }
 
-// Plan takes in the length of one placement pass.
-func (gauge) Plan(took time.Duration) {
+// Placement takes in the length of one placement pass.
+func (gauge) Placement(took time.Duration) {
 	metrics.GetOrCreateHistogram("chicoryturn_plan_seconds").Update(took.Seconds())
 }
 
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -19,20 +19,20 @@
 	"golang.org/x/sync/errgroup"
 
 	"chicoryturn/core"
+	"chicoryturn/core/elect"
 	"chicoryturn/core/policy"
-	"chicoryturn/core/reign"
+	"chicoryturn/io/adapt"
+	"chicoryturn/io/advice"
 	"chicoryturn/io/clock"
 	"chicoryturn/io/entry"
-	"chicoryturn/io/guide"
 	"chicoryturn/io/link"
+	"chicoryturn/io/logbuf"
 	"chicoryturn/io/loop"
 	"chicoryturn/io/owner"
-	"chicoryturn/io/pace"
 	"chicoryturn/io/proc"
+	"chicoryturn/io/record"
 	"chicoryturn/io/relay"
-	"chicoryturn/io/spool"
 	"chicoryturn/io/table"
-	"chicoryturn/io/vault"
 )
 
 const (
@@ -72,9 +72,9 @@
 	idleTime = time.Minute
 )
 
-// Lists reads the configuration and the workers.
-type Lists interface {
-	owner.Hosts
+// Lister reads the configuration and the workers.
+type Lister interface {
+	owner.WorkerLister
 	// Policy reads the configuration, nil if there is none, and the version
 	// from which Changed goes on.
 	Policy(ctx context.Context) (*policy.Policy, uint64, error)
@@ -85,17 +85,17 @@
 // Platform is all that a process needs of the outside.
 type Platform struct {
 	// Store is the table as this VM reaches it.
-	Store table.Doer
-	// Lists makes a reader of the platform's lists over a table.
-	Lists   func(table.Doer) Lists
-	Workers owner.Workers
-	Advice  guide.Policy
-	// Callers and Probes make the handlers of the process's doors.
-	Callers, Probes func(*entry.Entry) http.Handler
+	Store table.Client
+	// Lister makes a reader of the platform's lists over a table.
+	Lister  func(table.Client) Lister
+	Workers owner.WorkerClient
+	Advice  advice.Advisor
+	// CallerHandler and Probes make the handlers of the process's doors.
+	CallerHandler, ProbeHandler func(*entry.Entry) http.Handler
 	// Settings reads the settings again, and Reload tells when they may have
 	// changed.
-	Settings func() (Settings, error)
-	Reload   <-chan os.Signal
+	Settings     func() (Settings, error)
+	ReloadSignal <-chan os.Signal
 }
 
 // Node is one process.
@@ -106,14 +106,14 @@
 	session  core.SessionID
 	platform Platform
 	log      *logrus.Logger
-	spool    *spool.Spool
+	spool    *logbuf.Writer
 	entry    *entry.Entry
 	owner    *owner.Owner
 	link     *link.Client
 	rpc      *link.Server
-	lists    Lists
-	guide    *guide.Guide
-	vault    *vault.Vault
+	lists    Lister
+	guide    *advice.Client
+	vault    *record.Store
 }
 
 // Run runs a process until stop is closed and all calls have been answered, or
@@ -125,25 +125,25 @@
 }
 
 func assemble(s Settings, p Platform, l *loop.Loop) *Node {
-	n := &Node{settings: s, platform: p, spool: spool.New(os.Stdout), log: logrus.New()}
+	n := &Node{settings: s, platform: p, spool: logbuf.New(os.Stdout), log: logrus.New()}
 	n.grace.Store(int64(s.Grace))
 	n.log.SetOutput(n.spool)
 	n.log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "15:04:05.000"})
 	if level, err := logrus.ParseLevel(s.Level); err == nil {
 		n.log.SetLevel(level)
 	}
-	n.guide = guide.New(p.Advice)
+	n.guide = advice.New(p.Advice)
 	d := &desk{vm: s.VM}
 	store := relay.New(p.Store, d)
 	// The lists are larger than what the vault reads, and paced by themselves.
-	n.vault, n.lists = vault.New(pace.New(store), vault.WithReach(store)), p.Lists(pace.New(store))
+	n.vault, n.lists = record.New(adapt.New(store), record.WithReach(store)), p.Lister(adapt.New(store))
 	n.entry = entry.New(n.vault, d, n.guide, gauge{}, n.part("entry"))
 	n.session = session(s.VM)
-	me := reign.Seat{Holder: n.session, VM: s.VM, Addr: s.Peers}
-	n.owner = owner.New(l, owner.Outside{Vault: n.vault, Workers: p.Workers, Hosts: n.lists, Meter: gauge{}}, me, patience(s), s.Limits, n.part("owner"),
-		owner.WithHostsHook(n.entry.SetHosts),
-		owner.WithSeatHook(func(seat reign.Seat, mine bool) { n.follow(d, seat, mine) }))
-	n.link = link.NewClient(s.VM, string(s.Zone), n.guide, n.owner, store.ServeOwn, n.part("link"), link.WithRoomyHook(n.entry.SetRoomy))
+	me := elect.Record{Holder: n.session, VM: s.VM, Addr: s.Peers}
+	n.owner = owner.New(l, owner.Deps{Records: n.vault, Workers: p.Workers, Lister: n.lists, Meter: gauge{}}, me, patience(s), s.Limits, n.part("owner"),
+		owner.WithWorkersHook(n.entry.SetWorkers),
+		owner.WithOwnerHook(func(seat elect.Record, mine bool) { n.follow(d, seat, mine) }))
+	n.link = link.NewClient(s.VM, string(s.Zone), n.guide, n.owner, store.ServeDirect, n.part("link"), link.WithRoomHint(n.entry.SetRoomHint))
 	n.rpc = link.NewServer(n.owner, n.session, store.Serve, n.part("link"))
 	d.owner, d.link, d.rpc = n.owner, n.link, n.rpc
 	return n
@@ -156,9 +156,9 @@
 // patience delays the claims of small VMs, and of those that would take long to
 // read what is recorded.
 func patience(s Settings) time.Duration {
-	p := time.Duration(max(1-s.Share/ampleShare, 0) * float64(unhurried))
-	if s.Link > 0 {
-		p += min(time.Duration(recordSize/s.Link*float64(time.Second)), slowestLink)
+	p := time.Duration(max(1-s.CoreShare/ampleShare, 0) * float64(unhurried))
+	if s.LinkMbps > 0 {
+		p += min(time.Duration(recordSize/s.LinkMbps*float64(time.Second)), slowestLink)
 	}
 	return p
 }
@@ -171,14 +171,14 @@
 }
 
 // follow joins the owner of the fleet.
-func (n *Node) follow(d *desk, seat reign.Seat, mine bool) {
+func (n *Node) follow(d *desk, seat elect.Record, mine bool) {
 	d.mine.Store(mine)
 	n.entry.SetOwner(seat)
 	if mine || seat.Holder == "" {
-		n.link.Follow(link.Target{})
+		n.link.SetOwner(link.OwnerAddr{})
 		return
 	}
-	n.link.Follow(link.Target{Addr: seat.Addr, Session: seat.Holder})
+	n.link.SetOwner(link.OwnerAddr{Addr: seat.Addr, Session: seat.Holder})
 }
 
 func (n *Node) run(ctx context.Context, stop <-chan struct{}, end context.CancelFunc) error {
@@ -206,9 +206,9 @@
 	g.Go(func() error { return n.link.Run(ctx) })
 	g.Go(func() error { return n.watchPolicy(ctx) })
 	g.Go(func() error { return n.watchSettings(ctx) })
-	n.owner.Join(&local{vm: n.settings.VM, guide: n.guide, owner: n.owner, entry: n.entry})
+	n.owner.AddPeer(&local{vm: n.settings.VM, guide: n.guide, owner: n.owner, entry: n.entry})
 	n.part("node").WithFields(logrus.Fields{
-		"callers": n.settings.Callers.String(), "peers": n.settings.Peers.String(), "share": n.settings.Share, "memory": n.settings.Memory,
+		"callers": n.settings.Callers.String(), "peers": n.settings.Peers.String(), "share": n.settings.CoreShare, "memory": n.settings.Memory,
 	}).Info("started")
 	return g.Wait()
 }
@@ -237,8 +237,8 @@
 		n.rpc.Stop()
 		return nil
 	})
-	door := n.httpServer(ctx, g, callers, n.platform.Callers(n.entry))
-	n.httpServer(ctx, g, probes, n.platform.Probes(n.entry))
+	door := n.httpServer(ctx, g, callers, n.platform.CallerHandler(n.entry))
+	n.httpServer(ctx, g, probes, n.platform.ProbeHandler(n.entry))
 	n.httpServer(ctx, g, ops, n.ops())
 	g.Go(func() error { return n.shutdown(ctx, stop, door, end) })
 	return nil
@@ -271,18 +271,18 @@
 	log := n.part("node")
 	log.Info("stopping")
 	grace := time.Duration(n.grace.Load())
-	n.entry.Leave()
-	n.owner.Leave()
+	n.entry.Drain()
+	n.owner.Drain()
 	// Each further answer closes its connection.
 	door.SetKeepAlivesEnabled(false)
-	clock.Wait(ctx, min(drainTime, grace/2))
+	clock.Sleep(ctx, min(drainTime, grace/2))
 	limit, cancel := context.WithTimeout(ctx, max(grace-exitSlack-time.Since(began), exitSlack))
 	defer cancel()
 	if err := door.Shutdown(limit); err != nil {
-		log.WithError(err).WithField("calls", n.entry.Busy()).Warn("calls left")
+		log.WithError(err).WithField("calls", n.entry.InFlight()).Warn("calls left")
 	}
 	select {
-	case <-n.owner.Left():
+	case <-n.owner.Drained():
 	case <-limit.Done():
 	}
 	log.WithField("took", time.Since(began).Round(time.Millisecond).String()).Info("stopped")
@@ -297,17 +297,17 @@
 		p, version, err := n.lists.Policy(ctx)
 		if err != nil {
 			log.WithError(err).Warn("configuration not read")
-			clock.Wait(ctx, policyPause)
+			clock.Sleep(ctx, policyPause)
 			continue
 		}
 		n.setPolicy(p)
 		for ctx.Err() == nil {
 			p, version, err = n.lists.Changed(ctx, version, policyWait)
 			if err != nil {
-				var trimmed *table.TrimmedError
+				var trimmed *table.CompactedError
 				if !errors.As(err, &trimmed) {
 					log.WithError(err).Warn("configuration not followed")
-					clock.Wait(ctx, policyPause)
+					clock.Sleep(ctx, policyPause)
 				}
 				break
 			}
--- a/io/node/desk.go
+++ b/io/node/ownerlink.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
+	"chicoryturn/io/advice"
 	"chicoryturn/io/entry"
-	"chicoryturn/io/guide"
 	"chicoryturn/io/link"
 	"chicoryturn/io/owner"
 	"chicoryturn/io/table"
@@ -24,12 +24,12 @@
 	mine  atomic.Bool
 }
 
-// Carry implements relay.Carrier.
-func (d *desk) Carry(ctx context.Context, c table.Call) (table.Outcome, error) {
+// Forward implements relay.Carrier.
+func (d *desk) Forward(ctx context.Context, c table.Call) (table.Outcome, error) {
 	if d.mine.Load() {
-		return d.rpc.Carry(ctx, c)
+		return d.rpc.Forward(ctx, c)
 	}
-	return d.link.Carry(ctx, c)
+	return d.link.Forward(ctx, c)
 }
 
 // Accepted implements entry.Link.
@@ -46,20 +46,20 @@
 }
 
 // Advised implements entry.Link.
-func (d *desk) Advised(r guide.Result) {
+func (d *desk) Advised(r advice.Result) {
 	if d.mine.Load() {
-		d.owner.Advised(d.vm, r)
+		d.owner.AdviceReceived(d.vm, r)
 		return
 	}
 	d.link.Advised(r)
 }
 
-// Joined implements entry.Link.
-func (d *desk) Joined() bool {
+// Connected implements entry.Link.
+func (d *desk) Connected() bool {
 	if d.mine.Load() {
 		return d.rpc.Joined()
 	}
-	return d.link.Joined()
+	return d.link.Connected()
 }
 
 // Cancelled implements entry.Link.
@@ -91,7 +91,7 @@
 // local is the process's own turn at the placement policy.
 type local struct {
 	vm    string
-	guide *guide.Guide
+	guide *advice.Client
 	owner *owner.Owner
 	entry *entry.Entry
 }
@@ -99,13 +99,13 @@
 // Name implements owner.Peer.
 func (l *local) Name() string { return l.vm }
 
-// Advise implements owner.Peer.
-func (l *local) Advise(a board.Ask) {
-	l.guide.Ask(a, func(r guide.Result) { l.owner.Advised(l.vm, r) })
+// RequestAdvice implements owner.Peer.
+func (l *local) RequestAdvice(a fleet.AdviceRequest) {
+	l.guide.Request(a, func(r advice.Result) { l.owner.AdviceReceived(l.vm, r) })
 }
 
-// Roomy implements owner.Peer.
-func (l *local) Roomy(ids []core.WorkerID) { l.entry.SetRoomy(ids) }
+// RoomHint implements owner.Peer.
+func (l *local) RoomHint(ids []core.WorkerID) { l.entry.SetRoomHint(ids) }
 
-// Resigned implements owner.Peer.
-func (*local) Resigned() {}
+// OwnerResigned implements owner.Peer.
+func (*local) OwnerResigned() {}
--- a/io/node/reload.go
+++ b/io/node/reload.go
@@ -17,7 +17,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.platform.Reload:
+		case <-n.platform.ReloadSignal:
 			n.part("node").Info("asked to read the settings again")
 		case <-look.C:
 		}
--- a/io/node/settings.go
+++ b/io/node/settings.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 )
 
 // Settings are what a process is told about itself.
@@ -19,12 +19,12 @@
 	// Callers and Probes are where clients and readiness probes come in; Peers
 	// is where other VMs do, Ops where operators do.
 	Callers, Probes, Peers, Ops netip.AddrPort
-	// Share is the part of a core that the process may use, Memory the bytes,
+	// CoreShare is the part of a core that the process may use, Memory the bytes,
 	// Link the megabits a second of the VM's network; 0 means not told.
-	Share  float64
-	Memory int64
-	Link   float64
-	Limits board.Limits
+	CoreShare float64
+	Memory    int64
+	LinkMbps  float64
+	Limits    fleet.Limits
 	// Grace is the time between the order to stop and the end by force.
 	Grace time.Duration
 	// Level is the least severe level that is logged.
--- a/io/owner/dump.go
+++ b/io/owner/dump.go
@@ -4,32 +4,32 @@
 	"context"
 	"time"
 
-	"chicoryturn/core/board"
-	"chicoryturn/core/reign"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
 )
 
 // Dump is the control state for people.
 type Dump struct {
 	State   string
-	Seat    reign.Seat
+	Record  elect.Record `json:"Seat"`
 	Version uint64
 	Leaving bool
-	// Calls is the expected length of the calls for advice that each VM has
+	// AdviceLoad is the expected length of the calls for advice that each VM has
 	// not answered.
-	Calls map[string]string
-	Board *board.Dump `json:",omitempty"`
+	AdviceLoad map[string]string `json:"Calls"`
+	Scheduler  *fleet.Dump       `json:"Board,omitempty"`
 }
 
 // Dump returns the control state.
 func (o *Owner) Dump(ctx context.Context) (Dump, error) {
 	return ask(ctx, o, func(o *Owner, _ time.Time) Dump {
-		d := Dump{State: o.reign.State(), Leaving: o.leaving, Calls: map[string]string{}}
-		d.Seat, d.Version = o.reign.Seat()
+		d := Dump{State: o.reign.State(), Leaving: o.leaving, AdviceLoad: map[string]string{}}
+		d.Record, d.Version = o.reign.Record()
 		for name, l := range o.peers.byName {
-			d.Calls[name] = l.load.String()
+			d.AdviceLoad[name] = l.load.String()
 		}
 		if o.board != nil {
-			d.Board = o.board.Dump()
+			d.Scheduler = o.board.Dump()
 		}
 		return d
 	})
--- a/io/owner/orders.go
+++ b/io/owner/orders.go
@@ -6,7 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/io/clock"
 )
 
@@ -16,24 +16,24 @@
 const orderAge = 300 * time.Millisecond
 
 // dispatch sends orders, each on a goroutine of its own.
-func (o *Owner) dispatch(orders []board.Order) {
-	decided := clock.Counting()
+func (o *Owner) dispatch(orders []fleet.Order) {
+	decided := clock.BootTime()
 	for _, ord := range orders {
 		o.call(func(ctx context.Context) func(*Owner, time.Time) {
 			sent := time.Now()
-			if clock.Counting()-decided > orderAge {
-				return o.answered(ord, sent, board.Lists{}, board.ReplyUnsent, nil)
+			if clock.BootTime()-decided > orderAge {
+				return o.answered(ord, sent, fleet.RunLists{}, fleet.ReplyNotSent, nil)
 			}
-			var lists board.Lists
-			var r board.Reply
+			var lists fleet.RunLists
+			var r fleet.Reply
 			var err error
 			switch ord.Kind {
-			case board.OrderStart:
+			case fleet.OrderStart:
 				r, err = o.workers.Start(ctx, ord)
-			case board.OrderStop:
+			case fleet.OrderStop:
 				r, err = o.workers.Stop(ctx, ord)
-			case board.OrderHold:
-				lists, r, err = o.workers.Hold(ctx, ord)
+			case fleet.OrderHeartbeat:
+				lists, r, err = o.workers.Heartbeat(ctx, ord)
 			}
 			o.meter.Call(kinds[ord.Kind], r.String(), time.Since(sent))
 			return o.answered(ord, sent, lists, r, err)
@@ -41,10 +41,10 @@
 	}
 }
 
-var kinds = map[board.OrderKind]string{board.OrderStart: "start", board.OrderStop: "stop", board.OrderHold: "hold"}
+var kinds = map[fleet.OrderKind]string{fleet.OrderStart: "start", fleet.OrderStop: "stop", fleet.OrderHeartbeat: "hold"}
 
 // answered returns what to do with the outcome of an order.
-func (o *Owner) answered(ord board.Order, sent time.Time, l board.Lists, r board.Reply, err error) func(*Owner, time.Time) {
+func (o *Owner) answered(ord fleet.Order, sent time.Time, l fleet.RunLists, r fleet.Reply, err error) func(*Owner, time.Time) {
 	return func(o *Owner, now time.Time) {
 		if o.board == nil || o.board.Epoch() != ord.Epoch {
 			return
@@ -53,22 +53,22 @@
 			o.log.WithError(err).WithFields(logrus.Fields{"worker": ord.Worker, "order": kinds[ord.Kind], "reply": r.String()}).Warn("order not confirmed")
 		}
 		switch {
-		case r == board.ReplyFenced:
+		case r == fleet.ReplyFenced:
 			o.deposed(now, "worker "+string(ord.Worker)+" knows a later owner")
 			return
-		case ord.Kind == board.OrderStart:
-			o.board.Started(now, ord.Worker, ord.Task, ord.Run, r)
-		case ord.Kind == board.OrderStop:
-			o.board.Stopped(now, ord.Worker, ord.Task, ord.Run, r)
-		case r == board.ReplyDone:
-			o.board.Held(now, ord.Worker, sent, l)
+		case ord.Kind == fleet.OrderStart:
+			o.board.StartAnswered(now, ord.Worker, ord.Task, ord.Run, r)
+		case ord.Kind == fleet.OrderStop:
+			o.board.StopAnswered(now, ord.Worker, ord.Task, ord.Run, r)
+		case r == fleet.ReplyOK:
+			o.board.HeartbeatAnswered(now, ord.Worker, sent, l)
 			o.checkRoster()
-		case r == board.ReplyStranger:
-			o.board.Replaced(now, ord.Worker)
+		case r == fleet.ReplyOtherIncarnation:
+			o.board.IncarnationEnded(now, ord.Worker)
 		default:
-			o.board.Silent(now, ord.Worker)
+			o.board.HeartbeatFailed(now, ord.Worker)
 		}
-		if o.board.Missed() {
+		if o.board.UnknownJobSeen() {
 			o.nextNews = now
 		}
 		o.soon(now)
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -9,14 +9,14 @@
 	"github.com/sirupsen/logrus"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 	"chicoryturn/core/policy"
-	"chicoryturn/core/reign"
 	"chicoryturn/io/clock"
 	"chicoryturn/io/loop"
+	"chicoryturn/io/record"
 	"chicoryturn/io/table"
-	"chicoryturn/io/vault"
 )
 
 const (
@@ -43,52 +43,52 @@
 	planPause = 6 * time.Millisecond
 )
 
-// Vault is what the owner reads and writes.
-type Vault interface {
-	Seat(ctx context.Context) (reign.Look, error)
-	Write(ctx context.Context, r vault.Record) (table.Done, error)
-	Load(ctx context.Context) (*vault.Recorded, error)
-	News(ctx context.Context, after uint64) (vault.Recorded, error)
+// RecordStore is what the owner reads and writes.
+type RecordStore interface {
+	OwnerRecord(ctx context.Context) (elect.Observation, error)
+	Write(ctx context.Context, r record.OwnerWrite) (table.Done, error)
+	Load(ctx context.Context) (*record.Snapshot, error)
+	Changes(ctx context.Context, after uint64) (record.Snapshot, error)
 	Delete(ctx context.Context, ids []core.JobID) error
 }
 
-// Workers carries orders to workers.
-type Workers interface {
-	Start(ctx context.Context, o board.Order) (board.Reply, error)
-	Stop(ctx context.Context, o board.Order) (board.Reply, error)
-	Hold(ctx context.Context, o board.Order) (board.Lists, board.Reply, error)
+// WorkerClient carries orders to workers.
+type WorkerClient interface {
+	Start(ctx context.Context, o fleet.Order) (fleet.Reply, error)
+	Stop(ctx context.Context, o fleet.Order) (fleet.Reply, error)
+	Heartbeat(ctx context.Context, o fleet.Order) (fleet.RunLists, fleet.Reply, error)
 }
 
-// Hosts lists the workers.
-type Hosts interface {
-	Hosts(ctx context.Context) (hosts []board.Host, left []error, err error)
+// WorkerLister lists the workers.
+type WorkerLister interface {
+	Workers(ctx context.Context) (hosts []fleet.WorkerInfo, left []error, err error)
 }
 
 // Meter takes in what operators want to see.
 type Meter interface {
-	Board(c board.Counts)
+	Counts(c fleet.Counts)
 	Call(kind string, reply string, took time.Duration)
 	Record(rows int, took time.Duration)
-	Plan(took time.Duration)
+	Placement(took time.Duration)
 	Own(owning bool)
 }
 
 // Owner is the control state of one process.
 type Owner struct {
 	loop    *loop.Loop
-	vault   Vault
-	workers Workers
-	hosts   Hosts
+	vault   RecordStore
+	workers WorkerClient
+	hosts   WorkerLister
 	meter   Meter
 	log     *logrus.Entry
 
-	reign *reign.Reign
+	reign *elect.Election
 	// patience delays the claims of this process, whatever its way to the store.
 	patience time.Duration
-	limits   board.Limits
+	limits   fleet.Limits
 	policy   *policy.Policy
 	// board is nil unless the process owns the fleet.
-	board *board.Board
+	board *fleet.Scheduler
 	// reigned is the epoch under which the process last had a board.
 	reigned core.Epoch
 	// heeded is the latest owner named by a job that the process has given way to.
@@ -96,12 +96,12 @@
 	heeded core.Epoch
 	peers  *peers
 	// onSeat is told who owns the fleet, whenever that changes.
-	onSeat   func(s reign.Seat, mine bool)
-	lastSeat reign.Seat
+	onSeat   func(s elect.Record, mine bool)
+	lastSeat elect.Record
 	// onHosts is told the workers as last listed.
-	onHosts func([]board.Host)
-	listed  []board.Host
-	absence *board.Absence
+	onHosts func([]fleet.WorkerInfo)
+	listed  []fleet.WorkerInfo
+	absence *fleet.AbsenceTracker
 	hostsAt time.Time
 
 	reading, writing, listing, asking, reloading bool
@@ -120,7 +120,7 @@
 	newsPause time.Duration
 	// newRoster is the list of workers to be recorded, nil if the record is up
 	// to rosterVersion.
-	newRoster     []board.Host
+	newRoster     []fleet.WorkerInfo
 	rosterVersion uint64
 	leaving       bool
 	left          chan struct{}
@@ -129,27 +129,27 @@
 // Option changes an owner under construction.
 type Option func(*Owner)
 
-// WithSeatHook has a function told who owns the fleet.
-func WithSeatHook(f func(s reign.Seat, mine bool)) Option { return func(o *Owner) { o.onSeat = f } }
+// WithOwnerHook has a function told who owns the fleet.
+func WithOwnerHook(f func(s elect.Record, mine bool)) Option { return func(o *Owner) { o.onSeat = f } }
 
-// WithHostsHook has a function told the workers as last listed.
-func WithHostsHook(f func([]board.Host)) Option { return func(o *Owner) { o.onHosts = f } }
+// WithWorkersHook has a function told the workers as last listed.
+func WithWorkersHook(f func([]fleet.WorkerInfo)) Option { return func(o *Owner) { o.onHosts = f } }
 
-// Outside is what the owner reaches.
-type Outside struct {
-	Vault   Vault
-	Workers Workers
-	Hosts   Hosts
+// Deps is what the owner reaches.
+type Deps struct {
+	Records RecordStore
+	Workers WorkerClient
+	Lister  WorkerLister
 	Meter   Meter
 }
 
 // New returns the control state of a process that has not read the seat yet.
 // Me is the seat as the process would hold it; patience delays its claims.
-func New(l *loop.Loop, out Outside, me reign.Seat, patience time.Duration, limits board.Limits, log *logrus.Entry, opts ...Option) *Owner {
+func New(l *loop.Loop, out Deps, me elect.Record, patience time.Duration, limits fleet.Limits, log *logrus.Entry, opts ...Option) *Owner {
 	o := &Owner{
-		loop: l, vault: out.Vault, workers: out.Workers, hosts: out.Hosts, meter: out.Meter, log: log, limits: limits,
-		reign: reign.New(me, patience), patience: patience, peers: newPeers(), absence: board.NewAbsence(), newsPause: newsMost,
-		onSeat: func(reign.Seat, bool) {}, onHosts: func([]board.Host) {},
+		loop: l, vault: out.Records, workers: out.Workers, hosts: out.Lister, meter: out.Meter, log: log, limits: limits,
+		reign: elect.New(me, patience), patience: patience, peers: newPeers(), absence: fleet.NewAbsenceTracker(), newsPause: newsMost,
+		onSeat: func(elect.Record, bool) {}, onHosts: func([]fleet.WorkerInfo) {},
 		left: make(chan struct{}),
 	}
 	for _, opt := range opts {
@@ -161,8 +161,8 @@
 // Run handles messages until the context ends.
 func (o *Owner) Run() error { return o.loop.Run(o) }
 
-// Left is closed once the process has given up the seat after Leave.
-func (o *Owner) Left() <-chan struct{} { return o.left }
+// Drained is closed once the process has given up the seat after Leave.
+func (o *Owner) Drained() <-chan struct{} { return o.left }
 
 // Handle implements loop.Handler.
 func (o *Owner) Handle(now time.Time, m loop.Message) {
@@ -204,10 +204,10 @@
 
 // Wake implements loop.Handler.
 func (o *Owner) Wake(now time.Time) time.Time {
-	awake := o.reign.Awake(clock.Counting(), clock.Steady())
+	awake := o.reign.CheckSuspension(clock.BootTime(), clock.Monotonic())
 	o.look(now)
 	o.list(now)
-	next := now.Add(reign.Pause)
+	next := now.Add(elect.ReadInterval)
 	if o.board != nil && awake && !o.leaving {
 		o.news(now)
 		o.tidy(now)
@@ -228,12 +228,12 @@
 // plan lets the board decide and carries out what it has decided.
 func (o *Owner) plan(now time.Time) {
 	began := time.Now()
-	until := o.board.Plan(now)
+	until := o.board.Tick(now)
 	o.dispatch(o.board.Orders())
 	o.advise(now)
 	o.hint(now)
-	o.meter.Plan(time.Since(began))
-	o.meter.Board(o.board.Counts())
+	o.meter.Placement(time.Since(began))
+	o.meter.Counts(o.board.Counts())
 	o.logNotes()
 	o.nextPlan = until
 }
@@ -246,7 +246,7 @@
 }
 
 func (o *Owner) logNotes() {
-	for _, n := range o.board.Notes() {
+	for _, n := range o.board.Decisions() {
 		f := logrus.Fields{"job": n.Job}
 		if n.Task != "" {
 			f["task"] = n.Task
@@ -257,10 +257,10 @@
 		if n.Wait > 0 {
 			f["after"] = n.Wait.Round(time.Millisecond).String()
 		}
-		if n.Because != "" {
-			f["because"] = n.Because
+		if n.Reason != "" {
+			f["because"] = n.Reason
 		}
-		o.log.WithFields(f).Info(n.What)
+		o.log.WithFields(f).Info(n.Event)
 	}
 	for _, err := range o.board.Refusals() {
 		o.log.WithError(err).Error("event refused")
@@ -274,7 +274,7 @@
 	}
 	o.listing = true
 	o.call(func(ctx context.Context) func(*Owner, time.Time) {
-		hosts, left, err := o.hosts.Hosts(ctx)
+		hosts, left, err := o.hosts.Workers(ctx)
 		return func(o *Owner, now time.Time) {
 			o.listing = false
 			o.nextHosts = now.Add(o.hostsPause())
@@ -286,10 +286,10 @@
 				o.log.WithError(e).Warn("worker left out")
 			}
 			o.listed, o.hostsAt = hosts, now
-			o.absence.Listed(now, hosts)
+			o.absence.Observe(now, hosts)
 			o.onHosts(hosts)
 			if o.board != nil {
-				o.board.SetHosts(now, hosts)
+				o.board.SetWorkers(now, hosts)
 				o.checkRoster()
 				o.soon(now)
 			}
@@ -300,7 +300,7 @@
 // hostsPause is longer on VMs that own nothing: they need the list only to ask
 // for advice.
 func (o *Owner) hostsPause() time.Duration {
-	if o.reign.Mine() {
+	if o.reign.IsHolder() {
 		return hostsPause
 	}
 	return 4 * hostsPause
@@ -321,7 +321,7 @@
 	o.asking = true
 	after, epoch := o.newsAfter, o.board.Epoch()
 	o.call(func(ctx context.Context) func(*Owner, time.Time) {
-		n, err := o.vault.News(ctx, after)
+		n, err := o.vault.Changes(ctx, after)
 		return func(o *Owner, now time.Time) {
 			o.asking = false
 			o.nextNews = now.Add(o.newsPause)
@@ -333,7 +333,7 @@
 	})
 }
 
-func (o *Owner) takeNews(now time.Time, n vault.Recorded, err error) {
+func (o *Owner) takeNews(now time.Time, n record.Snapshot, err error) {
 	if err != nil {
 		o.log.WithError(err).Warn("news not read")
 		if isTrimmed(err) {
@@ -366,7 +366,7 @@
 		return
 	}
 	o.nextTidy = now.Add(tidyPause)
-	ids := o.board.Expired(now, o.limits.Keep+keepSlack, tidyMost)
+	ids := o.board.Expired(now, o.limits.Retention+keepSlack, tidyMost)
 	if len(ids) == 0 {
 		return
 	}
@@ -402,7 +402,7 @@
 }
 
 // SetLimits follows changed settings.
-func (o *Owner) SetLimits(l board.Limits) {
+func (o *Owner) SetLimits(l fleet.Limits) {
 	o.post(func(o *Owner, _ time.Time) {
 		o.limits = l
 		if o.board != nil {
@@ -411,8 +411,8 @@
 	})
 }
 
-// Leave gives the seat up and claims it no more.
-func (o *Owner) Leave() {
+// Drain gives the seat up and claims it no more.
+func (o *Owner) Drain() {
 	o.post(func(o *Owner, _ time.Time) {
 		o.leaving = true
 		o.resign()
@@ -469,7 +469,7 @@
 			return
 		}
 		if id := (jobs.PhaseID{Job: spec.ID}); asking != "" {
-			cost := o.board.Asking(now, id)
+			cost := o.board.AdvicePending(now, id)
 			if l := o.peers.byName[asking]; l != nil && cost > 0 {
 				l.lend(now, id, cost)
 			}
--- a/io/owner/owner_test.go
+++ b/io/owner/owner_test.go
@@ -11,14 +11,14 @@
 	"github.com/sirupsen/logrus"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
 	"chicoryturn/core/policy"
-	"chicoryturn/core/reign"
 	"chicoryturn/io/loop"
 	"chicoryturn/io/owner"
+	"chicoryturn/io/record"
 	"chicoryturn/io/table"
-	"chicoryturn/io/vault"
 )
 
 // outside stands for the store and the workers of an owner. The feed of changes
@@ -30,13 +30,15 @@
 	asked            int
 }
 
-func (*outside) Seat(context.Context) (reign.Look, error) { return reign.Look{}, nil }
+func (*outside) OwnerRecord(context.Context) (elect.Observation, error) {
+	return elect.Observation{}, nil
+}
 
-func (*outside) Write(context.Context, vault.Record) (table.Done, error) {
+func (*outside) Write(context.Context, record.OwnerWrite) (table.Done, error) {
 	return table.Done{Version: 1}, nil
 }
 
-func (o *outside) Load(ctx context.Context) (*vault.Recorded, error) {
+func (o *outside) Load(ctx context.Context) (*record.Snapshot, error) {
 	o.mu.Lock()
 	o.loads++
 	o.now++
@@ -49,39 +51,39 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.now--
-	return &vault.Recorded{}, nil
+	return &record.Snapshot{}, nil
 }
 
-func (o *outside) News(context.Context, uint64) (vault.Recorded, error) {
+func (o *outside) Changes(context.Context, uint64) (record.Snapshot, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.asked++
-	return vault.Recorded{}, &table.TrimmedError{Version: 1}
+	return record.Snapshot{}, &table.CompactedError{Version: 1}
 }
 
 func (*outside) Delete(context.Context, []core.JobID) error { return nil }
 
-func (*outside) Start(context.Context, board.Order) (board.Reply, error) { return board.ReplyDone, nil }
+func (*outside) Start(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
 
-func (*outside) Stop(context.Context, board.Order) (board.Reply, error) { return board.ReplyDone, nil }
+func (*outside) Stop(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
 
-func (*outside) Hold(context.Context, board.Order) (board.Lists, board.Reply, error) {
-	return board.Lists{}, board.ReplyDone, nil
+func (*outside) Heartbeat(context.Context, fleet.Order) (fleet.RunLists, fleet.Reply, error) {
+	return fleet.RunLists{}, fleet.ReplyOK, nil
 }
 
-func (*outside) Hosts(context.Context) ([]board.Host, []error, error) { return nil, nil, nil }
+func (*outside) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) { return nil, nil, nil }
 
-func (*outside) Board(board.Counts)                 {}
+func (*outside) Counts(fleet.Counts)                {}
 func (*outside) Call(string, string, time.Duration) {}
 func (*outside) Record(int, time.Duration)          {}
-func (*outside) Plan(time.Duration)                 {}
+func (*outside) Placement(time.Duration)            {}
 func (*outside) Own(bool)                           {}
 
 // all is what an owner reaches, by one stand-in.
 type all interface {
-	owner.Vault
-	owner.Workers
-	owner.Hosts
+	owner.RecordStore
+	owner.WorkerClient
+	owner.WorkerLister
 	owner.Meter
 }
 
@@ -92,8 +94,8 @@
 	t.Cleanup(cancel)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	o := owner.New(loop.New(ctx), owner.Outside{Vault: out, Workers: out, Hosts: out, Meter: out}, reign.Seat{Holder: holder, VM: string(holder)}, 0,
-		board.Limits{Lease: 6 * time.Second, Remote: 1}, log.WithField("part", "owner"))
+	o := owner.New(loop.New(ctx), owner.Deps{Records: out, Workers: out, Lister: out, Meter: out}, elect.Record{Holder: holder, VM: string(holder)}, 0,
+		fleet.Limits{Lease: 6 * time.Second, RemoteFactor: 1}, log.WithField("part", "owner"))
 	go func() { _ = o.Run() }()
 	if p != nil {
 		o.SetPolicy(p)
@@ -104,7 +106,7 @@
 // row is the seat's row in a store that several VMs reach.
 type row struct {
 	mu      sync.Mutex
-	seat    reign.Seat
+	seat    elect.Record
 	version uint64
 }
 
@@ -115,21 +117,21 @@
 	away time.Duration
 }
 
-func (w *way) Seat(context.Context) (reign.Look, error) {
+func (w *way) OwnerRecord(context.Context) (elect.Observation, error) {
 	time.Sleep(w.away)
 	w.row.mu.Lock()
 	defer w.row.mu.Unlock()
-	return reign.Look{Seat: w.row.seat, Version: w.row.version}, nil
+	return elect.Observation{Record: w.row.seat, Version: w.row.version}, nil
 }
 
-func (w *way) Write(_ context.Context, r vault.Record) (table.Done, error) {
+func (w *way) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
 	time.Sleep(w.away)
 	w.row.mu.Lock()
 	defer w.row.mu.Unlock()
 	if r.Version != w.row.version {
 		return table.Done{}, &table.ConflictError{}
 	}
-	w.row.seat, w.row.version = r.Seat, w.row.version+1
+	w.row.seat, w.row.version = r.Record, w.row.version+1
 	return table.Done{Version: w.row.version}, nil
 }
 
@@ -169,7 +171,7 @@
 // calm is a store in which nothing happens.
 type calm struct{ *outside }
 
-func (calm) News(context.Context, uint64) (vault.Recorded, error) { return vault.Recorded{}, nil }
+func (calm) Changes(context.Context, uint64) (record.Snapshot, error) { return record.Snapshot{}, nil }
 
 // TestLatePolicy has the configuration come after the record has been read: the
 // owner decides at once, by that reading.
@@ -193,26 +195,26 @@
 type lagging struct {
 	*outside
 	mu   sync.Mutex
-	seat reign.Seat
+	seat elect.Record
 }
 
-func (l *lagging) Seat(context.Context) (reign.Look, error) {
+func (l *lagging) OwnerRecord(context.Context) (elect.Observation, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return reign.Look{Seat: l.seat, Version: uint64(l.seat.Beat)}, nil
+	return elect.Observation{Record: l.seat, Version: uint64(l.seat.Beat)}, nil
 }
 
-func (l *lagging) Write(_ context.Context, r vault.Record) (table.Done, error) {
+func (l *lagging) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seat = r.Seat
-	return table.Done{Version: uint64(r.Seat.Beat)}, nil
+	l.seat = r.Record
+	return table.Done{Version: uint64(r.Record.Beat)}, nil
 }
 
-func (l *lagging) News(context.Context, uint64) (vault.Recorded, error) {
+func (l *lagging) Changes(context.Context, uint64) (record.Snapshot, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return vault.Recorded{Version: 1, Specs: []jobs.Spec{{ID: "j", Team: "t", Queue: "q", From: 2, Phases: []jobs.Phase{{Count: 1}}}}}, nil
+	return record.Snapshot{Version: 1, Specs: []jobs.Spec{{ID: "j", Team: "t", Queue: "q", FirstEpoch: 2, Phases: []jobs.Phase{{Count: 1}}}}}, nil
 }
 
 // TestJobOfLaterOwner has the feed name a job of a later owner: the process gives
@@ -238,7 +240,7 @@
 	calm
 	mu      sync.Mutex
 	version uint64
-	rosters [][]board.Host
+	rosters [][]fleet.WorkerInfo
 	// first is closed once a list of workers is being written.
 	first chan struct{}
 	once  sync.Once
@@ -249,19 +251,19 @@
 	reborn = listed.Add(time.Minute)
 )
 
-func (*renamed) Hosts(context.Context) ([]board.Host, []error, error) {
-	return []board.Host{{VM: core.VM{Name: "w", Service: "s"}, Born: listed}}, nil, nil
+func (*renamed) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) {
+	return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s"}, Incarnation: listed}}, nil, nil
 }
 
-func (r *renamed) Hold(ctx context.Context, _ board.Order) (board.Lists, board.Reply, error) {
+func (r *renamed) Heartbeat(ctx context.Context, _ fleet.Order) (fleet.RunLists, fleet.Reply, error) {
 	select {
 	case <-r.first:
 	case <-ctx.Done():
 	}
-	return board.Lists{Clock: time.Second, Born: reborn}, board.ReplyDone, nil
+	return fleet.RunLists{Clock: time.Second, Incarnation: reborn}, fleet.ReplyOK, nil
 }
 
-func (r *renamed) Write(_ context.Context, rec vault.Record) (table.Done, error) {
+func (r *renamed) Write(_ context.Context, rec record.OwnerWrite) (table.Done, error) {
 	if rec.Roster != nil {
 		r.once.Do(func() { close(r.first) })
 	}
@@ -286,5 +288,5 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	is.True(len(r.rosters) > 0)
-	is.True(r.rosters[len(r.rosters)-1][0].Born.Equal(reborn))
+	is.True(r.rosters[len(r.rosters)-1][0].Incarnation.Equal(reborn))
 }
--- a/io/owner/peers.go
+++ b/io/owner/peers.go
@@ -8,9 +8,9 @@
 	"github.com/sirupsen/logrus"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
-	"chicoryturn/io/guide"
+	"chicoryturn/io/advice"
 )
 
 const (
@@ -29,13 +29,13 @@
 // Peer is a VM that lends its turn at the placement policy.
 type Peer interface {
 	Name() string
-	// Advise has the VM make a call; the result comes back by Advised.
-	Advise(a board.Ask)
-	// Roomy tells which workers have room, for calls that the VM makes on its
+	// RequestAdvice has the VM make a call; the result comes back by Advised.
+	RequestAdvice(a fleet.AdviceRequest)
+	// RoomHint tells which workers have room, for calls that the VM makes on its
 	// own for the jobs that it takes.
-	Roomy(ids []core.WorkerID)
-	// Resigned tells that the seat is free.
-	Resigned()
+	RoomHint(ids []core.WorkerID)
+	// OwnerResigned tells that the seat is free.
+	OwnerResigned()
 }
 
 // loan is a call that a VM is making.
@@ -85,7 +85,7 @@
 
 func (p *peers) resigned() {
 	for _, l := range p.list {
-		l.peer.Resigned()
+		l.peer.OwnerResigned()
 	}
 }
 
@@ -144,18 +144,18 @@
 }
 
 // Take implements board.Turns.
-func (p *peers) Take(a board.Ask) {
+func (p *peers) Take(a fleet.AdviceRequest) {
 	l := p.pick(a.Cost)
 	if l == nil {
 		// A call may turn out longer than it seemed when its turn was asked for.
 		l = p.pick(0)
 	}
 	l.lend(p.now, a.Phase, a.Cost)
-	l.peer.Advise(a)
+	l.peer.RequestAdvice(a)
 }
 
-// Join adds a VM that lends its turn.
-func (o *Owner) Join(p Peer) {
+// AddPeer adds a VM that lends its turn.
+func (o *Owner) AddPeer(p Peer) {
 	o.post(func(o *Owner, now time.Time) {
 		o.log.WithField("vm", p.Name()).Info("VM joined")
 		o.peers.add(p)
@@ -163,8 +163,8 @@
 	})
 }
 
-// Part removes a VM; calls that it has not answered are made by others.
-func (o *Owner) Part(p Peer) {
+// RemovePeer removes a VM; calls that it has not answered are made by others.
+func (o *Owner) RemovePeer(p Peer) {
 	o.post(func(o *Owner, now time.Time) {
 		l := o.peers.byName[p.Name()]
 		if l == nil || l.peer != p {
@@ -176,7 +176,7 @@
 			return
 		}
 		for id := range l.asks {
-			o.board.Unadvised(now, id)
+			o.board.AdviceFailed(now, id)
 		}
 		o.soon(now)
 	})
@@ -187,33 +187,33 @@
 	if now.Before(o.nextHint) {
 		return
 	}
-	o.nextHint = now.Add(board.RoomyPause)
-	ids := o.board.Roomy(now)
+	o.nextHint = now.Add(fleet.RoomHintInterval)
+	ids := o.board.WorkersWithRoom(now)
 	for _, l := range o.peers.list {
-		l.peer.Roomy(ids)
+		l.peer.RoomHint(ids)
 	}
 }
 
 // advise hands the board's calls for advice to the VMs.
 func (o *Owner) advise(now time.Time) {
 	o.peers.expire(now)
-	o.board.Ask(now, o.peers)
+	o.board.AdviceRequests(now, o.peers)
 }
 
-// Advised takes in the result of a call that a VM has made.
-func (o *Owner) Advised(vm string, r guide.Result) {
+// AdviceReceived takes in the result of a call that a VM has made.
+func (o *Owner) AdviceReceived(vm string, r advice.Result) {
 	o.post(func(o *Owner, now time.Time) {
 		if l := o.peers.byName[vm]; l != nil {
-			l.done(r.Ask.Phase)
+			l.done(r.Request.Phase)
 		}
 		if o.board == nil {
 			return
 		}
 		if r.Err != nil {
-			o.log.WithError(r.Err).WithFields(logrus.Fields{"job": r.Ask.Phase.Job, "vm": vm}).Warn("no advice")
-			o.board.Unadvised(now, r.Ask.Phase)
+			o.log.WithError(r.Err).WithFields(logrus.Fields{"job": r.Request.Phase.Job, "vm": vm}).Warn("no advice")
+			o.board.AdviceFailed(now, r.Request.Phase)
 		} else {
-			o.board.Advised(now, r.Ask.Phase, r.Ask.Workers, r.Allowed, r.Left(now))
+			o.board.AdviceReceived(now, r.Request.Phase, r.Request.Workers, r.Allowed, r.TicketsLeft(now))
 		}
 		o.soon(now)
 	})
--- a/io/owner/seat.go
+++ b/io/owner/seat.go
@@ -8,11 +8,11 @@
 	"github.com/sirupsen/logrus"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
-	"chicoryturn/core/reign"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
 	"chicoryturn/io/clock"
+	"chicoryturn/io/record"
 	"chicoryturn/io/table"
-	"chicoryturn/io/vault"
 )
 
 // storeFactor times the way to the store and back is how much later a VM claims:
@@ -28,28 +28,28 @@
 const dropRoom = 80
 
 func isTrimmed(err error) bool {
-	var t *table.TrimmedError
+	var t *table.CompactedError
 	return errors.As(err, &t)
 }
 
 // look reads the seat: now and then while others own the fleet, and after a
 // write of our own without an answer.
 func (o *Owner) look(now time.Time) {
-	need := !o.reign.Mine() || o.reign.Doubt() || o.reign.Frozen()
+	need := !o.reign.IsHolder() || o.reign.MustRead() || o.reign.Suspended()
 	if o.reading || o.writing || o.leaving || !need || now.Before(o.nextLook) {
 		return
 	}
 	o.reading = true
 	o.call(func(ctx context.Context) func(*Owner, time.Time) {
 		began := time.Now()
-		l, err := o.vault.Seat(ctx)
+		l, err := o.vault.OwnerRecord(ctx)
 		took := time.Since(began)
 		return func(o *Owner, now time.Time) {
 			o.reading = false
-			o.nextLook = now.Add(reign.Pause)
+			o.nextLook = now.Add(elect.ReadInterval)
 			if err != nil {
 				o.nextLook = now.Add(retryPause)
-				o.reign.Failed(now)
+				o.reign.ReadFailed(now)
 				o.log.WithError(err).Warn("seat not read")
 				return
 			}
@@ -58,12 +58,12 @@
 	})
 }
 
-func (o *Owner) looked(now time.Time, l reign.Look, took time.Duration) {
-	was := o.reign.Mine()
-	s := l.Seat
-	o.reign.SetPatience(o.patience + min(storeFactor*took, storeMost))
-	claim := o.reign.Looked(now, l)
-	if was && !o.reign.Mine() {
+func (o *Owner) looked(now time.Time, l elect.Observation, took time.Duration) {
+	was := o.reign.IsHolder()
+	s := l.Record
+	o.reign.SetClaimDelay(o.patience + min(storeFactor*took, storeMost))
+	claim := o.reign.Observe(now, l)
+	if was && !o.reign.IsHolder() {
 		o.dismiss("the seat has another holder")
 	}
 	o.tellSeat()
@@ -74,7 +74,7 @@
 		o.write(now)
 	case o.reign.Loading() && !was:
 		o.reload()
-	case !o.reign.Mine() && (s.Holder == "" || o.reign.Doubtful()):
+	case !o.reign.IsHolder() && (s.Holder == "" || o.reign.HolderSuspect()):
 		// The seat is free: look again as soon as it may be claimed.
 		o.nextLook = now.Add(retryPause)
 	}
@@ -82,30 +82,30 @@
 
 // tellSeat tells the process's other parts who owns the fleet.
 func (o *Owner) tellSeat() {
-	s, _ := o.reign.Seat()
+	s, _ := o.reign.Record()
 	if s.Holder == o.lastSeat.Holder && s.Epoch == o.lastSeat.Epoch {
 		return
 	}
 	o.lastSeat = s
 	o.log.WithFields(logrus.Fields{"epoch": s.Epoch, "owner": s.VM}).Info("owner known")
-	o.onSeat(s, o.reign.Mine())
+	o.onSeat(s, o.reign.IsHolder())
 }
 
-// SeatLost has the seat looked at at once, since its holder does not answer;
+// OwnerLost has the seat looked at at once, since its holder does not answer;
 // over is set if it seems to have ended.
-func (o *Owner) SeatLost(holder core.SessionID, over bool) {
+func (o *Owner) OwnerLost(holder core.SessionID, over bool) {
 	o.post(func(o *Owner, now time.Time) {
 		o.nextLook = now
-		o.reign.Suspect(holder)
+		o.reign.MarkSuspect(holder)
 		if over {
-			o.reign.Over(holder)
+			o.reign.MarkEnded(holder)
 		}
 	})
 }
 
-// SeatFound tells that the owner answers.
-func (o *Owner) SeatFound() {
-	o.post(func(o *Owner, _ time.Time) { o.reign.Suspect("") })
+// OwnerFound tells that the owner answers.
+func (o *Owner) OwnerFound() {
+	o.post(func(o *Owner, _ time.Time) { o.reign.MarkSuspect("") })
 }
 
 // dismiss forgets the board after the seat has been lost.
@@ -122,7 +122,7 @@
 
 // deposed follows the news of a later owner from a worker.
 func (o *Owner) deposed(now time.Time, why string) {
-	o.reign.Deposed()
+	o.reign.Superseded()
 	o.dismiss(why)
 	o.nextLook = now
 }
@@ -130,7 +130,7 @@
 // yields gives way to a later owner that a job has named, and reports whether it
 // has.
 func (o *Owner) yields(now time.Time) bool {
-	later := o.board.Later()
+	later := o.board.LaterEpoch()
 	if later <= o.heeded {
 		return false
 	}
@@ -141,23 +141,23 @@
 
 // write claims or renews the seat, with the progress that waits.
 func (o *Owner) write(now time.Time) {
-	if o.writing || o.reading || o.leaving || o.reign.Doubt() || now.Before(o.nextWrite) {
+	if o.writing || o.reading || o.leaving || o.reign.MustRead() || now.Before(o.nextWrite) {
 		return
 	}
 	claiming := o.reign.State() == "claiming"
-	if !claiming && !o.reign.Mine() {
+	if !claiming && !o.reign.IsHolder() {
 		return
 	}
-	seat, version := o.reign.Next(now)
-	rec := vault.Record{Seat: seat, Version: version}
+	seat, version := o.reign.NextRecord(now)
+	rec := record.OwnerWrite{Record: seat, Version: version}
 	if o.board != nil {
 		rec.Progress = o.board.Batch()
 		rec.Roster = o.newRoster
 		if len(rec.Progress)+len(o.drops) <= dropRoom {
-			rec.Drops = o.drops
+			rec.Deletes = o.drops
 		}
 	}
-	due := claiming || len(rec.Progress) > 0 || len(rec.Drops) > 0 || rec.Roster != nil || now.Sub(o.wroteAt) >= reign.Renewal
+	due := claiming || len(rec.Progress) > 0 || len(rec.Deletes) > 0 || rec.Roster != nil || now.Sub(o.wroteAt) >= elect.RenewInterval
 	if !due {
 		return
 	}
@@ -177,23 +177,23 @@
 
 // wrote follows the outcome of a write; roster is the version of the list of
 // workers in it.
-func (o *Owner) wrote(now time.Time, rec vault.Record, roster uint64, done table.Done, epoch core.Epoch, err error) {
+func (o *Owner) wrote(now time.Time, rec record.OwnerWrite, roster uint64, done table.Done, epoch core.Epoch, err error) {
 	same := o.board != nil && o.board.Epoch() == epoch
 	o.nextWrite = now.Add(recordPause)
 	var conflict *table.ConflictError
 	switch {
 	case err == nil:
-		was := o.reign.Mine()
-		o.reign.Wrote(now, rec.Seat, done.Version, done.Now)
+		was := o.reign.IsHolder()
+		o.reign.WriteSucceeded(now, rec.Record, done.Version, done.Now)
 		o.wroteAt = now
 		o.tellSeat()
 		if !was && o.reign.Loading() {
 			o.reload()
 		}
 		if same {
-			o.board.Recorded(now)
+			o.board.BatchStored(now)
 			o.rosterWritten(rec.Roster, roster)
-			if rec.Drops != nil {
+			if rec.Deletes != nil {
 				o.drops = nil
 			}
 			o.soon(now)
@@ -203,34 +203,34 @@
 		// Either another process has the seat or an earlier write of ours, which
 		// had no answer, has been carried out late: the row tells.
 		o.log.WithError(err).Warn("seat has changed")
-		o.reign.Unsure()
+		o.reign.WriteUnknown()
 		o.nextLook = now
-	case vault.Refused(err):
+	case record.Refused(err):
 		o.log.WithError(err).Warn("record refused")
-		o.reign.Refused()
+		o.reign.WriteRefused()
 		o.nextWrite = now.Add(retryPause)
 	default:
 		o.log.WithError(err).Warn("record not confirmed")
-		o.reign.Unsure()
+		o.reign.WriteUnknown()
 		o.nextLook = now
 		o.nextWrite = now.Add(retryPause)
 	}
 	if same {
 		// Writing the same progress again does no harm.
-		o.board.Returned()
+		o.board.BatchFailed()
 	}
 }
 
 // rosterWritten follows the record of a list of workers. One that has changed
 // since is still to be recorded.
-func (o *Owner) rosterWritten(r []board.Host, version uint64) {
+func (o *Owner) rosterWritten(r []fleet.WorkerInfo, version uint64) {
 	if r == nil {
 		return
 	}
 	if version == o.rosterVersion {
 		o.newRoster = nil
 	}
-	o.board.Known(r)
+	o.board.RosterStored(r)
 	o.checkRoster()
 }
 
@@ -242,7 +242,7 @@
 		return
 	}
 	o.reloading = true
-	seat, _ := o.reign.Seat()
+	seat, _ := o.reign.Record()
 	epoch := seat.Epoch
 	o.call(func(ctx context.Context) func(*Owner, time.Time) {
 		began := time.Now()
@@ -250,10 +250,10 @@
 		took := time.Since(began)
 		return func(o *Owner, now time.Time) {
 			o.reloading = false
-			if !o.reign.Mine() {
+			if !o.reign.IsHolder() {
 				return
 			}
-			if seat, _ := o.reign.Seat(); seat.Epoch != epoch {
+			if seat, _ := o.reign.Record(); seat.Epoch != epoch {
 				o.reload()
 				return
 			}
@@ -270,18 +270,18 @@
 // reading is all that is recorded, as an owner under an epoch has read it.
 type reading struct {
 	epoch core.Epoch
-	rec   *vault.Recorded
+	rec   *record.Snapshot
 	took  time.Duration
 }
 
 // loadLater repeats a failed load.
 func (o *Owner) loadLater() {
 	o.call(func(ctx context.Context) func(*Owner, time.Time) {
-		if !clock.Wait(ctx, retryPause) {
+		if !clock.Sleep(ctx, retryPause) {
 			return nil
 		}
 		return func(o *Owner, _ time.Time) {
-			if o.reign.Mine() {
+			if o.reign.IsHolder() {
 				o.reload()
 			}
 		}
@@ -291,7 +291,7 @@
 func (o *Owner) loaded(now time.Time, r reading) {
 	o.unruled = nil
 	epoch, rec := r.epoch, r.rec
-	if seat, _ := o.reign.Seat(); !o.reign.Mine() || seat.Epoch != epoch {
+	if seat, _ := o.reign.Record(); !o.reign.IsHolder() || seat.Epoch != epoch {
 		return
 	}
 	for _, e := range rec.Unread {
@@ -304,11 +304,11 @@
 		return
 	}
 	if o.board == nil {
-		var opts []board.Option
+		var opts []fleet.Option
 		if epoch == o.reigned {
-			opts = append(opts, board.Resumed())
+			opts = append(opts, fleet.WithLostState())
 		}
-		o.board, o.reigned = board.New(now, epoch, o.limits, o.policy, opts...), epoch
+		o.board, o.reigned = fleet.New(now, epoch, o.limits, o.policy, opts...), epoch
 		o.board.Recover(rec.Roster, o.absence.Since())
 		o.newRoster, o.rosterVersion = nil, 0
 		o.meter.Own(true)
@@ -321,33 +321,33 @@
 		return
 	}
 	if !o.hostsAt.IsZero() {
-		o.board.SetHosts(now, o.listed)
+		o.board.SetWorkers(now, o.listed)
 	}
 	o.checkRoster()
 	o.newsAfter = rec.Version
 	o.nextHosts, o.nextNews, o.nextPlan = now, now, now
-	o.reign.Loaded()
+	o.reign.StateLoaded()
 	o.log.WithFields(logrus.Fields{"epoch": epoch, "jobs": len(rec.Specs), "workers": len(o.listed), "took": r.took.Round(time.Millisecond).String()}).Info("owning the fleet")
 	o.onSeat(o.lastSeat, true)
 }
 
 // resign frees the seat for another process.
 func (o *Owner) resign() {
-	if !o.reign.Mine() {
-		o.reign.Leave()
+	if !o.reign.IsHolder() {
+		o.reign.Drain()
 		close(o.left)
 		return
 	}
 	if o.writing {
 		// The write in flight decides the version of the next one.
 		o.call(func(ctx context.Context) func(*Owner, time.Time) {
-			clock.Wait(ctx, recordPause)
+			clock.Sleep(ctx, recordPause)
 			return func(o *Owner, _ time.Time) { o.resign() }
 		})
 		return
 	}
-	seat, version := o.reign.Resign()
-	rec := vault.Record{Seat: seat, Version: version}
+	seat, version := o.reign.ResignRecord()
+	rec := record.OwnerWrite{Record: seat, Version: version}
 	if o.board != nil {
 		rec.Progress = o.board.Batch()
 	}
@@ -358,7 +358,7 @@
 		return func(o *Owner, _ time.Time) {
 			o.writing = false
 			o.log.WithField("error", err).Info("seat given up")
-			o.reign.Leave()
+			o.reign.Drain()
 			o.peers.resigned()
 			close(o.left)
 		}
--- a/io/parse/settings.go
+++ b/io/parse/settings.go
@@ -45,8 +45,8 @@
 	Name, Unit, Default, About string
 }
 
-// Table lists every setting in the order in which help shows them.
-var Table = []Setting{
+// SettingTable lists every setting in the order in which help shows them.
+var SettingTable = []Setting{
 	{"vm", "name", "", "name of this VM in the platform's list"},
 	{"region", "name", "", "region of this VM"},
 	{"zone", "name", "", "data centre of this VM"},
--- a/io/peer/convert.go
+++ b/io/peer/convert.go
@@ -53,7 +53,7 @@
 	}
 	for _, t := range s.Tasks {
 		r.Tasks = append(r.Tasks, &wire.Task{
-			Cores: t.Need.Cores, Memory: t.Need.Memory, Accel: t.Need.Accel, Run: durationpb.New(t.Run), Command: t.Command,
+			Cores: t.Need.Cores, Memory: t.Need.Memory, Accel: t.Need.Accel, Run: durationpb.New(t.Estimate), Command: t.Command,
 		})
 	}
 	return r
@@ -66,9 +66,9 @@
 	}
 	for _, t := range r.Tasks {
 		s.Tasks = append(s.Tasks, cell.TaskSpec{
-			Need:    core.Resources{Cores: t.GetCores(), Memory: t.GetMemory(), Accel: t.GetAccel()},
-			Run:     t.GetRun().AsDuration(),
-			Command: t.GetCommand(),
+			Need:     core.Resources{Cores: t.GetCores(), Memory: t.GetMemory(), Accel: t.GetAccel()},
+			Estimate: t.GetRun().AsDuration(),
+			Command:  t.GetCommand(),
 		})
 	}
 	return s
--- a/io/peer/pool.go
+++ b/io/peer/pool.go
@@ -187,17 +187,17 @@
 	}
 	s, ok := status.FromError(err)
 	if !ok {
-		return core.Unknown(core.CodeOwner, err, "call to peer failed")
+		return core.RefuseUnknown(core.CodeOwner, err, "call to peer failed")
 	}
 	for _, d := range s.Details() {
 		if r, ok := d.(*wire.Refusal); ok {
 			return &core.RefusalError{
-				Code: core.Code(r.Code), Run: core.Run(r.Run), Reason: r.Reason, RetryAfter: r.RetryAfter.AsDuration(),
+				Code: core.Code(r.Code), Execution: core.Execution(r.Run), Reason: r.Reason, RetryAfter: r.RetryAfter.AsDuration(),
 			}
 		}
 	}
 	if s.Code() == codes.Unavailable {
-		return core.Unknown(core.CodeOwner, &RefusedError{err}, "peer is not available")
+		return core.RefuseUnknown(core.CodeOwner, &RefusedError{err}, "peer is not available")
 	}
-	return core.Unknown(core.CodeOwner, err, "call to peer failed")
+	return core.RefuseUnknown(core.CodeOwner, err, "call to peer failed")
 }
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -45,7 +45,7 @@
 	}
 	s := status.New(codes.FailedPrecondition, r.Reason)
 	with, derr := s.WithDetails(&wire.Refusal{
-		Code: string(r.Code), Run: string(r.Run), Reason: r.Reason, RetryAfter: durationpb.New(r.RetryAfter),
+		Code: string(r.Code), Run: string(r.Execution), Reason: r.Reason, RetryAfter: durationpb.New(r.RetryAfter),
 	})
 	if derr != nil {
 		return s.Err()
--- a/io/proc/proc.go
+++ b/io/proc/proc.go
@@ -19,8 +19,8 @@
 	"chicoryturn/core"
 	"chicoryturn/core/member"
 	"chicoryturn/io/agent"
-	"chicoryturn/io/door"
 	"chicoryturn/io/gate"
+	"chicoryturn/io/httpx"
 	"chicoryturn/io/loop"
 	"chicoryturn/io/meter"
 	"chicoryturn/io/parse"
@@ -83,7 +83,7 @@
 type process interface {
 	loop.Handler
 	peer.Backend
-	door.Process
+	httpx.Process
 	Run(ctx context.Context) error
 	Leave()
 	Left() <-chan struct{}
@@ -92,7 +92,7 @@
 // Serve runs an HTTP server on a bound listener until the context ends.
 func Serve(ctx context.Context, group *errgroup.Group, l net.Listener, h http.Handler) {
 	srv := &http.Server{
-		Handler: h, ReadHeaderTimeout: door.HeaderTimeout, IdleTimeout: door.IdleTimeout, MaxHeaderBytes: door.MaxHeader,
+		Handler: h, ReadHeaderTimeout: httpx.HeaderTimeout, IdleTimeout: httpx.IdleTimeout, MaxHeaderBytes: httpx.MaxHeader,
 		ErrorLog: nil,
 	}
 	group.Go(func() error {
@@ -179,7 +179,7 @@
 		rpc.Stop()
 		return nil
 	})
-	Serve(ctx, group, ops, door.Ops(p, a))
+	Serve(ctx, group, ops, httpx.Ops(p, a))
 	if callers != nil {
 		Serve(ctx, group, callersAt, callers)
 	}
--- a/io/vault/accept.go
+++ b/io/record/accept.go
@@ -1,4 +1,4 @@
-package vault
+package record
 
 import (
 	"context"
@@ -64,7 +64,7 @@
 
 // Run records accepted jobs until the context ends; one write for each
 // partition is in flight, and what arrives meanwhile shares the next one.
-func (v *Vault) Run(ctx context.Context) error {
+func (v *Store) Run(ctx context.Context) error {
 	var g errgroup.Group
 	for {
 		select {
@@ -82,7 +82,7 @@
 }
 
 // end refuses what was not written before the process ends.
-func (v *Vault) end() {
+func (v *Store) end() {
 	var left []*acceptance
 	v.mu.Lock()
 	v.ended = true
@@ -96,7 +96,7 @@
 
 // enter puts a job into its lane and has the lane's writer begin; it reports
 // whether there was room.
-func (v *Vault) enter(part int, a *acceptance) bool {
+func (v *Store) enter(part int, a *acceptance) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	l := &v.lanes[part]
@@ -113,7 +113,7 @@
 
 // next takes what the next write of a partition holds; left is what the last one
 // must write again. Its writer ends if there is nothing.
-func (v *Vault) next(part int, left []*acceptance) []*acceptance {
+func (v *Store) next(part int, left []*acceptance) []*acceptance {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	l := &v.lanes[part]
@@ -131,7 +131,7 @@
 // Accept records a job and returns it as it is in the store, where an earlier
 // call may have recorded it. A RefusalError with run "no" means that it is not
 // there and never will be; one with run "unknown" that it may be.
-func (v *Vault) Accept(ctx context.Context, spec jobs.Spec) (jobs.Spec, error) {
+func (v *Store) Accept(ctx context.Context, spec jobs.Spec) (jobs.Spec, error) {
 	put, err := encode(jobKey(spec.ID), spec)
 	if err != nil {
 		return spec, err
@@ -139,7 +139,7 @@
 	if len(put.Val) > rowMost {
 		return spec, core.Refuse(core.CodeTooLarge, "the job takes %d bytes in the store, at most %d", len(put.Val), rowMost)
 	}
-	if v.Away() {
+	if v.Unreachable() {
 		return spec, v.refusal(spec.ID, v.away())
 	}
 	a := &acceptance{ctx: ctx, spec: spec, put: put, began: time.Now(), done: make(chan verdict, 1)}
@@ -154,7 +154,7 @@
 }
 
 // writer records what waits in one lane until it is empty.
-func (v *Vault) writer(ctx context.Context, part int) {
+func (v *Store) writer(ctx context.Context, part int) {
 	var left []*acceptance
 	for {
 		waiting := v.next(part, left)
@@ -163,15 +163,15 @@
 		}
 		left = v.record(ctx, waiting)
 		if len(left) == len(waiting) {
-			clock.Wait(ctx, againPause)
+			clock.Sleep(ctx, againPause)
 		}
-		left = v.expire(left, ctx.Err() != nil, v.Away())
+		left = v.expire(left, ctx.Err() != nil, v.Unreachable())
 	}
 }
 
 // record writes all that waits in one transaction and returns what must be
 // written again.
-func (v *Vault) record(ctx context.Context, waiting []*acceptance) []*acceptance {
+func (v *Store) record(ctx context.Context, waiting []*acceptance) []*acceptance {
 	t := table.Txn{}
 	named := map[string]bool{}
 	var now, later []*acceptance
@@ -191,7 +191,7 @@
 	if len(now) == 0 {
 		return nil
 	}
-	_, err := v.store.Write(table.WithLate(ctx, func(_ time.Duration, o table.Outcome) {
+	_, err := v.store.Write(table.WithLateHook(ctx, func(_ time.Duration, o table.Outcome) {
 		if o.Err() == nil {
 			recorded(now)
 		}
@@ -241,7 +241,7 @@
 
 // expire answers those whose callers have no time left, or whom the store has
 // only refused, and all while it is away: their callers can ask another VM.
-func (v *Vault) expire(waiting []*acceptance, all, away bool) []*acceptance {
+func (v *Store) expire(waiting []*acceptance, all, away bool) []*acceptance {
 	var out []*acceptance
 	for _, a := range waiting {
 		if a.told.Load() {
@@ -254,7 +254,7 @@
 		}
 		if a.unsure {
 			v.doubt(a.spec.ID)
-			a.tell(verdict{err: core.Unknown(core.CodeStore, a.ctx.Err(), "the store has not confirmed the job")})
+			a.tell(verdict{err: core.RefuseUnknown(core.CodeStore, a.ctx.Err(), "the store has not confirmed the job")})
 		} else {
 			r := core.Refuse(core.CodeStore, "the store takes no jobs at present")
 			r.RetryAfter = againSoon
--- a/io/vault/vault.go
+++ b/io/record/store.go
@@ -1,8 +1,8 @@
-// Package vault lays out in the platform's table what the product records: the
+// Package record lays out in the platform's table what the product records: the
 // accepted jobs and cancellations by name, and the owner's seat with the
 // progress of jobs and the roster of workers in one partition, so that every
 // record of an owner depends on its seat.
-package vault
+package record
 
 import (
 	"context"
@@ -20,9 +20,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
-	"chicoryturn/core/reign"
 	"chicoryturn/io/table"
 )
 
@@ -53,19 +53,19 @@
 	readers = 32
 )
 
-// Reach tells whether the table can be reached.
-type Reach interface {
-	Away() bool
+// Reachability tells whether the table can be reached.
+type Reachability interface {
+	Unreachable() bool
 }
 
 // rangeStarts divide the names of jobs into ranges that are read side by side;
 // names are mostly hexadecimal.
 var rangeStarts = [...]string{"", "1", "2", "3", "4", "5", "6", "7", "8", "9", "a", "b", "c", "d", "e", "f"}
 
-// Vault reads and writes the product's rows.
-type Vault struct {
-	store table.Doer
-	reach Reach
+// Store reads and writes the product's rows.
+type Store struct {
+	store table.Client
+	reach Reachability
 
 	// starts names the partitions whose writers must begin.
 	starts chan int
@@ -80,27 +80,27 @@
 }
 
 // Option changes a vault under construction.
-type Option func(*Vault)
+type Option func(*Store)
 
 // WithReach has calls of clients refused at once while the store cannot be
 // reached.
-func WithReach(r Reach) Option { return func(v *Vault) { v.reach = r } }
+func WithReach(r Reachability) Option { return func(v *Store) { v.reach = r } }
 
 // New returns a vault over a store. Run must be called for jobs to be accepted.
-func New(s table.Doer, opts ...Option) *Vault {
-	v := &Vault{store: s, starts: make(chan int, parts), doubts: map[core.JobID]time.Time{}}
+func New(s table.Client, opts ...Option) *Store {
+	v := &Store{store: s, starts: make(chan int, parts), doubts: map[core.JobID]time.Time{}}
 	for _, o := range opts {
 		o(v)
 	}
 	return v
 }
 
-// Away reports whether the store cannot be reached.
-func (v *Vault) Away() bool { return v.reach != nil && v.reach.Away() }
+// Unreachable reports whether the store cannot be reached.
+func (v *Store) Unreachable() bool { return v.reach != nil && v.reach.Unreachable() }
 
 // away returns the refusal of a call that would only wait for a store that
 // cannot be reached; clients come back through other VMs.
-func (v *Vault) away() *core.RefusalError {
+func (v *Store) away() *core.RefusalError {
 	r := core.Refuse(core.CodeStore, "this VM does not reach the store")
 	r.RetryAfter = againSoon
 	return r
@@ -138,7 +138,7 @@
 type rosterPage struct {
 	// Pages is how many rows the list has; later ones are of an older list.
 	Pages int
-	Hosts []board.Host
+	Hosts []fleet.WorkerInfo
 }
 
 func partName(i int) string { return "p" + strconv.Itoa(i) }
@@ -159,13 +159,13 @@
 }
 
 // get reads one row; version 0 means that there is none.
-func (v *Vault) get(ctx context.Context, k table.Key) (table.Row, error) {
+func (v *Store) get(ctx context.Context, k table.Key) (table.Row, error) {
 	r, _, err := v.look(ctx, k)
 	return r, err
 }
 
 // look reads one row, and the store's clock.
-func (v *Vault) look(ctx context.Context, k table.Key) (table.Row, time.Duration, error) {
+func (v *Store) look(ctx context.Context, k table.Key) (table.Row, time.Duration, error) {
 	p, err := v.store.Read(ctx, table.Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x01", Limit: 1})
 	if err != nil || len(p.Rows) == 0 {
 		return table.Row{}, p.Now, err
@@ -173,32 +173,32 @@
 	return p.Rows[0], p.Now, nil
 }
 
-// Seat reads the owner's row.
-func (v *Vault) Seat(ctx context.Context) (reign.Look, error) {
+// OwnerRecord reads the owner's row.
+func (v *Store) OwnerRecord(ctx context.Context) (elect.Observation, error) {
 	r, now, err := v.look(ctx, seatKey())
-	l := reign.Look{Version: r.Version, Clock: now}
+	l := elect.Observation{Version: r.Version, Clock: now}
 	if err != nil || r.Version == 0 {
 		return l, err
 	}
-	return l, decode(r, &l.Seat)
+	return l, decode(r, &l.Record)
 }
 
-// Record is one write of an owner.
-type Record struct {
-	Seat reign.Seat
+// OwnerWrite is one write of an owner.
+type OwnerWrite struct {
+	Record elect.Record
 	// Version is that of the row that Seat replaces.
 	Version  uint64
 	Progress []jobs.Progress
-	// Drops are jobs whose progress is deleted.
-	Drops []core.JobID
+	// Deletes are jobs whose progress is deleted.
+	Deletes []core.JobID
 	// Roster is written if it is not nil.
-	Roster []board.Host
+	Roster []fleet.WorkerInfo
 }
 
 // Write stores a record on the condition that the seat has not changed.
-func (v *Vault) Write(ctx context.Context, r Record) (table.Done, error) {
+func (v *Store) Write(ctx context.Context, r OwnerWrite) (table.Done, error) {
 	t := table.Txn{Checks: []table.Check{{Key: seatKey(), Version: r.Version}}}
-	rows := map[table.Key]any{seatKey(): r.Seat}
+	rows := map[table.Key]any{seatKey(): r.Record}
 	if r.Roster != nil {
 		pages := slices.Collect(slices.Chunk(r.Roster, rosterPart))
 		for i, hosts := range pages {
@@ -218,8 +218,8 @@
 		}
 		t.Puts = append(t.Puts, p)
 	}
-	for _, id := range r.Drops {
-		t.Drops = append(t.Drops, progressKey(id))
+	for _, id := range r.Deletes {
+		t.Deletes = append(t.Deletes, progressKey(id))
 	}
 	return v.store.Write(ctx, t)
 }
@@ -227,14 +227,14 @@
 // Delete deletes the rows of jobs that nobody may ask for any more, but for
 // their progress, which an owner's next record drops. What fails is left; a
 // later owner finds it again.
-func (v *Vault) Delete(ctx context.Context, ids []core.JobID) error {
+func (v *Store) Delete(ctx context.Context, ids []core.JobID) error {
 	byPart := map[int]*table.Txn{}
 	for _, id := range ids {
 		p := partOf(id)
 		if byPart[p] == nil {
 			byPart[p] = &table.Txn{}
 		}
-		byPart[p].Drops = append(byPart[p].Drops, jobKey(id), cancelKey(id))
+		byPart[p].Deletes = append(byPart[p].Deletes, jobKey(id), cancelKey(id))
 	}
 	for _, t := range byPart {
 		if _, err := v.store.Write(ctx, *t); err != nil {
@@ -244,12 +244,12 @@
 	return nil
 }
 
-// Recorded is all that a new owner takes over.
-type Recorded struct {
+// Snapshot is all that a new owner takes over.
+type Snapshot struct {
 	Specs     []jobs.Spec
 	Progress  map[core.JobID]jobs.Progress
 	Cancelled []core.JobID
-	Roster    []board.Host
+	Roster    []fleet.WorkerInfo
 	// Version is where the feed of news goes on.
 	Version uint64
 	// Unread are rows that could not be read; they are left out.
@@ -258,9 +258,9 @@
 
 // Load reads all that is recorded. The partitions are read side by side; the
 // progress is read after the jobs, so that a job without progress had none.
-func (v *Vault) Load(ctx context.Context) (*Recorded, error) {
-	out := &Recorded{Progress: map[core.JobID]jobs.Progress{}}
-	var found [parts]Recorded
+func (v *Store) Load(ctx context.Context) (*Snapshot, error) {
+	out := &Snapshot{Progress: map[core.JobID]jobs.Progress{}}
+	var found [parts]Snapshot
 	g, sub := errgroup.WithContext(ctx)
 	g.SetLimit(readers)
 	for p := range parts {
@@ -285,7 +285,7 @@
 		out.Unread = append(out.Unread, f.Unread...)
 		out.Version = min(out.Version, f.Version)
 	}
-	var progress [len(rangeStarts)]Recorded
+	var progress [len(rangeStarts)]Snapshot
 	g, sub = errgroup.WithContext(ctx)
 	for i, from := range rangeStarts {
 		to := ""
@@ -309,12 +309,12 @@
 }
 
 // roster reads the list of workers in use.
-func (v *Vault) roster(ctx context.Context) ([]board.Host, error) {
+func (v *Store) roster(ctx context.Context) ([]fleet.WorkerInfo, error) {
 	p, err := v.store.Read(ctx, table.Range{Table: fleetTable, Part: fleetPart, From: rosterName, To: rosterName + "0"})
 	if err != nil {
 		return nil, err
 	}
-	var out []board.Host
+	var out []fleet.WorkerInfo
 	pages := 0
 	for i, row := range p.Rows {
 		var page rosterPage
@@ -332,7 +332,7 @@
 }
 
 // addJob takes in a row of the table of jobs: a job or a cancellation.
-func (r *Recorded) addJob(row table.Row) {
+func (r *Snapshot) addJob(row table.Row) {
 	if id, ok := strings.CutSuffix(row.Name, cancelSuffix); ok {
 		r.Cancelled = append(r.Cancelled, core.JobID(id))
 		return
@@ -345,7 +345,7 @@
 	r.Specs = append(r.Specs, s)
 }
 
-func (r *Recorded) addProgress(row table.Row) {
+func (r *Snapshot) addProgress(row table.Row) {
 	var p jobs.Progress
 	if err := decode(row, &p); err != nil {
 		r.Unread = append(r.Unread, err)
@@ -356,7 +356,7 @@
 
 // scan reads all rows of a range and returns the version from which its feed
 // misses nothing.
-func (v *Vault) scan(ctx context.Context, in table.Range, each func(table.Row)) (uint64, error) {
+func (v *Store) scan(ctx context.Context, in table.Range, each func(table.Row)) (uint64, error) {
 	first := uint64(0)
 	for {
 		p, err := v.store.Read(ctx, in)
@@ -376,17 +376,17 @@
 	}
 }
 
-// News reads the jobs and cancellations recorded since a version; those that
+// Changes reads the jobs and cancellations recorded since a version; those that
 // come back go on from its own. It catches what a VM that has died meanwhile
 // could not tell.
-func (v *Vault) News(ctx context.Context, after uint64) (Recorded, error) {
-	out := Recorded{Version: after}
+func (v *Store) Changes(ctx context.Context, after uint64) (Snapshot, error) {
+	out := Snapshot{Version: after}
 	ch, err := v.store.Feed(ctx, table.Since{Table: jobTable, Version: after})
 	if err != nil {
 		return out, err
 	}
 	for _, r := range ch.Rows {
-		if !r.Gone {
+		if !r.Deleted {
 			out.addJob(r)
 		}
 	}
@@ -395,8 +395,8 @@
 }
 
 // State reads how a job is to be shown, from the record alone.
-func (v *Vault) State(ctx context.Context, id core.JobID) (jobs.State, error) {
-	if v.Away() {
+func (v *Store) State(ctx context.Context, id core.JobID) (jobs.State, error) {
+	if v.Unreachable() {
 		return "", v.away()
 	}
 	row, err := v.get(ctx, jobKey(id))
@@ -424,7 +424,7 @@
 }
 
 // Cancel records a cancellation.
-func (v *Vault) Cancel(ctx context.Context, id core.JobID, now time.Time) error {
+func (v *Store) Cancel(ctx context.Context, id core.JobID, now time.Time) error {
 	row, err := v.get(ctx, jobKey(id))
 	if err != nil {
 		return err
--- a/io/vault/vault_test.go
+++ b/io/record/store_test.go
@@ -1,4 +1,4 @@
-package vault_test
+package record_test
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/core"
-	"chicoryturn/core/board"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
 	"chicoryturn/core/jobs"
-	"chicoryturn/core/reign"
-	"chicoryturn/io/pace"
+	"chicoryturn/io/adapt"
+	"chicoryturn/io/record"
 	"chicoryturn/io/table"
-	"chicoryturn/io/vault"
 )
 
 // memory is a table in memory whose next calls can be made to fail.
@@ -54,7 +54,7 @@
 		}
 	}
 	if m.silent && !m.applied {
-		return table.Done{}, &table.DownError{Err: context.DeadlineExceeded}
+		return table.Done{}, &table.UnansweredError{Err: context.DeadlineExceeded}
 	}
 	var present []table.Row
 	differs := false
@@ -69,14 +69,14 @@
 		return table.Done{}, &table.ConflictError{Rows: present}
 	}
 	m.version++
-	for _, k := range t.Drops {
+	for _, k := range t.Deletes {
 		delete(m.rows, k)
 	}
 	for _, p := range t.Puts {
 		m.rows[p.Key] = table.Row{Key: p.Key, Val: p.Val, Version: m.version}
 	}
 	if m.silent {
-		return table.Done{}, &table.DownError{Err: context.DeadlineExceeded}
+		return table.Done{}, &table.UnansweredError{Err: context.DeadlineExceeded}
 	}
 	return table.Done{Version: m.version}, nil
 }
@@ -106,9 +106,9 @@
 	return c, nil
 }
 
-func open(t *testing.T, m *memory) *vault.Vault {
+func open(t *testing.T, m *memory) *record.Store {
 	t.Helper()
-	v := vault.New(m)
+	v := record.New(m)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- v.Run(ctx) }()
@@ -131,10 +131,10 @@
 	return ctx
 }
 
-func run(err error) core.Run {
+func run(err error) core.Execution {
 	var r *core.RefusalError
 	if errors.As(err, &r) {
-		return r.Run
+		return r.Execution
 	}
 	return ""
 }
@@ -175,14 +175,14 @@
 			if errors.As(err, &conflict) {
 				o = table.Outcome{Conflict: conflict}
 			}
-			table.Late(ctx, time.Since(began), o)
+			table.ReportLate(ctx, time.Since(began), o)
 		}
 	}()
 	select {
 	case r := <-out:
 		return r.done, r.err
 	case <-ctx.Done():
-		return table.Done{}, &table.DownError{Err: ctx.Err()}
+		return table.Done{}, &table.UnansweredError{Err: ctx.Err()}
 	}
 }
 
@@ -192,7 +192,7 @@
 func TestSlowStore(t *testing.T) {
 	is := is.New(t)
 	c := &crawl{memory: newMemory(), named: map[string]int{}, takes: 1400 * time.Millisecond}
-	v := vault.New(pace.New(c))
+	v := record.New(adapt.New(c))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = v.Run(ctx) }()
@@ -216,7 +216,7 @@
 }
 
 // accept records a job whatever the store holds of it.
-func accept(ctx context.Context, v *vault.Vault, s jobs.Spec) error {
+func accept(ctx context.Context, v *record.Store, s jobs.Spec) error {
 	_, err := v.Accept(ctx, s)
 	return err
 }
@@ -228,7 +228,7 @@
 		v := open(t, m)
 		is.NoErr(accept(within(t, time.Second), v, spec("a", "t")))
 		is.NoErr(accept(within(t, time.Second), v, spec("a", "t")))
-		is.Equal(run(accept(within(t, time.Second), v, spec("a", "other"))), core.RunNo)
+		is.Equal(run(accept(within(t, time.Second), v, spec("a", "other"))), core.NotExecuted)
 		state, err := v.State(context.Background(), "a")
 		is.NoErr(err)
 		is.Equal(state, jobs.Queued)
@@ -237,7 +237,7 @@
 		is := is.New(t)
 		v := open(t, newMemory())
 		first, again := spec("a", "t"), spec("a", "t")
-		first.From, again.From, again.Text = 3, 4, "other"
+		first.FirstEpoch, again.FirstEpoch, again.Payload = 3, 4, "other"
 		is.NoErr(accept(within(t, time.Second), v, first))
 		recorded, err := v.Accept(within(t, time.Second), again)
 		is.NoErr(err)
@@ -249,11 +249,11 @@
 		m.set(true, false, false)
 		v := open(t, m)
 		began := time.Now()
-		is.Equal(run(accept(within(t, 15*time.Second), v, spec("a", "t"))), core.RunNo)
+		is.Equal(run(accept(within(t, 15*time.Second), v, spec("a", "t"))), core.NotExecuted)
 		is.True(time.Since(began) < 2*time.Second)
 		m.set(false, false, false)
 		_, err := v.State(context.Background(), "a")
-		is.Equal(run(err), core.RunNo) // there is no such job
+		is.Equal(run(err), core.NotExecuted) // there is no such job
 	})
 	t.Run("recorded, but the answer was lost", func(t *testing.T) {
 		is := is.New(t)
@@ -271,7 +271,7 @@
 		m := newMemory()
 		m.set(false, true, false)
 		v := open(t, m)
-		is.Equal(run(accept(within(t, 500*time.Millisecond), v, spec("a", "t"))), core.RunUnknown)
+		is.Equal(run(accept(within(t, 500*time.Millisecond), v, spec("a", "t"))), core.ExecutionUnknown)
 	})
 	t.Run("an unanswered write is not taken back by a refusal", func(t *testing.T) {
 		is := is.New(t)
@@ -282,7 +282,7 @@
 			time.Sleep(200 * time.Millisecond)
 			m.set(true, false, false)
 		}()
-		is.Equal(run(accept(within(t, 1500*time.Millisecond), v, spec("a", "t"))), core.RunUnknown)
+		is.Equal(run(accept(within(t, 1500*time.Millisecond), v, spec("a", "t"))), core.ExecutionUnknown)
 	})
 }
 
@@ -316,17 +316,17 @@
 	is.NoErr(accept(ctx, v, spec("b", "t")))
 	is.NoErr(v.Cancel(ctx, "b", time.Now()))
 	is.NoErr(v.Cancel(ctx, "b", time.Now())) // again
-	is.Equal(run(v.Cancel(ctx, "c", time.Now())), core.RunNo)
+	is.Equal(run(v.Cancel(ctx, "c", time.Now())), core.NotExecuted)
 
-	done, err := v.Write(ctx, vault.Record{Seat: reign.Seat{Holder: "x", Epoch: 1}, Roster: []board.Host{{VM: core.VM{Name: "w"}}}})
+	done, err := v.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "x", Epoch: 1}, Roster: []fleet.WorkerInfo{{VM: core.VM{Name: "w"}}}})
 	is.NoErr(err)
 	p := jobs.Progress{Job: "a", State: jobs.Completed}
 	p.SetDone(0)
-	_, err = v.Write(ctx, vault.Record{Seat: reign.Seat{Holder: "x", Epoch: 1, Beat: 2}, Version: done.Version, Progress: []jobs.Progress{p}})
+	_, err = v.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "x", Epoch: 1, Beat: 2}, Version: done.Version, Progress: []jobs.Progress{p}})
 	is.NoErr(err)
 	// A write on an older seat has no effect.
 	var conflict *table.ConflictError
-	_, err = v.Write(ctx, vault.Record{Seat: reign.Seat{Holder: "y", Epoch: 2}, Version: done.Version})
+	_, err = v.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "y", Epoch: 2}, Version: done.Version})
 	is.True(errors.As(err, &conflict))
 
 	rec, err := v.Load(ctx)
@@ -335,12 +335,12 @@
 	is.Equal(rec.Cancelled, []core.JobID{"b"})
 	is.Equal(rec.Progress["a"].State, jobs.Completed)
 	is.Equal(len(rec.Roster), 1)
-	look, err := v.Seat(ctx)
+	look, err := v.OwnerRecord(ctx)
 	is.NoErr(err)
-	is.Equal(look.Seat.Holder, core.SessionID("x"))
+	is.Equal(look.Record.Holder, core.SessionID("x"))
 
 	is.NoErr(accept(ctx, v, spec("d", "t")))
-	news, err := v.News(ctx, rec.Version)
+	news, err := v.Changes(ctx, rec.Version)
 	is.NoErr(err)
 	is.Equal(len(news.Specs), 1)
 	is.Equal(news.Specs[0].ID, core.JobID("d"))
@@ -354,11 +354,11 @@
 	v := open(t, newMemory())
 	version := uint64(0)
 	for _, count := range []int{700, 350, 3, 0} {
-		hosts := []board.Host{}
+		hosts := []fleet.WorkerInfo{}
 		for i := range count {
-			hosts = append(hosts, board.Host{VM: core.VM{Name: fmt.Sprintf("i-%010d", i), Zone: "some-data-centre-a", Region: "some-region", Service: "a-service"}, Labels: []string{"a", "r1-22"}})
+			hosts = append(hosts, fleet.WorkerInfo{VM: core.VM{Name: fmt.Sprintf("i-%010d", i), Zone: "some-data-centre-a", Region: "some-region", Service: "a-service"}, Labels: []string{"a", "r1-22"}})
 		}
-		done, err := v.Write(ctx, vault.Record{Seat: reign.Seat{Holder: "x"}, Version: version, Roster: hosts})
+		done, err := v.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "x"}, Version: version, Roster: hosts})
 		is.NoErr(err)
 		version = done.Version
 		rec, err := v.Load(ctx)
@@ -392,10 +392,10 @@
 		is.NoErr(accept(ctx, v, spec(id, "t")))
 	}
 	is.NoErr(v.Cancel(ctx, "b", time.Now()))
-	done, err := v.Write(ctx, vault.Record{Seat: reign.Seat{Holder: "x"}, Progress: []jobs.Progress{{Job: "a", State: jobs.Completed}, {Job: "b", State: jobs.Cancelled}}})
+	done, err := v.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "x"}, Progress: []jobs.Progress{{Job: "a", State: jobs.Completed}, {Job: "b", State: jobs.Cancelled}}})
 	is.NoErr(err)
 	is.NoErr(v.Delete(ctx, []core.JobID{"a", "b"}))
-	_, err = v.Write(ctx, vault.Record{Seat: reign.Seat{Holder: "x"}, Version: done.Version, Drops: []core.JobID{"a", "b"}})
+	_, err = v.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "x"}, Version: done.Version, Deletes: []core.JobID{"a", "b"}})
 	is.NoErr(err)
 	rec, err := v.Load(ctx)
 	is.NoErr(err)
@@ -427,14 +427,14 @@
 // cut stands for a way to the store that may be cut off.
 type cut struct{ away atomic.Bool }
 
-func (c *cut) Away() bool { return c.away.Load() }
+func (c *cut) Unreachable() bool { return c.away.Load() }
 
 // TestCutOff submits jobs on a VM that does not reach the store: those that may
 // have been recorded, and those that surely have not, are answered at once.
 func TestCutOff(t *testing.T) {
 	is := is.New(t)
 	m, c := newMemory(), &cut{}
-	v := vault.New(m, vault.WithReach(c))
+	v := record.New(m, record.WithReach(c))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = v.Run(ctx) }()
@@ -447,12 +447,12 @@
 	c.away.Store(true)
 	var r *core.RefusalError
 	is.True(errors.As(<-unsure, &r))
-	is.Equal(r.Run, core.RunUnknown) // the client asks again under the same name
+	is.Equal(r.Execution, core.ExecutionUnknown) // the client asks again under the same name
 	is.True(errors.As(accept(ctx, v, jobs.Spec{ID: "a", Team: "t", Queue: "q"}), &r))
-	is.Equal(r.Run, core.RunUnknown) // the first call may still be carried out
+	is.Equal(r.Execution, core.ExecutionUnknown) // the first call may still be carried out
 	writes := m.count()
 	is.True(errors.As(accept(ctx, v, jobs.Spec{ID: "b", Team: "t", Queue: "q"}), &r))
-	is.Equal(r.Run, core.RunNo)
+	is.Equal(r.Execution, core.NotExecuted)
 	is.Equal(m.count(), writes) // nothing was sent
 	_, err := v.State(ctx, "a")
 	is.True(errors.As(err, &r))
--- a/io/vault/doubt.go
+++ b/io/record/uncertain.go
@@ -1,4 +1,4 @@
-package vault
+package record
 
 import (
 	"time"
@@ -16,7 +16,7 @@
 
 // doubt remembers that a job may have been recorded though its client was told
 // that it is not known.
-func (v *Vault) doubt(id core.JobID) {
+func (v *Store) doubt(id core.JobID) {
 	now := time.Now()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -32,11 +32,11 @@
 
 // refusal returns r, or that the outcome is not known if an earlier call for the
 // job may have been recorded.
-func (v *Vault) refusal(id core.JobID, r *core.RefusalError) *core.RefusalError {
+func (v *Store) refusal(id core.JobID, r *core.RefusalError) *core.RefusalError {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if at, ok := v.doubts[id]; !ok || time.Since(at) > doubtTime {
 		return r
 	}
-	return core.Unknown(r.Code, r, "an earlier call may have recorded the job")
+	return core.RefuseUnknown(r.Code, r, "an earlier call may have recorded the job")
 }
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -25,16 +25,16 @@
 	linger = 3 * time.Second
 )
 
-// Carrier has another VM carry out a call. The error is a RelayError if none
+// Forwarder has another VM carry out a call. The error is a RelayError if none
 // could be asked.
-type Carrier interface {
-	Carry(ctx context.Context, c table.Call) (table.Outcome, error)
+type Forwarder interface {
+	Forward(ctx context.Context, c table.Call) (table.Outcome, error)
 }
 
 // Store is the table, reached directly or through another VM.
 type Store struct {
-	direct  table.Doer
-	carrier Carrier
+	direct  table.Client
+	carrier Forwarder
 	clock   func() time.Time
 
 	// mu guards what the traffic goroutines share.
@@ -58,7 +58,7 @@
 func WithClock(now func() time.Time) Option { return func(s *Store) { s.clock = now } }
 
 // New returns a store that calls directly while it can.
-func New(direct table.Doer, c Carrier, opts ...Option) *Store {
+func New(direct table.Client, c Forwarder, opts ...Option) *Store {
 	s := &Store{direct: direct, carrier: c, clock: time.Now}
 	for _, o := range opts {
 		o(s)
@@ -73,8 +73,8 @@
 	return s.relayed
 }
 
-// Away reports whether the table cannot be reached on either way.
-func (s *Store) Away() bool {
+// Unreachable reports whether the table cannot be reached on either way.
+func (s *Store) Unreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.failing.IsZero() && s.clock().Sub(s.failing) > awayAfter
@@ -126,19 +126,19 @@
 // turnedAway reports whether the table has not dealt with a call.
 func turnedAway(err error) bool {
 	var refused *table.RefusedError
-	var down *table.DownError
+	var down *table.UnansweredError
 	return errors.As(err, &refused) || errors.As(err, &down)
 }
 
 // Serve carries out a call of another VM on either way.
 func (s *Store) Serve(ctx context.Context, c table.Call) table.Outcome { return s.do(ctx, c) }
 
-// ServeOwn carries out a call of another VM on this VM's own way, or not at all
+// ServeDirect carries out a call of another VM on this VM's own way, or not at all
 // while that is not answered.
-func (s *Store) ServeOwn(ctx context.Context, c table.Call) table.Outcome {
+func (s *Store) ServeDirect(ctx context.Context, c table.Call) table.Outcome {
 	direct, trial := s.route()
 	if !direct {
-		return table.Unreached()
+		return table.NotSent()
 	}
 	began := s.clock()
 	o := s.try(ctx, c, trial)
@@ -192,14 +192,14 @@
 		if late && !turnedAway(o.Err()) {
 			s.learn(began, nil)
 			s.heard(began, o)
-			table.Late(ctx, s.clock().Sub(began), o)
+			table.ReportLate(ctx, s.clock().Sub(began), o)
 		}
 	}()
 	var o table.Outcome
 	select {
 	case o = <-out:
 	case <-ctx.Done():
-		o = table.Outcome{Down: ctx.Err().Error()}
+		o = table.Outcome{NoAnswer: ctx.Err().Error()}
 		if errors.Is(ctx.Err(), context.Canceled) {
 			// The caller has left.
 			cancel()
@@ -213,14 +213,14 @@
 // one that was surely refused, and a trial read. Any other without answer is
 // left to its caller; a write may have taken effect.
 func detours(c table.Call, o table.Outcome, trial bool) bool {
-	if o.Down != "" {
+	if o.NoAnswer != "" {
 		return trial && c.Write == nil
 	}
 	return turnedAway(o.Err())
 }
 
 func (s *Store) carry(ctx context.Context, c table.Call) (table.Outcome, error) {
-	o, err := s.carrier.Carry(ctx, c)
+	o, err := s.carrier.Forward(ctx, c)
 	if err == nil {
 		s.mu.Lock()
 		s.relayed++
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -42,7 +42,7 @@
 	gone  bool
 }
 
-func (o *other) Carry(ctx context.Context, c table.Call) (table.Outcome, error) {
+func (o *other) Forward(ctx context.Context, c table.Call) (table.Outcome, error) {
 	if o.gone {
 		return table.Outcome{}, &table.RelayError{Reason: "gone"}
 	}
@@ -64,7 +64,7 @@
 
 func TestDetour(t *testing.T) {
 	ctx := context.Background()
-	refused, down := &table.RefusedError{Status: 503}, &table.DownError{Err: context.DeadlineExceeded}
+	refused, down := &table.RefusedError{Status: 503}, &table.UnansweredError{Err: context.DeadlineExceeded}
 	now := time.Date(2026, 12, 4, 6, 0, 0, 0, time.UTC)
 
 	t.Run("refused here, answered there", func(t *testing.T) {
@@ -90,7 +90,7 @@
 		there := &other{table: &fake{version: 7}}
 		s := relay.New(&fake{err: down}, there)
 		_, err := s.Write(ctx, table.Txn{})
-		var d *table.DownError
+		var d *table.UnansweredError
 		is.True(errors.As(err, &d))
 		is.Equal(there.table.calls, 0)
 		_, err = s.Write(ctx, table.Txn{}) // the next one takes the detour
@@ -115,9 +115,9 @@
 		found, ok := c.Find(row.Key)
 		is.True(ok)
 		is.Equal(string(found.Val), "x")
-		far.err = &table.TrimmedError{Version: 3}
+		far.err = &table.CompactedError{Version: 3}
 		_, err = s.Feed(ctx, table.Since{})
-		var tr *table.TrimmedError
+		var tr *table.CompactedError
 		is.True(errors.As(err, &tr))
 	})
 	t.Run("nobody else", func(t *testing.T) {
@@ -144,7 +144,7 @@
 	select {
 	case <-time.After(s.takes):
 	case <-ctx.Done():
-		return table.Done{}, &table.DownError{Err: ctx.Err()}
+		return table.Done{}, &table.UnansweredError{Err: ctx.Err()}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,10 +158,10 @@
 	direct, there := &slow{takes: 300 * time.Millisecond}, &other{table: &fake{}}
 	s := relay.New(direct, there)
 	late := make(chan time.Duration, 1)
-	ctx, cancel := context.WithTimeout(table.WithLate(context.Background(), func(took time.Duration, _ table.Outcome) { late <- took }), 100*time.Millisecond)
+	ctx, cancel := context.WithTimeout(table.WithLateHook(context.Background(), func(took time.Duration, _ table.Outcome) { late <- took }), 100*time.Millisecond)
 	defer cancel()
 	_, err := s.Write(ctx, table.Txn{})
-	var d *table.DownError
+	var d *table.UnansweredError
 	is.True(errors.As(err, &d))
 	select {
 	case took := <-late:
@@ -225,22 +225,22 @@
 		now = now.Add(400 * time.Millisecond)
 	}
 	read()
-	is.True(!s.Away())
+	is.True(!s.Unreachable())
 	direct.err, far.err = &table.RefusedError{Status: 503}, &table.RefusedError{Status: 503}
 	for range 10 {
 		read()
-		is.True(!s.Away()) // it refuses, so it is there
+		is.True(!s.Unreachable()) // it refuses, so it is there
 	}
-	direct.err, far.err = &table.DownError{Err: context.DeadlineExceeded}, &table.DownError{Err: context.DeadlineExceeded}
+	direct.err, far.err = &table.UnansweredError{Err: context.DeadlineExceeded}, &table.UnansweredError{Err: context.DeadlineExceeded}
 	read()
-	is.True(!s.Away()) // one lost answer shows nothing
+	is.True(!s.Unreachable()) // one lost answer shows nothing
 	for range 4 {
 		read()
 	}
-	is.True(s.Away())
+	is.True(s.Unreachable())
 	far.err = nil
 	read()
-	is.True(!s.Away())
+	is.True(!s.Unreachable())
 }
 
 // TestServeOwn has a VM that is turned away itself say so at once when another
@@ -251,11 +251,11 @@
 	direct, far := &fake{version: 3}, &fake{version: 4}
 	s := relay.New(direct, &other{table: far}, relay.WithClock(func() time.Time { return now }))
 	call := table.Call{Read: &table.Range{Table: "t"}}
-	is.Equal(s.ServeOwn(context.Background(), call).Page.Version, uint64(3))
+	is.Equal(s.ServeDirect(context.Background(), call).Page.Version, uint64(3))
 	direct.err = &table.RefusedError{Status: 503}
-	is.Equal(s.ServeOwn(context.Background(), call).Refused, 503)
+	is.Equal(s.ServeDirect(context.Background(), call).RefusedStatus, 503)
 	calls := direct.calls
-	is.True(!s.ServeOwn(context.Background(), call).Answered())
+	is.True(!s.ServeDirect(context.Background(), call).Answered())
 	is.Equal(direct.calls, calls)
 	is.Equal(s.Serve(context.Background(), call).Page.Version, uint64(4))
 }
--- a/io/sched/journal.go
+++ b/io/sched/journal.go
@@ -90,7 +90,7 @@
 	s.tenures[id] = t
 	s.applyRules(t)
 	s.applyVMs(now, t)
-	s.Agent.AddBook(book, "cores/")
+	s.Agent.AddLedger(book, "cores/")
 	s.Agent.Member.Loaded(id)
 	s.log.Infof("cell %s loaded: epoch %d, %d journal entries", id, m.claim.Epoch, len(m.entries))
 }
@@ -117,7 +117,7 @@
 	}
 	var batch []cell.Entry
 	if t.doubt {
-		batch = t.cell.Flying()
+		batch = t.cell.InFlight()
 	} else if batch = t.cell.Batch(); batch == nil {
 		return
 	}
@@ -147,7 +147,7 @@
 		t.next++
 		t.sinceSnap++
 		t.oldLogs = append(t.oldLogs, m.key)
-		s.accept(t, t.cell.Recorded(now))
+		s.accept(t, t.cell.BatchStored(now))
 	case conflict != nil:
 		s.log.Warnf("cell %s: the journal has a newer owner", m.cell)
 		s.Agent.Member.Lost(m.cell)
@@ -232,7 +232,7 @@
 		return
 	}
 	t.pauseTill = now.Add(recordPause)
-	s.Agent.Release(now, t.claim)
+	s.Agent.ReleaseCell(now, t.claim)
 }
 
 func (s *Sched) accept(t *tenure, ids []core.JobID) {
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -41,7 +41,7 @@
 
 // Workers calls worker VMs.
 type Workers interface {
-	Contact(ctx context.Context, k cell.Contact) (cell.Report, error)
+	Contact(ctx context.Context, k cell.Heartbeat) (cell.Report, error)
 }
 
 // Meter takes in what the sched measures.
@@ -55,7 +55,7 @@
 type tenure struct {
 	claim member.Claim
 	cell  *cell.Cell
-	book  *ledger.Book
+	book  *ledger.Ledger
 	// next numbers the journal row written next.
 	next uint64
 	// recording is set while a write of the journal or a snapshot is in flight.
@@ -121,7 +121,7 @@
 	contacted struct {
 		cell    core.CellID
 		epoch   core.Epoch
-		contact cell.Contact
+		contact cell.Heartbeat
 		report  cell.Report
 		err     error
 	}
@@ -168,7 +168,7 @@
 
 // Handle implements loop.Handler.
 func (s *Sched) Handle(now time.Time, m loop.Message) {
-	if s.Agent.Handle(now, m) || s.Agent.Viewed(now, m) || s.asked(now, m) {
+	if s.Agent.Handle(now, m) || s.Agent.HandleView(now, m) || s.asked(now, m) {
 		return
 	}
 	switch m := m.(type) {
@@ -183,19 +183,19 @@
 	case leave:
 		s.log.Info("leaving: handing cells over")
 		s.leaving = true
-		s.Agent.Member.Leave()
+		s.Agent.Member.Drain()
 	}
 }
 
 // Wake implements loop.Handler.
 func (s *Sched) Wake(now time.Time) time.Time {
-	next := s.Agent.Wake(now)
+	next := s.Agent.Tick(now)
 	s.follow(now)
 	tick := !now.Before(s.nextTick)
 	if tick {
 		s.nextTick = now.Add(tickEvery)
 	}
-	live := s.Agent.Member.Live(now)
+	live := s.Agent.Member.SessionValid(now)
 	for _, t := range s.tenures {
 		if live {
 			next = core.Earlier(next, s.drive(now, t, tick))
@@ -234,10 +234,10 @@
 func (s *Sched) close(id core.CellID, t *tenure) {
 	s.log.Infof("cell %s is no longer owned here", id)
 	delete(s.tenures, id)
-	s.Agent.DropBook(t.book)
+	s.Agent.RemoveLedger(t.book)
 	for _, list := range t.waiting {
 		for _, c := range list {
-			c <- submitted{err: core.Unknown(core.CodeOwner, nil, "cell %s has changed hands", id)}
+			c <- submitted{err: core.RefuseUnknown(core.CodeOwner, nil, "cell %s has changed hands", id)}
 		}
 	}
 }
@@ -263,7 +263,7 @@
 	} else {
 		next = t.lastPlan.Add(planEvery)
 	}
-	for _, k := range t.cell.Contacts(now) {
+	for _, k := range t.cell.Heartbeats(now) {
 		s.contact(t, k)
 	}
 	s.record(now, t)
@@ -272,13 +272,13 @@
 }
 
 func (s *Sched) observe(t *tenure) {
-	s.Agent.Refused(t.cell.Refusals())
+	s.Agent.LogRefusals(t.cell.Refusals())
 	for _, w := range t.cell.Waits() {
 		s.meter.TaskWait(w.Queue, w.Team, w.Time)
 	}
 }
 
-func (s *Sched) contact(t *tenure, k cell.Contact) {
+func (s *Sched) contact(t *tenure, k cell.Heartbeat) {
 	id, epoch := t.claim.Cell, t.claim.Epoch
 	s.loop.Go(func(ctx context.Context) loop.Message {
 		r, err := s.workers.Contact(ctx, k)
@@ -299,7 +299,7 @@
 		s.follow(now)
 	case m.err != nil:
 		s.log.WithError(m.err).Debug("contact missed")
-		t.cell.Missed(now, m.contact)
+		t.cell.HeartbeatFailed(now, m.contact)
 	default:
 		t.cell.Report(now, m.contact, m.report)
 	}
@@ -328,7 +328,7 @@
 	for _, t := range s.tenures {
 		for team := range s.Agent.Conf.Rules().Teams {
 			name := cell.LimitName(team)
-			t.cell.SetAfar(team, t.book.Total(name)-t.book.Held(name), fleet)
+			t.cell.SetRemoteUse(team, t.book.Total(name)-t.book.Held(name), fleet)
 		}
 	}
 }
@@ -341,7 +341,7 @@
 		rows.Add(cell.LimitName(name))
 		t.book.Declare(cell.LimitName(name), team.Cores, team.Cores/slackPart)
 	}
-	t.book.Forget(rows.Has)
+	t.book.ZeroTotals(rows.Has)
 }
 
 func (s *Sched) applyVMs(now time.Time, t *tenure) {
@@ -367,5 +367,5 @@
 		return
 	}
 	s.leftDone = true
-	s.Agent.Depart(s.left)
+	s.Agent.DeleteSession(s.left)
 }
--- a/io/sched/serve.go
+++ b/io/sched/serve.go
@@ -109,7 +109,7 @@
 		return nil, core.Refuse(core.CodeNoJob, "%q is not the name of a job", id)
 	}
 	t := s.tenures[c]
-	if t == nil || t.releasing || !s.Agent.Member.Live(now) {
+	if t == nil || t.releasing || !s.Agent.Member.SessionValid(now) {
 		r := core.Refuse(core.CodeOwner, "cell %s is not owned here", c)
 		r.RetryAfter = time.Second
 		return nil, r
@@ -164,14 +164,14 @@
 
 // Hold implements peer.Backend.
 func (s *Sched) Hold(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
-	return s.Agent.Hold(ctx, row, version, resign)
+	return s.Agent.RenewOrPromise(ctx, row, version, resign)
 }
 
 // Submit implements peer.Backend.
 func (s *Sched) Submit(ctx context.Context, spec cell.JobSpec) (bool, error) {
 	r, err := loop.Ask(ctx, s.loop, func(c chan<- submitted) loop.Message { return submitAsked{spec, c} })
 	if err != nil {
-		return false, core.Unknown(core.CodeStore, err, "the job may or may not have been recorded")
+		return false, core.RefuseUnknown(core.CodeStore, err, "the job may or may not have been recorded")
 	}
 	return r.repeated, r.err
 }
--- a/io/table/call.go
+++ b/io/table/call.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// Doer carries out calls of the table.
-type Doer interface {
+// Client carries out calls of the table.
+type Client interface {
 	Write(ctx context.Context, t Txn) (Done, error)
 	Read(ctx context.Context, r Range) (Page, error)
 	Feed(ctx context.Context, s Since) (Changes, error)
@@ -21,14 +21,14 @@
 
 // Outcome is the result of a call that another VM has carried out.
 type Outcome struct {
-	Done     *Done          `json:",omitempty"`
-	Page     *Page          `json:",omitempty"`
-	Changes  *Changes       `json:",omitempty"`
-	Refused  int            `json:",omitempty"`
-	Conflict *ConflictError `json:",omitempty"`
-	Trimmed  *TrimmedError  `json:",omitempty"`
-	// Down says why nothing is known of the outcome.
-	Down string `json:",omitempty"`
+	Done          *Done           `json:",omitempty"`
+	Page          *Page           `json:",omitempty"`
+	Changes       *Changes        `json:",omitempty"`
+	RefusedStatus int             `json:"Refused,omitempty"`
+	Conflict      *ConflictError  `json:",omitempty"`
+	Compacted     *CompactedError `json:"Trimmed,omitempty"`
+	// NoAnswer says why nothing is known of the outcome.
+	NoAnswer string `json:"Down,omitempty"`
 }
 
 // RelayError says why another VM could not carry out a call.
@@ -41,7 +41,7 @@
 const unreached = -1
 
 // Do carries out a call for another VM.
-func Do(ctx context.Context, d Doer, c Call) Outcome {
+func Do(ctx context.Context, d Client, c Call) Outcome {
 	var o Outcome
 	var err error
 	switch {
@@ -68,36 +68,36 @@
 	var o Outcome
 	var refused *RefusedError
 	switch {
-	case errors.As(err, &o.Conflict), errors.As(err, &o.Trimmed):
+	case errors.As(err, &o.Conflict), errors.As(err, &o.Compacted):
 	case errors.As(err, &refused) && refused.Status > 0:
-		o.Refused = refused.Status
+		o.RefusedStatus = refused.Status
 	case errors.As(err, &refused):
-		o.Refused = unreached
+		o.RefusedStatus = unreached
 	default:
-		o.Down = err.Error()
+		o.NoAnswer = err.Error()
 	}
 	return o
 }
 
-// Unreached returns the outcome of a call that was surely not made.
-func Unreached() Outcome { return Outcome{Refused: unreached} }
+// NotSent returns the outcome of a call that was surely not made.
+func NotSent() Outcome { return Outcome{RefusedStatus: unreached} }
 
 // Answered reports whether the table itself has dealt with or refused the call.
-func (o Outcome) Answered() bool { return o.Down == "" && o.Refused != unreached }
+func (o Outcome) Answered() bool { return o.NoAnswer == "" && o.RefusedStatus != unreached }
 
 // Err returns the error of a call that has failed.
 func (o Outcome) Err() error {
 	switch {
 	case o.Conflict != nil:
 		return o.Conflict
-	case o.Trimmed != nil:
-		return o.Trimmed
-	case o.Refused == unreached:
+	case o.Compacted != nil:
+		return o.Compacted
+	case o.RefusedStatus == unreached:
 		return &RefusedError{Err: &RelayError{"the other VM does not reach the table"}}
-	case o.Refused != 0:
-		return &RefusedError{Status: o.Refused}
-	case o.Down != "":
-		return &DownError{&RelayError{o.Down}}
+	case o.RefusedStatus != 0:
+		return &RefusedError{Status: o.RefusedStatus}
+	case o.NoAnswer != "":
+		return &UnansweredError{&RelayError{o.NoAnswer}}
 	}
 	return nil
 }
--- a/io/table/late.go
+++ b/io/table/late.go
@@ -10,18 +10,18 @@
 // late is told of an answer that came when its caller had given up.
 type late func(took time.Duration, o Outcome)
 
-// WithLate has a function told of a call's answer, and how long it took, if it
+// WithLateHook has a function told of a call's answer, and how long it took, if it
 // comes after the context's deadline. Functions of outer contexts are told too.
-func WithLate(ctx context.Context, f func(took time.Duration, o Outcome)) context.Context {
+func WithLateHook(ctx context.Context, f func(took time.Duration, o Outcome)) context.Context {
 	outer := ctx
 	return context.WithValue(ctx, lateKey{}, late(func(took time.Duration, o Outcome) {
 		f(took, o)
-		Late(outer, took, o)
+		ReportLate(outer, took, o)
 	}))
 }
 
-// Late tells those who have asked of a late answer.
-func Late(ctx context.Context, took time.Duration, o Outcome) {
+// ReportLate tells those who have asked of a late answer.
+func ReportLate(ctx context.Context, took time.Duration, o Outcome) {
 	if f, ok := ctx.Value(lateKey{}).(late); ok {
 		f(took, o)
 	}
--- a/io/table/table.go
+++ b/io/table/table.go
@@ -17,7 +17,7 @@
 	Key
 	Val     []byte
 	Version uint64
-	Gone    bool
+	Deleted bool `json:"Gone"`
 }
 
 // Check demands that a row still has a version; version 0 demands its absence.
@@ -35,9 +35,9 @@
 // Txn is applied whole if every check holds, and not at all otherwise. All its
 // rows are in one partition.
 type Txn struct {
-	Checks []Check
-	Puts   []Put
-	Drops  []Key
+	Checks  []Check
+	Puts    []Put
+	Deletes []Key `json:"Drops"`
 }
 
 // Page is a part of a table as of one moment.
@@ -79,15 +79,15 @@
 	Wait time.Duration
 }
 
-// DownError reports a call without an answer. A write may have taken effect,
+// UnansweredError reports a call without an answer. A write may have taken effect,
 // or may do so later if its checks still hold.
-type DownError struct{ Err error }
+type UnansweredError struct{ Err error }
 
 // Error implements error.
-func (e *DownError) Error() string { return fmt.Sprintf("the table does not answer: %v", e.Err) }
+func (e *UnansweredError) Error() string { return fmt.Sprintf("the table does not answer: %v", e.Err) }
 
 // Unwrap returns the cause.
-func (e *DownError) Unwrap() error { return e.Err }
+func (e *UnansweredError) Unwrap() error { return e.Err }
 
 // RefusedError reports a call that surely had no effect.
 type RefusedError struct {
@@ -117,18 +117,18 @@
 // Find returns the present form of a checked row.
 func (e *ConflictError) Find(k Key) (Row, bool) {
 	for _, r := range e.Rows {
-		if r.Key == k && !r.Gone && r.Version > 0 {
+		if r.Key == k && !r.Deleted && r.Version > 0 {
 			return r, true
 		}
 	}
 	return Row{}, false
 }
 
-// TrimmedError reports that the changes asked for are no longer kept.
-type TrimmedError struct{ Version uint64 }
+// CompactedError reports that the changes asked for are no longer kept.
+type CompactedError struct{ Version uint64 }
 
 // Error implements error.
-func (e *TrimmedError) Error() string {
+func (e *CompactedError) Error() string {
 	return fmt.Sprintf("the changes after version %d are no longer kept", e.Version)
 }
 
--- a/io/trail/trail.go
+++ b/io/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trail finds the life of one job in the logs of all VMs.
-package trail
+// Package trace finds the life of one job in the logs of all VMs.
+package trace
 
 import (
 	"bufio"
@@ -97,9 +97,9 @@
 	return b.String()
 }
 
-// Verdict sums up what the lines tell: how the job ended, and what took most
+// Summary sums up what the lines tell: how the job ended, and what took most
 // of its time.
-func Verdict(lines []Line) string {
+func Summary(lines []Line) string {
 	if len(lines) == 0 {
 		return "no line names this job: no call for it has reached a VM whose log this is"
 	}
--- a/io/trail/trail_test.go
+++ b/io/trace/trace_test.go
@@ -1,4 +1,4 @@
-package trail_test
+package trace_test
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"chicoryturn/io/trail"
+	"chicoryturn/io/trace"
 )
 
 const log = `   5.1 vm-b {"job":"aa","msg":"placed","part":"owner","run":1,"task":"aa.0.0.0","time":"06:00:01.300","vm":"vm-b","worker":"i-1","after":"1.2s"}
@@ -21,14 +21,14 @@
 
 func TestTrail(t *testing.T) {
 	is := is.New(t)
-	lines, skipped, err := trail.Read(strings.NewReader(log), "aa")
+	lines, skipped, err := trace.Read(strings.NewReader(log), "aa")
 	is.NoErr(err)
 	is.Equal(len(lines), 5)
 	is.Equal(skipped, 1)
 	is.Equal(lines[0].What, "submit")
 	is.Equal(lines[4].What, "job completed")
-	is.Equal(trail.Verdict(lines), "job completed after 4.2s late by 1.1s; last waited for: no worker that may run it has room after 1.1s; 1 runs failed, the last on i-1")
-	is.Equal(trail.Span(lines).String(), "4.2s")
+	is.Equal(trace.Summary(lines), "job completed after 4.2s late by 1.1s; last waited for: no worker that may run it has room after 1.1s; 1 runs failed, the last on i-1")
+	is.Equal(trace.Span(lines).String(), "4.2s")
 }
 
 // TestVerdicts has rows: a job and the cause that its lines alone must tell.
@@ -39,9 +39,9 @@
 	} {
 		t.Run(job, func(t *testing.T) {
 			is := is.New(t)
-			lines, _, err := trail.Read(strings.NewReader(log), job)
+			lines, _, err := trace.Read(strings.NewReader(log), job)
 			is.NoErr(err)
-			is.Equal(trail.Verdict(lines), want)
+			is.Equal(trace.Summary(lines), want)
 		})
 	}
 }
--- a/io/work/work.go
+++ b/io/work/work.go
@@ -33,12 +33,12 @@
 
 // Start asks for a task to be run.
 type Start struct {
-	Task    string `json:"task"`
-	Try     uint64 `json:"try"`
-	Team    string `json:"team"`
-	Need    Room   `json:"need"`
-	Run     string `json:"run"`
-	Command string `json:"command"`
+	Task     string `json:"task"`
+	Run      uint64 `json:"try"`
+	Team     string `json:"team"`
+	Need     Room   `json:"need"`
+	Estimate string `json:"run"`
+	Command  string `json:"command"`
 	// Saved is the run time that the task's newest checkpoint holds.
 	Saved string `json:"saved,omitempty"`
 }
@@ -46,7 +46,7 @@
 // Ack lets the worker forget a run that has ended.
 type Ack struct {
 	Task string `json:"task"`
-	Try  uint64 `json:"try"`
+	Run  uint64 `json:"try"`
 }
 
 // Stop asks for a task to be ended.
@@ -55,40 +55,40 @@
 	How  string `json:"how"`
 }
 
-// Contact is the body of a call.
-type Contact struct {
-	Cell   string  `json:"cell"`
-	Epoch  uint64  `json:"epoch"`
-	Order  uint64  `json:"order"`
-	Stamp  string  `json:"stamp,omitempty"`
-	TTL    string  `json:"ttl"`
-	Born   string  `json:"born,omitempty"`
-	After  uint64  `json:"after"`
-	Wait   string  `json:"wait"`
-	Starts []Start `json:"starts,omitempty"`
-	Stops  []Stop  `json:"stops,omitempty"`
-	Acks   []Ack   `json:"acks,omitempty"`
+// Heartbeat is the body of a call.
+type Heartbeat struct {
+	Cell        string  `json:"cell"`
+	Epoch       uint64  `json:"epoch"`
+	Order       uint64  `json:"order"`
+	Stamp       string  `json:"stamp,omitempty"`
+	TTL         string  `json:"ttl"`
+	Incarnation string  `json:"born,omitempty"`
+	After       uint64  `json:"after"`
+	Wait        string  `json:"wait"`
+	Starts      []Start `json:"starts,omitempty"`
+	Stops       []Stop  `json:"stops,omitempty"`
+	Acks        []Ack   `json:"acks,omitempty"`
 }
 
 // Task is a task as the worker reports it.
 type Task struct {
-	Task  string `json:"task"`
-	Try   uint64 `json:"try"`
-	State string `json:"state"`
-	Team  string `json:"team"`
-	Need  Room   `json:"need"`
-	Used  Room   `json:"used"`
-	Ran   string `json:"ran"`
+	Task    string `json:"task"`
+	Run     uint64 `json:"try"`
+	State   string `json:"state"`
+	Team    string `json:"team"`
+	Need    Room   `json:"need"`
+	Used    Room   `json:"used"`
+	Elapsed string `json:"ran"`
 }
 
 // Report is the answer to a call.
 type Report struct {
-	Stamp string `json:"stamp"`
-	Born  string `json:"born"`
-	Seq   uint64 `json:"seq"`
-	Full  bool   `json:"full,omitempty"`
-	Room  Room   `json:"room"`
-	Tasks []Task `json:"tasks,omitempty"`
+	Stamp       string `json:"stamp"`
+	Incarnation string `json:"born"`
+	Seq         uint64 `json:"seq"`
+	Full        bool   `json:"full,omitempty"`
+	Room        Room   `json:"room"`
+	Tasks       []Task `json:"tasks,omitempty"`
 }
 
 // StaleError reports that the worker obeys a newer owner.
@@ -127,7 +127,7 @@
 }
 
 // Contact sends one message and returns the worker's report.
-func (c *Client) Contact(ctx context.Context, k cell.Contact) (cell.Report, error) {
+func (c *Client) Contact(ctx context.Context, k cell.Heartbeat) (cell.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.Wait+slack)
 	defer cancel()
 	fail := func(err error) (cell.Report, error) { return cell.Report{}, &ContactError{k.Worker, err} }
@@ -168,19 +168,19 @@
 	return core.Resources{Cores: r.Cores, Memory: r.Memory, Accel: r.Accel}
 }
 
-func encode(k cell.Contact) Contact {
-	out := Contact{
+func encode(k cell.Heartbeat) Heartbeat {
+	out := Heartbeat{
 		Cell: k.Cell.String(), Epoch: uint64(k.Epoch), Order: k.Order, Stamp: k.Stamp,
-		TTL: k.TTL.String(), Born: k.Born, After: k.After, Wait: k.Wait.String(),
+		TTL: k.TTL.String(), Incarnation: k.Incarnation, After: k.After, Wait: k.Wait.String(),
 	}
 	for _, s := range k.Starts {
-		out.Starts = append(out.Starts, Start{s.Task.String(), s.Try, string(s.Team), room(s.Need), s.Run.String(), s.Command, s.Saved.String()})
+		out.Starts = append(out.Starts, Start{s.Task.String(), s.Run, string(s.Team), room(s.Need), s.Estimate.String(), s.Command, s.Saved.String()})
 	}
 	for _, s := range k.Stops {
 		out.Stops = append(out.Stops, Stop{s.Task.String(), string(s.How)})
 	}
 	for _, a := range k.Acks {
-		out.Acks = append(out.Acks, Ack{a.Task.String(), a.Try})
+		out.Acks = append(out.Acks, Ack{a.Task.String(), a.Run})
 	}
 	return out
 }
@@ -204,18 +204,18 @@
 	if r.Stamp == "" {
 		return cell.Report{}, &FormatError{"stamp", ""}
 	}
-	out := cell.Report{Stamp: r.Stamp, Born: r.Born, Seq: r.Seq, Full: r.Full, Room: r.Room.Core()}
+	out := cell.Report{Stamp: r.Stamp, Incarnation: r.Incarnation, Seq: r.Seq, Full: r.Full, Room: r.Room.Core()}
 	for _, t := range r.Tasks {
 		id, ok := core.ParseTaskID(t.Task)
 		if !ok {
 			return cell.Report{}, &FormatError{"task", t.Task}
 		}
-		ran, err := time.ParseDuration(t.Ran)
+		ran, err := time.ParseDuration(t.Elapsed)
 		if err != nil {
-			return cell.Report{}, &FormatError{"ran", t.Ran}
+			return cell.Report{}, &FormatError{"ran", t.Elapsed}
 		}
 		out.Tasks = append(out.Tasks, cell.TaskReport{
-			Task: id, Try: t.Try, State: cell.TaskState(t.State), Team: core.Team(t.Team), Need: t.Need.Core(), Used: t.Used.Core(), Ran: ran,
+			Task: id, Run: t.Run, State: cell.TaskState(t.State), Team: core.Team(t.Team), Need: t.Need.Core(), Used: t.Used.Core(), Elapsed: ran,
 		})
 	}
 	return out, nil
