--- a/proof/call_test.go
+++ b/proof/call_test.go
@@ -15,13 +15,13 @@
 
 	"chicoryturn/core"
 	"chicoryturn/io/demo"
-	"chicoryturn/io/site"
-	"chicoryturn/io/stand"
+	"chicoryturn/io/deploy"
+	"chicoryturn/io/fakes"
 )
 
 // requests offers both kinds of requests for a time.
-func requests(d time.Duration) demo.Load {
-	return demo.Load{For: d, Seed: 11, Calls: []demo.CallLoad{
+func requests(d time.Duration) demo.Workload {
+	return demo.Workload{Duration: d, Seed: 11, Calls: []demo.RequestStream{
 		{Queue: "fit", Team: "pewter", Every: 10 * ms, Work: 20 * ms},
 		{Queue: "angle", Team: "press", Every: 10 * ms, Work: 20 * ms},
 	}}
@@ -33,7 +33,7 @@
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
 	ctx := context.Background()
 	stop := make(chan struct{})
@@ -57,7 +57,7 @@
 					queue, team = "angle", "press"
 				}
 				res := r.Caller(team).Call(ctx, g.callers, queue, fmt.Sprintf("%d-%d", i, n), 10*ms, nil)
-				r.Keep(res)
+				r.AddResult(res)
 				if res.Err != nil || res.Status != http.StatusOK {
 					mu.Lock()
 					refused[fmt.Sprintf("%d %s %s %v", res.Status, res.Code, res.Body, res.Err)]++
@@ -76,7 +76,7 @@
 		f.eventually(e.name+" is ready again", func() error { return isReady(e.ops) })
 		f.balance(e, true)
 	}
-	is.NoErr(r.Drive(ctx, steady(time.Second)))
+	is.NoErr(r.RunWorkload(ctx, steady(time.Second)))
 	close(stop)
 	load.Wait()
 	for what, n := range refused {
@@ -116,7 +116,7 @@
 // that must not be repeated is sent twice, and that "not run" is true.
 func TestTargetFaults(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
 	ctx := context.Background()
 	n := 0
@@ -134,7 +134,7 @@
 						team = "press"
 					}
 					res := r.Caller(team).Call(ctx, f.gates[i%3].callers, queue, fmt.Sprintf("r%d", n), ms, h)
-					r.Keep(res)
+					r.AddResult(res)
 					f.judge(res, how)
 				}
 			}
@@ -154,7 +154,7 @@
 	if whole != (how == "") {
 		f.t.Errorf("%s: target told %q, but status %d, error %v", res.ID, how, res.Status, res.Err)
 	}
-	if !whole && res.Err == nil && res.Run != core.RunUnknown {
+	if !whole && res.Err == nil && res.Run != core.ExecutionUnknown {
 		f.t.Errorf("%s: run is %q although the target had the request", res.ID, res.Run)
 	}
 }
@@ -169,7 +169,7 @@
 		}
 	}
 	for _, res := range r.Results() {
-		if res.Run == core.RunNo && seen.Has(res.ID) {
+		if res.Run == core.NotExecuted && seen.Has(res.ID) {
 			f.t.Errorf("request %s was reported as not run, but a target has it", res.ID)
 		}
 	}
@@ -181,7 +181,7 @@
 func TestReusedConnection(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	p := small(site.Glaze())
+	p := small(deploy.Glaze())
 	f := newFleet(t, p)
 	got := make(chan string, 100)
 	at := closing(t, got)
@@ -203,7 +203,7 @@
 		is.NoErr(err)
 		_ = resp.Body.Close()
 		if i%2 == 1 {
-			is.Equal(resp.Header.Get("Run"), string(core.RunUnknown))
+			is.Equal(resp.Header.Get("Run"), string(core.ExecutionUnknown))
 		}
 	}
 	seen := map[string]int{}
@@ -261,7 +261,7 @@
 func TestKeyedRetry(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
 	ctx := context.Background()
 	h := http.Header{"Idempotency-Key": {"angle-7"}}
@@ -281,13 +281,13 @@
 	res := c.Call(ctx, f.gates[1].callers, "angle", "one", ms, h)
 	is.NoErr(res.Err)
 	is.Equal(res.Code, core.CodeRepeat)
-	is.Equal(res.Run, core.RunUnknown)
+	is.Equal(res.Run, core.ExecutionUnknown)
 	// Without the store no intent can be recorded: refused, and truly not run.
-	is.NoErr(f.faults(stand.Faults{Down: true}))
+	is.NoErr(f.faults(fakes.PlatformFaults{Down: true}))
 	res = c.Call(ctx, f.gates[1].callers, "angle", "two", ms, http.Header{"Idempotency-Key": {"angle-8"}})
-	is.Equal(res.Run, core.RunNo)
-	is.NoErr(f.faults(stand.Faults{}))
-	r.Keep(res)
+	is.Equal(res.Run, core.NotExecuted)
+	is.NoErr(f.faults(fakes.PlatformFaults{}))
+	r.AddResult(res)
 	f.truth(r)
 	f.check(r)
 }
@@ -298,8 +298,8 @@
 	t.Parallel()
 	for _, opts := range [][]option{{}, {direct}} {
 		t.Run(fmt.Sprintf("direct %t", len(opts) > 0), func(t *testing.T) {
-			f := newFleet(t, small(site.Glaze()), opts...)
-			l := demo.Load{For: 6 * time.Second, Seed: 2, Calls: []demo.CallLoad{
+			f := newFleet(t, small(deploy.Glaze()), opts...)
+			l := demo.Workload{Duration: 6 * time.Second, Seed: 2, Calls: []demo.RequestStream{
 				{Queue: "fit", Team: "pewter", Every: 8 * ms, Work: 300 * ms},
 				{Queue: "angle", Team: "press", Every: 8 * ms, Work: 200 * ms},
 			}}
@@ -321,7 +321,7 @@
 func TestLeavingTarget(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	var left time.Time
 	f.during(requests(6*time.Second), func() {
 		for i := range f.vms {
--- a/proof/chaos_test.go
+++ b/proof/chaos_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"chicoryturn/io/demo"
-	"chicoryturn/io/site"
-	"chicoryturn/io/stand"
+	"chicoryturn/io/deploy"
+	"chicoryturn/io/fakes"
 )
 
 var (
@@ -31,25 +31,25 @@
 	s := f.scheds[rng.IntN(len(f.scheds))]
 	w := rng.IntN(len(f.workers))
 	target := fmt.Sprintf("target%d", rng.IntN(len(f.targets)))
-	set := func(p *stand.Proxy, l stand.Link) func() { return func() { _ = p.Set(l) } }
+	set := func(p *fakes.Proxy, l fakes.LinkFaults) func() { return func() { _ = p.Set(l) } }
 	wl := f.links[f.workers[w].name]
 	list := []fault{
 		{"kill " + e.name, e.kill, e.run},
 		{"kill " + s.name, s.kill, s.run},
 		{"pause " + e.name, e.pause, e.resume},
 		{"pause " + s.name, s.pause, s.resume},
-		{"cut the store from " + e.name, set(e.toStore, stand.Link{Cut: true}), set(e.toStore, stand.Link{})},
-		{"no store replies to " + s.name, set(s.toStore, stand.Link{Down: true}), set(s.toStore, stand.Link{})},
-		{"cut peers from " + s.name, set(s.toPeers, stand.Link{Cut: true}), set(s.toPeers, stand.Link{})},
-		{"store down", func() { _ = f.faults(stand.Faults{Down: true}) }, func() { _ = f.faults(stand.Faults{}) }},
-		{"store slow", func() { _ = f.faults(stand.Faults{Delay: "300ms"}) }, func() { _ = f.faults(stand.Faults{}) }},
-		{"store loses replies", func() { _ = f.faults(stand.Faults{Lose: 20}) }, func() { _ = f.faults(stand.Faults{}) }},
+		{"cut the store from " + e.name, set(e.toStore, fakes.LinkFaults{Cut: true}), set(e.toStore, fakes.LinkFaults{})},
+		{"no store replies to " + s.name, set(s.toStore, fakes.LinkFaults{Down: true}), set(s.toStore, fakes.LinkFaults{})},
+		{"cut peers from " + s.name, set(s.toPeers, fakes.LinkFaults{Cut: true}), set(s.toPeers, fakes.LinkFaults{})},
+		{"store down", func() { _ = f.faults(fakes.PlatformFaults{Down: true}) }, func() { _ = f.faults(fakes.PlatformFaults{}) }},
+		{"store slow", func() { _ = f.faults(fakes.PlatformFaults{Delay: "300ms"}) }, func() { _ = f.faults(fakes.PlatformFaults{}) }},
+		{"store loses replies", func() { _ = f.faults(fakes.PlatformFaults{Lose: 20}) }, func() { _ = f.faults(fakes.PlatformFaults{}) }},
 		{"pause " + f.workers[w].name, f.workers[w].pause, f.workers[w].resume},
-		{"cut " + f.workers[w].name, set(wl, stand.Link{Cut: true}), set(wl, stand.Link{})},
-		{"no replies of " + f.workers[w].name, set(wl, stand.Link{Down: true}), set(wl, stand.Link{})},
-		{"fail all on " + f.workers[w].name, func() { _ = f.habit(w, stand.Habits{FailAll: true}) }, func() { _ = f.habit(w, stand.Habits{}) }},
-		{"truncate " + target, set(f.links[target], stand.Link{Truncate: 40}), set(f.links[target], stand.Link{})},
-		{"cut " + target, set(f.links[target], stand.Link{Cut: true}), set(f.links[target], stand.Link{})},
+		{"cut " + f.workers[w].name, set(wl, fakes.LinkFaults{Cut: true}), set(wl, fakes.LinkFaults{})},
+		{"no replies of " + f.workers[w].name, set(wl, fakes.LinkFaults{Down: true}), set(wl, fakes.LinkFaults{})},
+		{"fail all on " + f.workers[w].name, func() { _ = f.habit(w, fakes.WorkerFaults{FailAll: true}) }, func() { _ = f.habit(w, fakes.WorkerFaults{}) }},
+		{"truncate " + target, set(f.links[target], fakes.LinkFaults{Truncate: 40}), set(f.links[target], fakes.LinkFaults{})},
+		{"cut " + target, set(f.links[target], fakes.LinkFaults{Cut: true}), set(f.links[target], fakes.LinkFaults{})},
 	}
 	return list[rng.IntN(len(list))]
 }
@@ -59,14 +59,14 @@
 func TestChaos(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(*chaosSeed, 0))
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	l := steady(*chaosFor)
 	l.Seed = *chaosSeed
 	l.Calls = requests(*chaosFor).Calls
 	r := f.open()
 	done := make(chan error, 1)
 	began := time.Now()
-	go func() { done <- r.Offer(context.Background(), l) }()
+	go func() { done <- r.Submit(context.Background(), l) }()
 	for time.Since(began) < *chaosFor-2*time.Second {
 		a, b := f.pick(rng), f.pick(rng)
 		t.Logf("%s: %s; %s", time.Since(began).Round(100*ms), a.name, b.name)
@@ -85,7 +85,7 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if err := r.Settle(context.Background()); err != nil {
+	if err := r.WaitJobs(context.Background()); err != nil {
 		t.Error(err)
 	}
 	f.check(r)
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -13,9 +13,9 @@
 
 	"chicoryturn/core"
 	"chicoryturn/io/agent"
-	"chicoryturn/io/door"
-	"chicoryturn/io/site"
-	"chicoryturn/io/stand"
+	"chicoryturn/io/deploy"
+	"chicoryturn/io/fakes"
+	"chicoryturn/io/httpx"
 )
 
 // push sends a rules file to a process and returns the status.
@@ -31,7 +31,7 @@
 func (f *fleet) versions() []core.Version {
 	var out []core.Version
 	for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
-		var c door.Config
+		var c httpx.Config
 		if get(e.ops, "/config", &c) == nil {
 			out = append(out, c.Version)
 		}
@@ -44,9 +44,9 @@
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	f.open()
-	var conf door.Config
+	var conf httpx.Config
 	is.NoErr(get(f.gates[0].ops, "/config", &conf))
 	f.eventually("all run the same version", func() error {
 		for _, v := range f.versions() {
@@ -76,15 +76,15 @@
 func TestLostReply(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	f.open()
 	for range 3 {
-		is.NoErr(f.faults(stand.Faults{Lose: 3}))
+		is.NoErr(f.faults(fakes.PlatformFaults{Lose: 3}))
 		resp, err := client.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
 		is.NoErr(err)
 		_ = resp.Body.Close()
 	}
-	is.NoErr(f.faults(stand.Faults{}))
+	is.NoErr(f.faults(fakes.PlatformFaults{}))
 	var list []agent.History
 	is.NoErr(get(f.gates[0].ops, "/rules/history", &list))
 	for i, h := range list {
@@ -97,9 +97,9 @@
 func TestInForce(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	f.open()
-	var before door.Config
+	var before httpx.Config
 	is.NoErr(get(f.gates[0].ops, "/config", &before))
 	began := time.Now()
 	is.Equal(push(f.scheds[0], f.plan.Rules(), 0), http.StatusOK)
@@ -129,24 +129,24 @@
 func TestWithdrawnKey(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
 	ctx := context.Background()
 	c := r.Caller("pewter")
 	id := c.Key[:16]
 	// Down for all: nothing can have been withdrawn.
-	is.NoErr(f.faults(stand.Faults{Down: true}))
+	is.NoErr(f.faults(fakes.PlatformFaults{Down: true}))
 	wait(7 * time.Second)
 	for i, g := range f.gates {
 		res := c.Call(ctx, g.callers, "fit", fmt.Sprintf("outage%d", i), ms, nil)
 		is.NoErr(res.Err)
 		is.Equal(res.Status, http.StatusOK)
 	}
-	is.NoErr(f.faults(stand.Faults{}))
+	is.NoErr(f.faults(fakes.PlatformFaults{}))
 	f.eventually("the store is reached again", func() error { return isReady(f.gates[1].ops) })
 	wait(time.Second)
 	// One gate is cut off while the key is withdrawn.
-	is.NoErr(f.gates[0].toStore.Set(stand.Link{Cut: true}))
+	is.NoErr(f.gates[0].toStore.Set(fakes.LinkFaults{Cut: true}))
 	req, err := http.NewRequest(http.MethodDelete, "http://"+f.gates[1].ops.String()+"/keys/"+id, nil)
 	is.NoErr(err)
 	resp, err := client.Do(req)
@@ -161,7 +161,7 @@
 		if res.Status == http.StatusOK {
 			t.Errorf("gate %d honoured a key %s after its withdrawal", i, time.Since(began))
 		}
-		is.Equal(res.Run, core.RunNo)
+		is.Equal(res.Run, core.NotExecuted)
 	}
 }
 
@@ -170,7 +170,7 @@
 func TestCompaction(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
 	for range 530 {
 		resp, err := client.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
@@ -191,7 +191,7 @@
 	f.gates[2].kill()
 	f.gates[2].run()
 	f.eventually("the new process runs the newest version", func() error {
-		var a, b door.Config
+		var a, b httpx.Config
 		if err := get(f.gates[0].ops, "/config", &a); err != nil {
 			return err
 		}
--- a/proof/far_test.go
+++ b/proof/far_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/io/demo"
-	"chicoryturn/io/site"
+	"chicoryturn/io/deploy"
 )
 
 // TestFarTargets proves that requests find targets in another region when
@@ -18,7 +18,7 @@
 func TestFarTargets(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	p := small(site.Glaze())
+	p := small(deploy.Glaze())
 	p.Regions = []string{"hobart", "burnie"}
 	p.Gates, p.Scheds, p.Workers, p.Targets = 2, 2, 2, 4
 	f := newFleet(t, p)
@@ -28,7 +28,7 @@
 	ctx := context.Background()
 	call := func(e *entry, n int, work time.Duration) demo.Result {
 		res := r.Caller("pewter").Call(ctx, e.callers, "fit", fmt.Sprintf("far%d", n), work, nil)
-		r.Keep(res)
+		r.AddResult(res)
 		return res
 	}
 	// fit has one target in each region: target0 and target1.
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -22,8 +22,8 @@
 	"chicoryturn/core"
 	"chicoryturn/io/check"
 	"chicoryturn/io/demo"
-	"chicoryturn/io/site"
-	"chicoryturn/io/stand"
+	"chicoryturn/io/deploy"
+	"chicoryturn/io/fakes"
 	"chicoryturn/io/store"
 	"chicoryturn/io/work"
 )
@@ -130,20 +130,20 @@
 	callers, ops netip.AddrPort
 	// toStore and toPeers are the links to the platform and from other
 	// processes.
-	toStore, toPeers *stand.Proxy
+	toStore, toPeers *fakes.Proxy
 }
 
 // fleet is a deployment of real processes.
 type fleet struct {
 	t        *testing.T
-	plan     site.Plan
+	plan     deploy.Plan
 	platform netip.AddrPort
 	gates    []*entry
 	scheds   []*entry
 	workers  []*process
 	targets  []*process
 	vms      []store.VM
-	links    map[string]*stand.Proxy
+	links    map[string]*fakes.Proxy
 	dir      string
 	session  string
 	worker   string
@@ -158,7 +158,7 @@
 
 func free(t *testing.T) netip.AddrPort {
 	t.Helper()
-	a, err := site.FreeAddr()
+	a, err := deploy.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,13 +166,13 @@
 }
 
 // link starts a proxy to an address and returns it with its own address.
-func link(t *testing.T, to netip.AddrPort) (*stand.Proxy, netip.AddrPort) {
+func link(t *testing.T, to netip.AddrPort) (*fakes.Proxy, netip.AddrPort) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := stand.NewProxy(to)
+	p := fakes.NewProxy(to)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { _ = p.Serve(ctx, l); close(done) }()
@@ -188,9 +188,9 @@
 func direct(f *fleet) { f.direct = true }
 
 // newFleet starts a platform, workers and targets; gates and scheds follow.
-func newFleet(t *testing.T, p site.Plan, opts ...option) *fleet {
+func newFleet(t *testing.T, p deploy.Plan, opts ...option) *fleet {
 	t.Helper()
-	f := &fleet{t: t, plan: p, platform: free(t), links: map[string]*stand.Proxy{}, dir: t.TempDir(), session: "1500ms", worker: "3s", cells: 1}
+	f := &fleet{t: t, plan: p, platform: free(t), links: map[string]*fakes.Proxy{}, dir: t.TempDir(), session: "1500ms", worker: "3s", cells: 1}
 	for _, o := range opts {
 		o(f)
 	}
@@ -295,8 +295,8 @@
 	return json.Unmarshal(text, out)
 }
 
-func (f *fleet) setVMs() error               { return put(f.platform, "/stand/vms", f.vms) }
-func (f *fleet) faults(v stand.Faults) error { return put(f.platform, "/stand/faults", v) }
+func (f *fleet) setVMs() error                       { return put(f.platform, "/stand/vms", f.vms) }
+func (f *fleet) faults(v fakes.PlatformFaults) error { return put(f.platform, "/stand/faults", v) }
 
 // eventually waits for a condition, within a generous bound.
 func (f *fleet) eventually(what string, cond func() error) {
@@ -318,10 +318,10 @@
 }
 
 // WorkerRecords implements demo.Fleet.
-func (f *fleet) WorkerRecords() []stand.WorkerRecord {
-	var out []stand.WorkerRecord
+func (f *fleet) WorkerRecords() []fakes.WorkerRecord {
+	var out []fakes.WorkerRecord
 	for _, w := range f.workers {
-		var r stand.WorkerRecord
+		var r fakes.WorkerRecord
 		if err := get(f.addrOf(w), "/stand/record", &r); err != nil {
 			f.t.Fatal(err)
 		}
@@ -331,10 +331,10 @@
 }
 
 // TargetRecords implements demo.Fleet.
-func (f *fleet) TargetRecords() []stand.TargetRecord {
-	var out []stand.TargetRecord
+func (f *fleet) TargetRecords() []fakes.TargetRecord {
+	var out []fakes.TargetRecord
 	for _, w := range f.targets {
-		var r stand.TargetRecord
+		var r fakes.TargetRecord
 		if err := get(f.addrOf(w), "/stand/record", &r); err != nil {
 			f.t.Fatal(err)
 		}
@@ -343,8 +343,8 @@
 	return out
 }
 
-func (f *fleet) doors() site.Doors {
-	var d site.Doors
+func (f *fleet) doors() deploy.Addresses {
+	var d deploy.Addresses
 	for _, g := range f.gates {
 		d.Callers = append(d.Callers, g.callers)
 		d.Ops = append(d.Ops, g.ops)
@@ -368,7 +368,7 @@
 // check fails the test on every broken invariant.
 func (f *fleet) check(r *demo.Run) {
 	f.t.Helper()
-	for _, x := range r.Faults() {
+	for _, x := range r.Violations() {
 		if x.Invariant == check.Lost && f.forgetful {
 			continue
 		}
@@ -377,7 +377,7 @@
 }
 
 // small returns a deployment that fits a test.
-func small(p site.Plan) site.Plan {
+func small(p deploy.Plan) deploy.Plan {
 	p.Regions = p.Regions[:1]
 	p.Gates, p.Scheds, p.Workers, p.Targets = 3, 3, 6, 4
 	p.Room = work.Room{Cores: 16000, Memory: 32768}
--- a/proof/input_test.go
+++ b/proof/input_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/core"
-	"chicoryturn/io/door"
-	"chicoryturn/io/site"
+	"chicoryturn/io/deploy"
+	"chicoryturn/io/httpx"
 	"chicoryturn/io/store"
 )
 
@@ -22,7 +22,7 @@
 func TestBadRows(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	var txn store.Txn
 	for _, key := range []string{"member/session/x", "member/cell/hobart/zero", "limit/slots/hobart/target0", "limit/cores/office", "once/call/x"} {
 		is.NoErr(txn.Set(key, "no such thing"))
@@ -36,7 +36,7 @@
 	res := r.Caller("pewter").Call(context.Background(), f.gates[0].callers, "fit", "one", ms, nil)
 	is.NoErr(res.Err)
 	is.Equal(res.Status, http.StatusOK)
-	is.NoErr(r.Drive(context.Background(), steady(500*ms)))
+	is.NoErr(r.RunWorkload(context.Background(), steady(500*ms)))
 	f.check(r)
 }
 
@@ -45,7 +45,7 @@
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	key := f.open().Caller("foundry").Key
 	at := f.gates[0].callers.String()
 	tests := map[string]struct {
@@ -78,7 +78,7 @@
 		}
 		resp, err := client.Do(req)
 		is.NoErr(err)
-		var refusal door.Refusal
+		var refusal httpx.Refusal
 		err = json.NewDecoder(resp.Body).Decode(&refusal)
 		_ = resp.Body.Close()
 		got := fmt.Sprintf("%d %s %s %v", resp.StatusCode, refusal.Code, refusal.Run, err)
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/io/demo"
+	"chicoryturn/io/deploy"
 	"chicoryturn/io/gate"
-	"chicoryturn/io/site"
 )
 
 // TestLoweredLimit proves that a team comes down to a limit that is lowered
@@ -20,7 +20,7 @@
 func TestLoweredLimit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
 	ctx := context.Background()
 	id, err := r.Caller("office").Submit(ctx, f.gates[0].callers, gate.JobRequest{
@@ -65,13 +65,13 @@
 func TestCallLimit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
-	l := demo.Load{For: 3 * time.Second, Seed: 9, Calls: []demo.CallLoad{
+	l := demo.Workload{Duration: 3 * time.Second, Seed: 9, Calls: []demo.RequestStream{
 		{Queue: "fit", Team: "office", Every: 8 * ms, Work: 300 * ms},
 		{Queue: "fit", Team: "pewter", Every: 100 * ms, Work: 20 * ms},
 	}}
-	is.NoErr(r.Drive(context.Background(), l))
+	is.NoErr(r.RunWorkload(context.Background(), l))
 	f.check(r)
 	f.truth(r)
 	served := map[string]int{}
--- a/proof/owner_test.go
+++ b/proof/owner_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/io/demo"
+	"chicoryturn/io/deploy"
+	"chicoryturn/io/fakes"
 	"chicoryturn/io/sched"
-	"chicoryturn/io/site"
-	"chicoryturn/io/stand"
 )
 
 // owned is a sched that owns a cell, with the cell's epoch.
@@ -52,19 +52,19 @@
 }
 
 // steady offers batch work for a time.
-func steady(d time.Duration) demo.Load {
-	return demo.Load{For: d, Seed: 7, Jobs: []demo.JobLoad{
-		{Queue: "cure", Team: "foundry", Every: 250 * ms, Count: 8, Cores: 4, Memory: 2048, Run: 600 * ms, Off: 4},
-		{Queue: "sweep", Team: "pewter", Every: 250 * ms, Count: 8, Cores: 2, Memory: 1024, Run: 300 * ms, Off: 4},
+func steady(d time.Duration) demo.Workload {
+	return demo.Workload{Duration: d, Seed: 7, Jobs: []demo.JobStream{
+		{Queue: "cure", Team: "foundry", Every: 250 * ms, Count: 8, Cores: 4, Memory: 2048, Run: 600 * ms, EstimateError: 4},
+		{Queue: "sweep", Team: "pewter", Every: 250 * ms, Count: 8, Cores: 2, Memory: 1024, Run: 300 * ms, EstimateError: 4},
 	}}
 }
 
 // during drives a load while faults are made, then checks every invariant.
-func (f *fleet) during(l demo.Load, faults func()) *demo.Run {
+func (f *fleet) during(l demo.Workload, faults func()) *demo.Run {
 	f.t.Helper()
 	r := f.open()
 	done := make(chan error, 1)
-	go func() { done <- r.Drive(context.Background(), l) }()
+	go func() { done <- r.RunWorkload(context.Background(), l) }()
 	wait(500 * ms)
 	faults()
 	if err := <-done; err != nil {
@@ -88,28 +88,28 @@
 		"killed": {fail: func(o *entry) { o.kill() }, mend: func(o *entry) { o.run() }},
 		"paused": {fail: func(o *entry) { o.pause() }, mend: func(o *entry) { o.resume() }},
 		"cut from the store": {
-			fail: func(o *entry) { _ = o.toStore.Set(stand.Link{Cut: true}) },
-			mend: func(o *entry) { _ = o.toStore.Set(stand.Link{}) },
+			fail: func(o *entry) { _ = o.toStore.Set(fakes.LinkFaults{Cut: true}) },
+			mend: func(o *entry) { _ = o.toStore.Set(fakes.LinkFaults{}) },
 		},
 		"no replies from the store": {
-			fail: func(o *entry) { _ = o.toStore.Set(stand.Link{Down: true}) },
-			mend: func(o *entry) { _ = o.toStore.Set(stand.Link{}) },
+			fail: func(o *entry) { _ = o.toStore.Set(fakes.LinkFaults{Down: true}) },
+			mend: func(o *entry) { _ = o.toStore.Set(fakes.LinkFaults{}) },
 		},
 		"cut from store and peers": {
 			fail: func(o *entry) {
-				_ = o.toStore.Set(stand.Link{Cut: true})
-				_ = o.toPeers.Set(stand.Link{Cut: true})
+				_ = o.toStore.Set(fakes.LinkFaults{Cut: true})
+				_ = o.toPeers.Set(fakes.LinkFaults{Cut: true})
 			},
 			mend: func(o *entry) {
-				_ = o.toStore.Set(stand.Link{})
-				_ = o.toPeers.Set(stand.Link{})
+				_ = o.toStore.Set(fakes.LinkFaults{})
+				_ = o.toPeers.Set(fakes.LinkFaults{})
 			},
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, small(site.Glaze()))
+			f := newFleet(t, small(deploy.Glaze()))
 			f.during(steady(8*time.Second), func() {
 				o := f.awaitOwner(0)
 				began := time.Now()
@@ -135,7 +135,7 @@
 		outage = 10 * time.Second
 	}
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()), direct)
+	f := newFleet(t, small(deploy.Glaze()), direct)
 	r := f.open()
 	ctx := context.Background()
 	o := f.awaitOwner(0)
@@ -145,19 +145,19 @@
 		bystander = f.scheds[1]
 	}
 	// Work for the whole outage is accepted before it.
-	long := demo.Load{For: 100 * ms, Seed: 3, Jobs: []demo.JobLoad{
+	long := demo.Workload{Duration: 100 * ms, Seed: 3, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Every: time.Second, Count: 15 * int(outage/time.Second), Cores: 8, Memory: 1024, Run: time.Second},
 	}}
-	is.NoErr(r.Offer(ctx, long))
+	is.NoErr(r.Submit(ctx, long))
 	bystander.kill()
-	is.NoErr(f.faults(stand.Faults{Down: true}))
+	is.NoErr(f.faults(fakes.PlatformFaults{Down: true}))
 	before := starts(f)
 	wait(outage / 2)
 	middle := starts(f)
 	f.gates[2].kill()
 	wait(outage / 2)
 	after := starts(f)
-	is.NoErr(f.faults(stand.Faults{}))
+	is.NoErr(f.faults(fakes.PlatformFaults{}))
 	t.Logf("starts: %d before, %d in the first half, %d in the second", before, middle-before, after-middle)
 	is.True(middle > before) // tasks start while the store is down
 	is.True(after > middle)  // and go on starting
@@ -166,7 +166,7 @@
 	is.Equal(now.entry, o.entry) // the owner kept its cell
 	o.entry.kill()
 	f.awaitOwner(o.epoch)
-	is.NoErr(r.Settle(ctx))
+	is.NoErr(r.WaitJobs(ctx))
 	f.check(r)
 }
 
@@ -186,21 +186,21 @@
 // that may still run on a worker that is cut off.
 func TestTakeoverPastSilentWorker(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(site.Glaze()), longLeases)
-	l := demo.Load{For: 3 * time.Second, Seed: 4, Jobs: []demo.JobLoad{
+	f := newFleet(t, small(deploy.Glaze()), longLeases)
+	l := demo.Workload{Duration: 3 * time.Second, Seed: 4, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Every: 800 * ms, Count: 10, Cores: 2, Memory: 256, Run: 8 * time.Second},
 	}}
 	f.during(l, func() {
 		o := f.awaitOwner(0)
 		wait(500 * ms)
 		for _, w := range []string{"worker0", "worker1"} {
-			_ = f.links[w].Set(stand.Link{Cut: true})
+			_ = f.links[w].Set(fakes.LinkFaults{Cut: true})
 		}
 		o.entry.kill()
 		f.awaitOwner(o.epoch)
 		wait(8 * time.Second)
 		for _, w := range []string{"worker0", "worker1"} {
-			_ = f.links[w].Set(stand.Link{})
+			_ = f.links[w].Set(fakes.LinkFaults{})
 		}
 	})
 }
--- a/proof/path_test.go
+++ b/proof/path_test.go
@@ -8,34 +8,34 @@
 	"github.com/matryer/is"
 
 	"chicoryturn/io/demo"
-	"chicoryturn/io/site"
+	"chicoryturn/io/deploy"
 )
 
 const ms = time.Millisecond
 
 // bothLoads is some of every kind of work of a deployment.
-func bothLoads(name string) demo.Load {
+func bothLoads(name string) demo.Workload {
 	if name == "glaze" {
-		return demo.Load{
-			For: 2 * time.Second, Seed: 1,
-			Calls: []demo.CallLoad{
+		return demo.Workload{
+			Duration: 2 * time.Second, Seed: 1,
+			Calls: []demo.RequestStream{
 				{Queue: "fit", Team: "pewter", Every: 20 * ms, Work: 30 * ms},
 				{Queue: "angle", Team: "press", Every: 20 * ms, Work: 10 * ms},
 			},
-			Jobs: []demo.JobLoad{
-				{Queue: "cure", Team: "foundry", Every: 300 * ms, Count: 10, Cores: 4, Memory: 2048, Run: 300 * ms, Off: 10},
+			Jobs: []demo.JobStream{
+				{Queue: "cure", Team: "foundry", Every: 300 * ms, Count: 10, Cores: 4, Memory: 2048, Run: 300 * ms, EstimateError: 10},
 				{Queue: "mould", Team: "wick", Every: 700 * ms, Count: 4, Cores: 4, Memory: 1024, Run: 200 * ms},
 			},
 		}
 	}
-	return demo.Load{
-		For: 2 * time.Second, Seed: 1,
-		Calls: []demo.CallLoad{
+	return demo.Workload{
+		Duration: 2 * time.Second, Seed: 1,
+		Calls: []demo.RequestStream{
 			{Queue: "sheet", Team: "valley", Every: 10 * ms, Work: 30 * ms},
 			{Queue: "barcode", Team: "lakeside", Every: 20 * ms, Work: 5 * ms},
 		},
-		Jobs: []demo.JobLoad{
-			{Queue: "label", Team: "terai", Every: 300 * ms, Count: 10, Cores: 4, Memory: 2048, Run: 300 * ms, Off: 10},
+		Jobs: []demo.JobStream{
+			{Queue: "label", Team: "terai", Every: 300 * ms, Count: 10, Cores: 4, Memory: 2048, Run: 300 * ms, EstimateError: 10},
 			{Queue: "plate", Team: "lakeside", Every: 700 * ms, Count: 4, Cores: 4, Memory: 1024, Run: 200 * ms},
 		},
 	}
@@ -43,12 +43,12 @@
 
 // TestWholePath runs both deployments' work through separate processes.
 func TestWholePath(t *testing.T) {
-	for _, p := range []site.Plan{site.Glaze(), site.Bagmati()} {
+	for _, p := range []deploy.Plan{deploy.Glaze(), deploy.Bagmati()} {
 		t.Run(p.Name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, small(p))
 			r := f.open()
-			is.NoErr(r.Drive(context.Background(), bothLoads(p.Name)))
+			is.NoErr(r.RunWorkload(context.Background(), bothLoads(p.Name)))
 			f.check(r)
 			for q, n := range r.Refused() {
 				t.Errorf("queue %s: %d refused", q, n)
--- a/proof/region_test.go
+++ b/proof/region_test.go
@@ -7,9 +7,9 @@
 
 	"chicoryturn/core"
 	"chicoryturn/io/demo"
+	"chicoryturn/io/deploy"
+	"chicoryturn/io/fakes"
 	"chicoryturn/io/sched"
-	"chicoryturn/io/site"
-	"chicoryturn/io/stand"
 )
 
 // holdings returns how many cells each live sched owns.
@@ -47,7 +47,7 @@
 // taken over when one dies and handed back when it returns.
 func TestCells(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(site.Glaze()), func(f *fleet) { f.cells = 4 })
+	f := newFleet(t, small(deploy.Glaze()), func(f *fleet) { f.cells = 4 })
 	f.during(steady(9*time.Second), func() {
 		f.spread(4, 2)
 		f.scheds[0].kill()
@@ -66,18 +66,18 @@
 // region keeps running and placing its accepted work, and that limits hold.
 func TestRegionCut(t *testing.T) {
 	t.Parallel()
-	p := small(site.Glaze())
+	p := small(deploy.Glaze())
 	p.Regions = []string{"hobart", "burnie"}
 	p.Gates, p.Scheds, p.Workers, p.Targets = 2, 4, 6, 4
 	f := newFleet(t, p)
-	l := demo.Load{For: 1500 * ms, Seed: 8, Jobs: []demo.JobLoad{
+	l := demo.Workload{Duration: 1500 * ms, Seed: 8, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Every: 200 * ms, Count: 12, Cores: 4, Memory: 512, Run: 1200 * ms},
 		{Queue: "sweep", Team: "office", Every: 200 * ms, Count: 6, Cores: 3, Memory: 512, Run: 1200 * ms},
 	}}
 	cut := func(on bool) {
 		for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
 			if e.region == "burnie" {
-				_ = e.toStore.Set(stand.Link{Cut: on})
+				_ = e.toStore.Set(fakes.LinkFaults{Cut: on})
 			}
 		}
 	}
--- a/proof/task_test.go
+++ b/proof/task_test.go
@@ -12,10 +12,10 @@
 	"chicoryturn/core"
 	"chicoryturn/core/cell"
 	"chicoryturn/io/demo"
+	"chicoryturn/io/deploy"
+	"chicoryturn/io/fakes"
 	"chicoryturn/io/gate"
 	"chicoryturn/io/sched"
-	"chicoryturn/io/site"
-	"chicoryturn/io/stand"
 	"chicoryturn/io/work"
 )
 
@@ -24,8 +24,8 @@
 func TestWorkers(t *testing.T) {
 	tests := map[string]struct{ fail, mend func(f *fleet) error }{
 		"frozen": {
-			func(f *fleet) error { return f.habit(0, stand.Habits{Frozen: true}) },
-			func(f *fleet) error { return f.habit(0, stand.Habits{}) },
+			func(f *fleet) error { return f.habit(0, fakes.WorkerFaults{Frozen: true}) },
+			func(f *fleet) error { return f.habit(0, fakes.WorkerFaults{}) },
 		},
 		"paused": {
 			func(f *fleet) error { f.workers[1].pause(); return nil },
@@ -36,28 +36,28 @@
 			func(f *fleet) error { f.workers[1].run(); return nil },
 		},
 		"cut": {
-			func(f *fleet) error { return f.links["worker2"].Set(stand.Link{Cut: true}) },
-			func(f *fleet) error { return f.links["worker2"].Set(stand.Link{}) },
+			func(f *fleet) error { return f.links["worker2"].Set(fakes.LinkFaults{Cut: true}) },
+			func(f *fleet) error { return f.links["worker2"].Set(fakes.LinkFaults{}) },
 		},
 		"no replies": {
-			func(f *fleet) error { return f.links["worker3"].Set(stand.Link{Down: true}) },
-			func(f *fleet) error { return f.links["worker3"].Set(stand.Link{}) },
+			func(f *fleet) error { return f.links["worker3"].Set(fakes.LinkFaults{Down: true}) },
+			func(f *fleet) error { return f.links["worker3"].Set(fakes.LinkFaults{}) },
 		},
 		"fails everything": {
-			func(f *fleet) error { return f.habit(4, stand.Habits{FailAll: true}) },
-			func(f *fleet) error { return f.habit(4, stand.Habits{}) },
+			func(f *fleet) error { return f.habit(4, fakes.WorkerFaults{FailAll: true}) },
+			func(f *fleet) error { return f.habit(4, fakes.WorkerFaults{}) },
 		},
 		"claims to be larger": {
 			func(f *fleet) error {
-				return f.habit(5, stand.Habits{Room: &work.Room{Cores: 99000, Memory: 999999}})
+				return f.habit(5, fakes.WorkerFaults{Room: &work.Room{Cores: 99000, Memory: 999999}})
 			},
-			func(f *fleet) error { return f.habit(5, stand.Habits{}) },
+			func(f *fleet) error { return f.habit(5, fakes.WorkerFaults{}) },
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, small(site.Glaze()))
+			f := newFleet(t, small(deploy.Glaze()))
 			f.during(steady(7*time.Second), func() {
 				if err := tt.fail(f); err != nil {
 					t.Error(err)
@@ -71,7 +71,7 @@
 	}
 }
 
-func (f *fleet) habit(worker int, h stand.Habits) error {
+func (f *fleet) habit(worker int, h fakes.WorkerFaults) error {
 	return put(f.addrOf(f.workers[worker]), "/stand/habits", h)
 }
 
@@ -91,9 +91,9 @@
 // soon gets nothing more, and that it is let back after it has recovered.
 func TestFailingWorkerIsSetAside(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
-	if err := f.habit(0, stand.Habits{FailAll: true}); err != nil {
+	if err := f.habit(0, fakes.WorkerFaults{FailAll: true}); err != nil {
 		t.Fatal(err)
 	}
 	health := func(want string) func() error {
@@ -109,9 +109,9 @@
 		}
 	}
 	done := make(chan error, 1)
-	go func() { done <- r.Drive(context.Background(), steady(14*time.Second)) }()
+	go func() { done <- r.RunWorkload(context.Background(), steady(14*time.Second)) }()
 	f.eventually("the worker is set aside", health("aside"))
-	if err := f.habit(0, stand.Habits{}); err != nil {
+	if err := f.habit(0, fakes.WorkerFaults{}); err != nil {
 		t.Fatal(err)
 	}
 	f.eventually("the worker is trusted again", health("good"))
@@ -126,7 +126,7 @@
 func TestCancelWave(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
 	ctx := context.Background()
 	c := r.Caller("pewter")
@@ -153,7 +153,7 @@
 		})
 	}
 	t.Logf("2000 tasks were cancelled in %s", time.Since(began).Round(10*ms))
-	is.NoErr(r.Drive(ctx, steady(time.Second)))
+	is.NoErr(r.RunWorkload(ctx, steady(time.Second)))
 	f.check(r)
 }
 
@@ -161,7 +161,7 @@
 func TestImpossible(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
 	_, err := r.Caller("foundry").Submit(context.Background(), f.gates[0].callers, gate.JobRequest{
 		Queue: "cure", Tasks: []gate.TaskRequest{{Cores: 17, Memory: 1, Command: "sleep 1s"}},
@@ -169,21 +169,21 @@
 	var refused *core.RefusalError
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Code, core.CodeTooLarge)
-	is.Equal(refused.Run, core.RunNo)
+	is.Equal(refused.Execution, core.NotExecuted)
 }
 
 // TestGangs proves that jobs whose tasks start together do not block each
 // other half-placed: two that need most of the fleet end among small work.
 func TestGangs(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(site.Glaze()))
+	f := newFleet(t, small(deploy.Glaze()))
 	r := f.open()
-	l := demo.Load{For: 3 * time.Second, Seed: 5, Jobs: []demo.JobLoad{
+	l := demo.Workload{Duration: 3 * time.Second, Seed: 5, Jobs: []demo.JobStream{
 		{Queue: "mould", Team: "wick", Every: time.Second, Count: 5, Cores: 14, Memory: 1024, Run: 300 * ms},
 		{Queue: "mould", Team: "tallow", Every: time.Second, Count: 4, Cores: 15, Memory: 1024, Run: 300 * ms},
 		{Queue: "sweep", Team: "pewter", Every: 150 * ms, Count: 6, Cores: 3, Memory: 1024, Run: 400 * ms},
 	}}
-	if err := r.Drive(context.Background(), l); err != nil {
+	if err := r.RunWorkload(context.Background(), l); err != nil {
 		t.Error(err)
 	}
 	f.check(r)
