--- a/core/fleet/absence.go
+++ b/core/fleet/absence.go
@@ -6,17 +6,17 @@
 	"chicoryturn/core"
 )
 
-// absentGap is the longest pause between two readings of the list that still
+// maxAbsentGap is the longest pause between two readings of the list that still
 // shows that an entry was missing all the while. VMs that own nothing read it
 // every 2 s.
-const absentGap = 3 * time.Second
+const maxAbsentGap = 3 * time.Second
 
 // AbsenceTracker follows which workers the platform lists no more, on VMs that own
 // nothing, too: a new owner need not begin to wait for those long gone.
 type AbsenceTracker struct {
-	seen  core.Set[core.WorkerID]
-	since map[core.WorkerID]time.Time
-	at    time.Time
+	seen   core.Set[core.WorkerID]
+	since  map[core.WorkerID]time.Time
+	readAt time.Time
 }
 
 // NewAbsenceTracker returns a value that has seen no list.
@@ -26,10 +26,10 @@
 
 // Observe takes in a list.
 func (a *AbsenceTracker) Observe(now time.Time, hosts []WorkerInfo) {
-	if now.Sub(a.at) > absentGap {
+	if now.Sub(a.readAt) > maxAbsentGap {
 		clear(a.since)
 	}
-	a.at = now
+	a.readAt = now
 	listed := core.NewSet[core.WorkerID]()
 	for _, h := range hosts {
 		listed.Add(h.ID())
--- a/core/fleet/advice.go
+++ b/core/fleet/advice.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	// adviceWorkers is how many workers the call for advice names that a job's
+	// deadlineWorkers is how many workers the call for advice names that a job's
 	// owed time allows for; the platform's rules count one call on 30 workers
 	// for each phase.
-	adviceWorkers = 30
-	// askMost bounds the workers of one call; the platform takes 100.
-	askMost = 100
+	deadlineWorkers = 30
+	// maxRequestWorkers bounds the workers of one call; the platform takes 100.
+	maxRequestWorkers = 100
 	// ticketSlack is how long before its end a ticket is no longer used, for
 	// the way of the order to the worker.
 	ticketSlack = 100 * time.Millisecond
-	// askPatience times the expected length of a call, and askGrace more, is
+	// lostFactor times the expected length of a call, and askGrace more, is
 	// when a call counts as lost.
-	askPatience = 4
-	askGrace    = 1500 * time.Millisecond
-	// askAgain is the time before a phase that no call would help is looked into
+	lostFactor = 4
+	lostGrace  = 1500 * time.Millisecond
+	// recheckDelay is the time before a phase that no call would help is looked into
 	// again.
-	askAgain = 25 * time.Millisecond
-	// unlikelyPause is the time between two calls for a phase that are not likely
+	recheckDelay = 25 * time.Millisecond
+	// lowYieldInterval is the time between two calls for a phase that are not likely
 	// to let its tasks start, while few turns are free.
-	unlikelyPause = 3 * time.Second
+	lowYieldInterval = 3 * time.Second
 )
 
 // advice is what is known of the workers that may run a phase.
 type advice struct {
-	// known is set once the policy has been asked; which workers are allowed
+	// received is set once the policy has been asked; which workers are allowed
 	// never changes.
-	known   bool
-	named   core.Set[core.WorkerID]
-	allowed map[core.WorkerID]ticket
-	// fresh is until when the newest ticket is good.
-	fresh time.Time
-	// idle is until when another call is not worth looking into.
-	idle time.Time
-	// unlikely is when a call against the odds was last sent.
-	unlikely time.Time
-	// asked is when a call was sent that has not been answered; zero if none.
-	asked time.Time
-	// lost is when that call counts as lost.
-	lost time.Time
+	received bool
+	named    core.Set[core.WorkerID]
+	allowed  map[core.WorkerID]ticket
+	// ticketsUntil is until when the newest ticket is good.
+	ticketsUntil time.Time
+	// recheckAt is until when another call is not worth looking into.
+	recheckAt time.Time
+	// lowYieldAt is when a call against the odds was last sent.
+	lowYieldAt time.Time
+	// requestedAt is when a call was sent that has not been answered; zero if none.
+	requestedAt time.Time
+	// lostAt is when that call counts as lost.
+	lostAt time.Time
 }
 
 // ticket lets a worker run the tasks of a phase for a while.
@@ -74,18 +74,18 @@
 // the tickets' time.
 func (b *Scheduler) AdviceReceived(now time.Time, id jobs.PhaseID, named []core.WorkerID, allowed []AllowedWorker, valid time.Duration) {
 	b.now = now
-	u := b.unit(id)
-	if u == nil || u.left == 0 || u.job.ended() {
+	u := b.phase(id)
+	if u == nil || u.tasksLeft == 0 || u.job.ended() {
 		return
 	}
 	a := &u.advice
 	n := Decision{Job: id.Job, Event: "advised", Task: id.String(), Reason: fmt.Sprintf("%d of %d workers allowed for %s", len(allowed), len(named), valid.Round(time.Millisecond))}
-	if !a.asked.IsZero() {
-		n.Wait = now.Sub(a.asked)
+	if !a.requestedAt.IsZero() {
+		n.Wait = now.Sub(a.requestedAt)
 	}
-	b.note(n)
-	a.asked, a.lost = time.Time{}, time.Time{}
-	a.known = true
+	b.logDecision(n)
+	a.requestedAt, a.lostAt = time.Time{}, time.Time{}
+	a.received = true
 	if a.allowed == nil {
 		a.allowed, a.named = map[core.WorkerID]ticket{}, core.NewSet[core.WorkerID]()
 	}
@@ -94,23 +94,23 @@
 		a.named.Add(w)
 	}
 	if before == 0 {
-		b.learnShare(u.job.Spec.Queue, len(named), len(allowed))
+		b.learnAllowedShare(u.job.Spec.Queue, len(named), len(allowed))
 	}
 	for _, w := range allowed {
 		a.allowed[w.Worker] = ticket{w.Ticket, now.Add(valid)}
 	}
 	if len(allowed) > 0 {
-		a.fresh = now.Add(valid)
+		a.ticketsUntil = now.Add(valid)
 	}
-	b.changed = true
+	b.needsPlacement = true
 }
 
 // AdviceFailed follows a call for advice that has failed.
 func (b *Scheduler) AdviceFailed(now time.Time, id jobs.PhaseID) {
 	b.now = now
-	if u := b.unit(id); u != nil {
-		u.advice.asked, u.advice.lost = time.Time{}, time.Time{}
-		b.changed = true
+	if u := b.phase(id); u != nil {
+		u.advice.requestedAt, u.advice.lostAt = time.Time{}, time.Time{}
+		b.needsPlacement = true
 	}
 }
 
@@ -118,29 +118,29 @@
 // returns the expected length of the call, 0 if it is not waited for.
 func (b *Scheduler) AdvicePending(now time.Time, id jobs.PhaseID) time.Duration {
 	b.now = now
-	u := b.unit(id)
-	if u == nil || u.advice.known {
+	u := b.phase(id)
+	if u == nil || u.advice.received {
 		return 0
 	}
-	p, ok := u.policy().Get()
+	p, ok := u.advisor().Get()
 	if !ok {
 		return 0
 	}
-	n := min(len(b.byName), earlyCount(p, u.phase.Count))
-	u.advice.wait(now, p, n)
+	n := min(len(b.sortedWorkers), earlyRequestSize(p, u.spec.Count))
+	u.advice.markRequested(now, p, n)
 	return p.Cost(n)
 }
 
-func (a *advice) wait(now time.Time, p policy.Advice, workers int) {
-	a.asked = now
-	a.lost = now.Add(askPatience*p.Cost(workers) + askGrace)
+func (a *advice) markRequested(now time.Time, p policy.Advice, workers int) {
+	a.requestedAt = now
+	a.lostAt = now.Add(lostFactor*p.Cost(workers) + lostGrace)
 }
 
-// expire follows the refusal of a ticket: those that came with it are no better.
-func (a *advice) expire(worker core.WorkerID) {
+// expireTickets follows the refusal of a ticket: those that came with it are no better.
+func (a *advice) expireTickets(worker core.WorkerID) {
 	until := a.allowed[worker].until
-	if !a.fresh.After(until) {
-		a.fresh = time.Time{}
+	if !a.ticketsUntil.After(until) {
+		a.ticketsUntil = time.Time{}
 	}
 	for id, t := range a.allowed {
 		if !t.until.After(until) {
@@ -149,17 +149,17 @@
 	}
 }
 
-func (b *Scheduler) unit(id jobs.PhaseID) *unit {
+func (b *Scheduler) phase(id jobs.PhaseID) *phase {
 	t := b.task(jobs.TaskID{PhaseID: id})
 	if t == nil {
 		return nil
 	}
-	return t.unit
+	return t.phase
 }
 
-// policy returns the placement policy of the unit's queue, if it has one.
-func (u *unit) policy() core.Option[policy.Advice] {
-	if q := u.job.board.policy.Queues[u.job.Spec.Queue]; q != nil {
+// advisor returns the placement policy of the unit's queue, if it has one.
+func (u *phase) advisor() core.Option[policy.Advice] {
+	if q := u.job.scheduler.policy.Queues[u.job.Spec.Queue]; q != nil {
 		return q.Advice
 	}
 	return core.Option[policy.Advice]{}
@@ -184,43 +184,43 @@
 	if !turns.Free(0) {
 		return
 	}
-	var later []*unit
-	for _, u := range b.ranked() {
-		p, ok := u.policy().Get()
-		asking := !u.advice.asked.IsZero() && now.Before(u.advice.lost)
-		if !ok || asking || now.Before(u.advice.idle) || !u.startable() || !turns.Free(p.Base) {
+	var later []*phase
+	for _, u := range b.rankedPhases() {
+		p, ok := u.advisor().Get()
+		asking := !u.advice.requestedAt.IsZero() && now.Before(u.advice.lostAt)
+		if !ok || asking || now.Before(u.advice.recheckAt) || !u.startable() || !turns.Free(p.Base) {
 			continue
 		}
-		if names := u.worthAsking(p); len(names) > 0 {
-			b.handOut(turns, u, p, names)
+		if names := u.workersToRequest(p); len(names) > 0 {
+			b.requestAdvice(turns, u, p, names)
 			continue
 		}
-		u.advice.idle = now.Add(askAgain)
+		u.advice.recheckAt = now.Add(recheckDelay)
 		later = append(later, u)
 	}
 	for _, u := range later {
-		p, ok := u.policy().Get()
-		rested := now.Sub(u.since) > unlikelyPause && now.Sub(u.advice.unlikely) > unlikelyPause
+		p, ok := u.advisor().Get()
+		rested := now.Sub(u.openedAt) > lowYieldInterval && now.Sub(u.advice.lowYieldAt) > lowYieldInterval
 		if !ok || !turns.Free(p.Base) || !turns.Spare() && !rested {
 			continue
 		}
-		if names := u.unlikely(p); len(names) > 0 {
-			u.advice.unlikely = now
-			b.handOut(turns, u, p, names)
+		if names := u.lowYieldWorkers(p); len(names) > 0 {
+			u.advice.lowYieldAt = now
+			b.requestAdvice(turns, u, p, names)
 		}
 	}
 }
 
-func (b *Scheduler) handOut(turns Turns, u *unit, p policy.Advice, names []core.WorkerID) {
-	u.advice.wait(b.now, p, len(names))
+func (b *Scheduler) requestAdvice(turns Turns, u *phase, p policy.Advice, names []core.WorkerID) {
+	u.advice.markRequested(b.now, p, len(names))
 	b.counts.Asks++
 	turns.Take(AdviceRequest{Phase: u.id, Workers: names, Cost: p.Cost(len(names))})
 }
 
-// least is how many tasks must start together.
-func (u *unit) least() int {
-	if u.phase.Gang {
-		return u.phase.Count
+// minStartCount is how many tasks must start together.
+func (u *phase) minStartCount() int {
+	if u.spec.Gang {
+		return u.spec.Count
 	}
 	return 1
 }
--- a/core/fleet/charts.go
+++ b/core/fleet/charts.go
@@ -35,14 +35,14 @@
 
 func init() {
 	taskChart = chart.Must(chart.Load(taskText, nil, map[string]chart.Action[*Task]{
-		"hold":    (*Task).hold,
-		"unhold":  (*Task).unhold,
+		"hold":    (*Task).addUnresolved,
+		"unhold":  (*Task).removeUnresolved,
 		"reserve": (*Task).reserve,
 		"release": (*Task).release,
-		"begin":   (*Task).begin,
-		"halt":    (*Task).halt,
-		"finish":  (*Task).finish,
-		"count":   (*Task).count,
+		"begin":   (*Task).markStarted,
+		"halt":    (*Task).orderStop,
+		"finish":  (*Task).markDone,
+		"count":   (*Task).countFailure,
 	}))
 	for name, ev := range map[string]*chart.Event{
 		"recover": &taskRecover, "clear": &taskClear, "found": &taskFound, "place": &taskPlace,
@@ -58,7 +58,7 @@
 		*st = taskChart.State(name)
 	}
 
-	jobChart = chart.Must(chart.Load(jobText, nil, map[string]chart.Action[*Job]{"drop": (*Job).drop}))
+	jobChart = chart.Must(chart.Load(jobText, nil, map[string]chart.Action[*Job]{"drop": (*Job).dropTasks}))
 	for name, ev := range map[string]*chart.Event{
 		"begin": &jobBegin, "complete": &jobComplete, "fail": &jobFail, "cancel": &jobCancel,
 		"restore": &jobRestore, "recorded": &jobRecorded,
@@ -71,7 +71,7 @@
 		*st = jobChart.State(name)
 	}
 
-	workerChart = chart.Must(chart.Load(workerText, nil, map[string]chart.Action[*Worker]{"cut": (*Worker).cut}))
+	workerChart = chart.Must(chart.Load(workerText, nil, map[string]chart.Action[*Worker]{"cut": (*Worker).endRuns}))
 	for name, ev := range map[string]*chart.Event{
 		"answer": &workerAnswer, "miss": &workerMiss, "lapse": &workerLapse, "vanish": &workerVanish,
 	} {
--- a/core/fleet/dump.go
+++ b/core/fleet/dump.go
@@ -63,12 +63,12 @@
 	for t, r := range b.used {
 		d.Used[t] = r
 	}
-	for _, w := range b.byName {
+	for _, w := range b.sortedWorkers {
 		d.Workers = append(d.Workers, WorkerDump{
-			Worker: w.id, State: workerChart.Name(w.state), Room: w.host.Room, Free: w.free, Tasks: len(w.tasks), Strays: len(w.strays),
-			Usable: w.usable(), Recorded: w.recorded, Foreign: len(w.foreign),
-			Leaving: w.host.Leaving, SetAside: b.now.Before(w.aside), Heard: b.now.Sub(w.heard).Round(time.Millisecond).String(),
-			Taken: w.taken, Acked: w.seen, Slow: w.slow,
+			Worker: w.id, State: workerChart.Name(w.state), Room: w.info.Room, Free: w.free, Tasks: len(w.tasks), Strays: len(w.orphans),
+			Usable: w.usable(), Recorded: w.inRoster, Foreign: len(w.unknownRuns),
+			Leaving: w.info.Leaving, SetAside: b.now.Before(w.asideUntil), Heard: b.now.Sub(w.answeredAt).Round(time.Millisecond).String(),
+			Taken: w.takenEnd, Acked: w.ackedEnd, Slow: w.slowness,
 		})
 	}
 	var open []*Job
@@ -85,14 +85,14 @@
 }
 
 func (j *Job) dump() JobDump {
-	out := JobDump{Job: j.Spec.ID, Team: j.Spec.Team, Queue: j.Spec.Queue, State: jobChart.Name(j.state), Age: j.board.now.Sub(j.arrived).Round(time.Millisecond).String()}
-	for _, u := range j.units {
-		if !u.opened || u.left == 0 {
+	out := JobDump{Job: j.Spec.ID, Team: j.Spec.Team, Queue: j.Spec.Queue, State: jobChart.Name(j.state), Age: j.scheduler.now.Sub(j.arrivedAt).Round(time.Millisecond).String()}
+	for _, u := range j.phases {
+		if !u.isOpen || u.tasksLeft == 0 {
 			continue
 		}
-		p := PhaseDump{Phase: u.id, Left: u.left, Live: u.live, Idle: u.idle, Gang: u.phase.Gang, Allowed: len(u.advice.allowed), Asking: !u.advice.asked.IsZero()}
+		p := PhaseDump{Phase: u.id, Left: u.tasksLeft, Live: u.tasksPlaced, Idle: u.tasksWaiting, Gang: u.spec.Gang, Allowed: len(u.advice.allowed), Asking: !u.advice.requestedAt.IsZero()}
 		for _, t := range u.advice.allowed {
-			if t.until.After(j.board.now) {
+			if t.until.After(j.scheduler.now) {
 				p.Ready++
 			}
 		}
--- a/core/fleet/job.go
+++ b/core/fleet/job.go
@@ -10,98 +10,98 @@
 	"chicoryturn/core/jobs"
 )
 
-// lateFactor times the time that a job is owed is the most for which ending
+// usefulFactor times the time that a job is owed is the most for which ending
 // late is still worth something to its client.
-const lateFactor = 3
+const usefulFactor = 3
 
 // Job is a job of the fleet.
 type Job struct {
-	Spec  jobs.Spec
-	board *Scheduler
-	state chart.State
-	// units holds the phases of each occurrence in order of occurrence.
-	units []*unit
+	Spec      jobs.Spec
+	scheduler *Scheduler
+	state     chart.State
+	// phases holds the phases of each occurrence in order of occurrence.
+	phases []*phase
 	// tasks holds the tasks in order of occurrence, phase and index.
 	tasks []*Task
-	// left counts the phases that are not complete, live the tasks that hold
+	// phasesLeft counts the phases that are not complete, live the tasks that hold
 	// room on a worker.
-	left, live int
-	progress   jobs.Progress
+	phasesLeft, tasksPlaced int
+	progress                jobs.Progress
 	// seq is the order of arrival.
-	seq     uint64
-	arrived time.Time
-	// onTime is when the job must end to be on time, late from when on its end is
+	seq       uint64
+	arrivedAt time.Time
+	// onTimeUntil is when the job must end to be on time, late from when on its end is
 	// worth nothing more; both follow the policy.
-	onTime, late time.Time
-	// beyond is set for work that exceeds the team's share of a full fleet.
-	beyond bool
+	onTimeUntil, usefulUntil time.Time
+	// overShare is set for work that exceeds the team's share of a full fleet.
+	overShare bool
 }
 
-// unit is one phase of one occurrence.
-type unit struct {
-	id    jobs.PhaseID
-	job   *Job
-	phase *jobs.Phase
-	// order is a hash of the job's name.
-	order uint64
-	// base is the position of the first task within the job.
-	base  int
-	tasks []*Task
-	// left counts the tasks that have not ended well, live those that hold
+// phase is one phase of one occurrence.
+type phase struct {
+	id   jobs.PhaseID
+	job  *Job
+	spec *jobs.Phase
+	// nameHash is a hash of the job's name.
+	nameHash uint64
+	// firstPosition is the position of the first task within the job.
+	firstPosition int
+	tasks         []*Task
+	// tasksLeft counts the tasks that have not ended well, live those that hold
 	// room, idle those that wait.
-	left, live, idle int
-	// opened is set once earlier phases have ended and the occurrence is due.
-	opened bool
-	since  time.Time
-	// rest is the expected time from the phase's start to the job's end, as worked
+	tasksLeft, tasksPlaced, tasksWaiting int
+	// isOpen is set once earlier phases have ended and the occurrence is due.
+	isOpen   bool
+	openedAt time.Time
+	// timeLeft is the expected time from the phase's start to the job's end, as worked
 	// out at restAt.
-	rest   time.Duration
-	restAt time.Time
-	// told is when the log last said what the phase waits for.
-	told time.Time
-	// won is set once a member of a gang has ended well: so has the gang.
-	won bool
-	// run is the newest run of a gang.
-	run    uint64
-	advice advice
-	// saved is the checkpoint that all tasks of a gang start from.
-	saved string
+	timeLeft   time.Duration
+	timeLeftAt time.Time
+	// waitLoggedAt is when the log last said what the phase waits for.
+	waitLoggedAt time.Time
+	// gangDone is set once a member of a gang has ended well: so has the gang.
+	gangDone bool
+	// gangRun is the newest run of a gang.
+	gangRun uint64
+	advice  advice
+	// gangCheckpoint is the checkpoint that all tasks of a gang start from.
+	gangCheckpoint string
 }
 
 func (b *Scheduler) add(spec jobs.Spec) *Job {
-	b.seq++
-	j := &Job{Spec: spec, board: b, state: jobChart.Start(), seq: b.seq, arrived: spec.Accepted, progress: jobs.Progress{Job: spec.ID}}
-	if j.arrived.IsZero() || j.arrived.After(b.now) {
-		j.arrived = b.now
+	b.lastJobSeq++
+	j := &Job{Spec: spec, scheduler: b, state: jobChart.Start(), seq: b.lastJobSeq, arrivedAt: spec.Accepted, progress: jobs.Progress{Job: spec.ID}}
+	if j.arrivedAt.IsZero() || j.arrivedAt.After(b.now) {
+		j.arrivedAt = b.now
 	}
 	order := xxhash.Sum64String(string(spec.ID))
 	for occ := range spec.Occurrences() {
-		for p := range j.Spec.Phases {
-			phase := &j.Spec.Phases[p]
-			u := &unit{id: jobs.PhaseID{Job: spec.ID, Occurrence: occ, Phase: p}, job: j, phase: phase, order: order, base: len(j.tasks), left: phase.Count, idle: phase.Count}
-			for i := range phase.Count {
-				t := &Task{unit: u, index: i, state: taskChart.Start()}
+		for index := range j.Spec.Phases {
+			phaseSpec := &j.Spec.Phases[index]
+			u := &phase{id: jobs.PhaseID{Job: spec.ID, Occurrence: occ, Phase: index}, job: j, spec: phaseSpec, nameHash: order, firstPosition: len(j.tasks), tasksLeft: phaseSpec.Count, tasksWaiting: phaseSpec.Count}
+			for i := range phaseSpec.Count {
+				t := &Task{phase: u, index: i, state: taskChart.Start()}
 				u.tasks = append(u.tasks, t)
 				j.tasks = append(j.tasks, t)
 			}
-			j.units = append(j.units, u)
+			j.phases = append(j.phases, u)
 		}
 	}
-	j.left = len(j.units)
-	j.beyond = b.beyond(spec.Team, j.arrived)
-	j.setDue()
+	j.phasesLeft = len(j.phases)
+	j.overShare = b.exceedsShare(spec.Team, j.arrivedAt)
+	j.setDeadlines()
 	b.jobs[spec.ID] = j
-	b.changed = true
+	b.needsPlacement = true
 	return j
 }
 
-func (j *Job) fire(ev chart.Event) { j.board.refuse(jobChart.Fire(&j.state, ev, j)) }
+func (j *Job) fire(ev chart.Event) { j.scheduler.addRefusal(jobChart.Fire(&j.state, ev, j)) }
 
 // ended reports whether the job's end has been decided.
 func (j *Job) ended() bool { return j.state == jobClosing || j.state == jobClosed }
 
-// shown returns the state that clients may be told.
-func (j *Job) shown() jobs.State {
+// clientState returns the state that clients may be told.
+func (j *Job) clientState() jobs.State {
 	switch j.state {
 	case jobQueued:
 		return jobs.Queued
@@ -112,10 +112,10 @@
 	}
 }
 
-// touch has the job's progress recorded.
-func (j *Job) touch() {
-	j.board.changes++
-	j.board.dirty[j.Spec.ID] = j
+// markDirty has the job's progress recorded.
+func (j *Job) markDirty() {
+	j.scheduler.changeSeq++
+	j.scheduler.dirty[j.Spec.ID] = j
 }
 
 // restore takes over recorded progress.
@@ -134,51 +134,51 @@
 	for at, t := range j.tasks {
 		if p.IsDone(at) {
 			t.fire(taskRestore)
-			t.unit.idle--
-			t.unit.left--
+			t.phase.tasksWaiting--
+			t.phase.tasksLeft--
 		}
 	}
-	for _, u := range j.units {
-		if u.left == 0 {
-			j.left--
-			u.won = u.phase.Gang
+	for _, u := range j.phases {
+		if u.tasksLeft == 0 {
+			j.phasesLeft--
+			u.gangDone = u.spec.Gang
 		}
 	}
 }
 
-// openUnits lets the phases start whose earlier phases have ended well.
-func (j *Job) openUnits() {
+// openPhases lets the phases start whose earlier phases have ended well.
+func (j *Job) openPhases() {
 	if j.ended() {
 		return
 	}
 	n := len(j.Spec.Phases)
-	for i, u := range j.units {
-		if u.opened || u.left == 0 || !j.ready(i/n, u.phase) {
+	for i, u := range j.phases {
+		if u.isOpen || u.tasksLeft == 0 || !j.predecessorsDone(i/n, u.spec) {
 			continue
 		}
-		if due := j.Spec.Due(u.id.Occurrence); due.After(j.board.now) {
-			j.board.timed[u] = struct{}{}
+		if due := j.Spec.Due(u.id.Occurrence); due.After(j.scheduler.now) {
+			j.scheduler.futurePhases[u] = struct{}{}
 			continue
 		}
 		u.open()
 	}
 }
 
-func (j *Job) ready(occurrence int, p *jobs.Phase) bool {
+func (j *Job) predecessorsDone(occurrence int, p *jobs.Phase) bool {
 	for _, a := range p.After {
-		if j.units[occurrence*len(j.Spec.Phases)+a].left > 0 {
+		if j.phases[occurrence*len(j.Spec.Phases)+a].tasksLeft > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// settle completes the job once all its phases have.
-func (j *Job) settle() {
-	if j.left == 0 && !j.ended() {
+// completeIfDone completes the job once all its phases have.
+func (j *Job) completeIfDone() {
+	if j.phasesLeft == 0 && !j.ended() {
 		j.progress.State = jobs.Completed
 		j.fire(jobComplete)
-		j.touch()
+		j.markDirty()
 	}
 }
 
@@ -187,90 +187,90 @@
 	if !j.ended() {
 		j.progress.State = jobs.Failed
 		j.fire(jobFail)
-		j.touch()
+		j.markDirty()
 	}
 }
 
-// drop ends all tasks of a job that has ended.
-func (j *Job) drop() {
+// dropTasks ends all tasks of a job that has ended.
+func (j *Job) dropTasks() {
 	for _, t := range j.tasks {
 		t.fire(taskDrop)
 	}
-	for _, u := range j.units {
-		delete(j.board.open, u)
-		delete(j.board.timed, u)
+	for _, u := range j.phases {
+		delete(j.scheduler.openPhases, u)
+		delete(j.scheduler.futurePhases, u)
 		u.advice = advice{}
 	}
 }
 
-// tellEnd logs how the job has ended, against what it was owed.
-func (j *Job) tellEnd() {
-	n := Decision{Job: j.Spec.ID, Event: "job " + string(j.progress.State), Wait: j.board.now.Sub(j.arrived)}
-	if late := j.board.now.Sub(j.onTime); late > 0 {
+// logEnd logs how the job has ended, against what it was owed.
+func (j *Job) logEnd() {
+	n := Decision{Job: j.Spec.ID, Event: "job " + string(j.progress.State), Wait: j.scheduler.now.Sub(j.arrivedAt)}
+	if late := j.scheduler.now.Sub(j.onTimeUntil); late > 0 {
 		n.Reason = "late by " + late.Round(time.Millisecond).String()
 	}
-	j.board.note(n)
+	j.scheduler.logDecision(n)
 }
 
-// setDue works out what the job is owed.
-func (j *Job) setDue() {
-	j.onTime, j.late = j.arrived, j.arrived
-	q := j.board.policy.Queues[j.Spec.Queue]
+// setDeadlines works out what the job is owed.
+func (j *Job) setDeadlines() {
+	j.onTimeUntil, j.usefulUntil = j.arrivedAt, j.arrivedAt
+	q := j.scheduler.policy.Queues[j.Spec.Queue]
 	if q == nil {
 		return
 	}
 	extra := time.Duration(0)
 	if a, ok := q.Advice.Get(); ok {
-		extra = a.Cost(adviceWorkers)
+		extra = a.Cost(deadlineWorkers)
 	}
 	owed := time.Duration(q.Slowdown*float64(j.Spec.CriticalPath(extra))) + q.Latency
-	j.onTime, j.late = j.arrived.Add(owed), j.arrived.Add(lateFactor*owed)
+	j.onTimeUntil, j.usefulUntil = j.arrivedAt.Add(owed), j.arrivedAt.Add(usefulFactor*owed)
 }
 
-func (u *unit) open() {
-	u.opened, u.since = true, u.job.board.now
-	delete(u.job.board.timed, u)
-	u.job.board.open[u] = struct{}{}
-	u.job.board.changed = true
+func (u *phase) open() {
+	u.isOpen, u.openedAt = true, u.job.scheduler.now
+	delete(u.job.scheduler.futurePhases, u)
+	u.job.scheduler.openPhases[u] = struct{}{}
+	u.job.scheduler.needsPlacement = true
 }
 
 // complete follows the end of the last task of the phase.
-func (u *unit) complete() {
+func (u *phase) complete() {
 	j := u.job
-	delete(j.board.open, u)
+	delete(j.scheduler.openPhases, u)
 	// Who may run the phase is the largest part of a job's memory.
 	u.advice = advice{}
-	j.left--
-	j.openUnits()
-	j.settle()
+	j.phasesLeft--
+	j.openPhases()
+	j.completeIfDone()
 }
 
 // need is what one task takes of a worker's room.
-func (u *unit) need() core.Resources {
-	n := u.phase.Need
-	if u.phase.Filler {
+func (u *phase) need() core.Resources {
+	n := u.spec.Need
+	if u.spec.Filler {
 		// Such tasks take only processor time that others leave unused.
 		n.Cores = 0
 	}
 	return n
 }
 
-// attempts is how often a task may fail.
-func (u *unit) attempts() int {
-	if q := u.job.board.policy.Queues[u.job.Spec.Queue]; q != nil {
+// maxAttempts is how often a task may fail.
+func (u *phase) maxAttempts() int {
+	if q := u.job.scheduler.policy.Queues[u.job.Spec.Queue]; q != nil {
 		return max(q.Attempts, 1)
 	}
 	return 1
 }
 
 // nextRun returns the number of the next run of a task or gang.
-func (u *unit) nextRun(last uint64) uint64 {
-	return max(last+1, uint64(max(u.job.board.epoch, 1)-1)<<runShift+1)
+func (u *phase) nextRun(last uint64) uint64 {
+	return max(last+1, uint64(max(u.job.scheduler.epoch, 1)-1)<<runNumberBits+1)
 }
 
-// regroup stops what is left of a gang's run once a member has ended; the gang
+// stopGang stops what is left of a gang's run once a member has ended; the gang
 // starts again when none holds room any more.
-func (u *unit) regroup() {
+func (u *phase) stopGang() {
 	for _, t := range u.tasks {
 		t.fire(taskStop)
 	}
--- a/core/fleet/order.go
+++ b/core/fleet/order.go
@@ -127,15 +127,15 @@
 	Ended  []EndedRun
 }
 
-// order adds a call; the worker's address and the lease are filled in.
-func (b *Scheduler) order(o Order) {
+// addOrder adds a call; the worker's address and the lease are filled in.
+func (b *Scheduler) addOrder(o Order) {
 	w := b.workers[o.Worker]
 	if w == nil {
 		return
 	}
-	o.Info, o.Epoch = w.host, b.epoch
+	o.Info, o.Epoch = w.info, b.epoch
 	if o.Kind == OrderStart {
-		o.LeaseUntil = w.lease()
+		o.LeaseUntil = w.extendLease()
 	}
 	b.orders = append(b.orders, o)
 }
--- a/core/fleet/scheduler.go
+++ b/core/fleet/scheduler.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// runShift leaves room for the runs of one task below an owner's epoch, so
+	// runNumberBits leaves room for the runs of one task below an owner's epoch, so
 	// that numbers grow over owners. The first owner's runs begin at 1.
-	runShift = 20
-	// batchRows bounds the rows of one record; the platform takes 100 entries a
+	runNumberBits = 20
+	// maxBatchRows bounds the rows of one record; the platform takes 100 entries a
 	// transaction, and the owner's own row is one of them.
-	batchRows = 90
-	// closedJobs bounds the ended jobs that are kept to answer questions, at some
+	maxBatchRows = 90
+	// maxClosedJobs bounds the ended jobs that are kept to answer questions, at some
 	// 5 KB each; of older ones the record tells.
-	closedJobs = 8000
-	// leaseMost bounds the leases granted, where the platform allows longer ones:
+	maxClosedJobs = 8000
+	// maxLease bounds the leases granted, where the platform allows longer ones:
 	// what a silent worker ran may start elsewhere only once its lease has ended.
 	// It outlasts a change of owner, 2.5 s, with the reading of the record and the
 	// first contact, some 1.5 s, and the age of the last renewal, 1.5 s.
-	leaseMost = 6 * time.Second
+	maxLease = 6 * time.Second
 )
 
 // Limits are the figures of the fleet that bound the board's decisions.
@@ -47,76 +47,76 @@
 
 // Scheduler is the state of the fleet under one owner.
 type Scheduler struct {
-	epoch  core.Epoch
-	now    time.Time
-	limits Limits
-	policy *policy.Policy
-	guess  *cell.Estimator
+	epoch     core.Epoch
+	now       time.Time
+	limits    Limits
+	policy    *policy.Policy
+	estimator *cell.Estimator
 
 	jobs    map[core.JobID]*Job
 	workers map[core.WorkerID]*Worker
-	// byName holds the workers sorted by name, so that decisions repeat.
-	byName []*Worker
-	// open holds the phases that have waiting tasks and may start.
-	open map[*unit]struct{}
-	// timed holds the phases of occurrences that are not due yet.
-	timed map[*unit]struct{}
+	// sortedWorkers holds the workers sorted by name, so that decisions repeat.
+	sortedWorkers []*Worker
+	// openPhases holds the phases that have waiting tasks and may start.
+	openPhases map[*phase]struct{}
+	// futurePhases holds the phases of occurrences that are not due yet.
+	futurePhases map[*phase]struct{}
 	// used is what each team holds on workers.
 	used map[core.Team]core.Resources
-	// held are the recovered tasks that may run on a worker not heard of yet,
+	// unresolved are the recovered tasks that may run on a worker not heard of yet,
 	// awaited is what those of each team would take.
-	held    map[*Task]struct{}
-	awaited map[core.Team]core.Resources
-	// hidden is the room of the workers that have not been heard of; it is kept up
+	unresolved     map[*Task]struct{}
+	unresolvedNeed map[core.Team]core.Resources
+	// unreportedRoom is the room of the workers that have not been heard of; it is kept up
 	// to date while tasks are held.
-	hidden core.Resources
-	shares map[core.Team]*share
-	// odds tell how many of the workers named for a queue have been allowed.
-	odds map[core.Queue]odds
-	// roster numbers the changes of the list of workers.
-	roster uint64
+	unreportedRoom core.Resources
+	shares         map[core.Team]*teamShare
+	// adviceStats tell how many of the workers named for a queue have been allowed.
+	adviceStats map[core.Queue]adviceStats
+	// rosterVersion numbers the changes of the list of workers.
+	rosterVersion uint64
 	// listedAt is when the list of workers was last read.
 	listedAt time.Time
 	// settled is set once every worker of earlier owners has been heard of.
 	settled bool
-	// own is the least epoch that a job must name for no earlier owner, and no
+	// ownEpoch is the least epoch that a job must name for no earlier owner, and no
 	// earlier board of this one, to have started any of it.
-	own core.Epoch
+	ownEpoch core.Epoch
 
 	// dirty are the jobs whose progress waits for a record, flying those in the
 	// record whose outcome is not known.
-	dirty  map[core.JobID]*Job
-	flying []flown
-	// changes numbers the changes of progress. Those up to confirmed are in the
+	dirty    map[core.JobID]*Job
+	inFlight []inFlightRow
+	// changeSeq numbers the changes of progress. Those up to confirmed are in the
 	// store, those up to mark will be once the record in flight is.
-	changes, mark, confirmed uint64
+	changeSeq, inFlightSeq, storedSeq uint64
 	// closed holds the ended jobs, the first to end in front.
-	closed []closing
-
-	orders   []Order
-	notes    []Decision
-	refusals []error
-	counts   Counts
-	seq      uint64
-	changed  bool
-	// progress is set once a worker has told of any run's progress.
-	progress bool
-	// missed is set when a worker names a job that the board does not know.
-	missed bool
-	// later is the latest owner that a job has named, if later than this one.
-	later core.Epoch
-}
-
-// flown is a job in a record and the state that the record gives it.
-type flown struct {
+	closed []closedJob
+
+	orders         []Order
+	decisions      []Decision
+	refusals       []error
+	counts         Counts
+	lastJobSeq     uint64
+	needsPlacement bool
+	// progressSeen is set once a worker has told of any run's progress.
+	progressSeen bool
+	// unknownJobSeen is set when a worker names a job that the board does not know.
+	unknownJobSeen bool
+	// laterEpoch is the latest owner that a job has named, if later than this one.
+	laterEpoch core.Epoch
+}
+
+// inFlightRow is a job in a record and the state that the record gives it.
+type inFlightRow struct {
 	job   *Job
 	state jobs.State
 }
 
-// closing is a job whose end is in the store since a time.
-type closing struct {
-	job core.JobID
-	at  time.Time
+// closedJob is a job whose end is in the store since a time.
+type closedJob struct {
+	job      core.JobID
+	storedAt time.Time
 }
 
 // Counts are running totals for metrics.
@@ -137,7 +137,7 @@
 
 // bounded returns the limits that the board goes by.
 func (l Limits) bounded() Limits {
-	l.Lease = min(l.Lease, leaseMost)
+	l.Lease = min(l.Lease, maxLease)
 	return l
 }
 
@@ -147,16 +147,16 @@
 // WithLostState is for an owner that has decided under its epoch before and has
 // forgotten what.
 func WithLostState() Option {
-	return func(b *Scheduler) { b.settled, b.own = false, b.epoch+1 }
+	return func(b *Scheduler) { b.settled, b.ownEpoch = false, b.epoch+1 }
 }
 
 // New returns an empty board under a new owner's epoch.
 func New(now time.Time, epoch core.Epoch, limits Limits, p *policy.Policy, opts ...Option) *Scheduler {
 	b := &Scheduler{
-		epoch: epoch, own: epoch, now: now, settled: epoch <= 1, limits: limits.bounded(), policy: p, guess: cell.NewEstimator(),
+		epoch: epoch, ownEpoch: epoch, now: now, settled: epoch <= 1, limits: limits.bounded(), policy: p, estimator: cell.NewEstimator(),
 		jobs: map[core.JobID]*Job{}, workers: map[core.WorkerID]*Worker{},
-		open: map[*unit]struct{}{}, timed: map[*unit]struct{}{},
-		used: map[core.Team]core.Resources{}, shares: map[core.Team]*share{}, odds: map[core.Queue]odds{}, held: map[*Task]struct{}{}, awaited: map[core.Team]core.Resources{}, dirty: map[core.JobID]*Job{},
+		openPhases: map[*phase]struct{}{}, futurePhases: map[*phase]struct{}{},
+		used: map[core.Team]core.Resources{}, shares: map[core.Team]*teamShare{}, adviceStats: map[core.Queue]adviceStats{}, unresolved: map[*Task]struct{}{}, unresolvedNeed: map[core.Team]core.Resources{}, dirty: map[core.JobID]*Job{},
 	}
 	for _, o := range opts {
 		o(b)
@@ -178,16 +178,16 @@
 	b.policy = p
 	for _, j := range b.jobs {
 		if !j.ended() {
-			j.setDue()
+			j.setDeadlines()
 		}
 	}
-	b.changed = true
+	b.needsPlacement = true
 }
 
 // Decisions returns and forgets the decisions since the last call.
 func (b *Scheduler) Decisions() []Decision {
-	out := b.notes
-	b.notes = nil
+	out := b.decisions
+	b.decisions = nil
 	return out
 }
 
@@ -198,7 +198,7 @@
 	return out
 }
 
-func (b *Scheduler) refuse(err error) {
+func (b *Scheduler) addRefusal(err error) {
 	if err != nil {
 		b.refusals = append(b.refusals, err)
 	}
@@ -214,40 +214,40 @@
 // Accept takes in a job that is in the store. It reports whether it is new.
 func (b *Scheduler) Accept(now time.Time, spec jobs.Spec) bool {
 	b.now = now
-	if b.jobs[spec.ID] != nil || b.leave(&spec) {
+	if b.jobs[spec.ID] != nil || b.isForLaterOwner(&spec) {
 		return false
 	}
 	j := b.add(spec)
-	b.adopt(j)
-	b.settle()
-	j.openUnits()
+	b.recoverJob(j)
+	b.resolveRecovered()
+	j.openPhases()
 	return true
 }
 
-// leave reports whether a job is left to a later owner, which relies on no earlier
+// isForLaterOwner reports whether a job is left to a later owner, which relies on no earlier
 // one having started any of it.
-func (b *Scheduler) leave(spec *jobs.Spec) bool {
+func (b *Scheduler) isForLaterOwner(spec *jobs.Spec) bool {
 	if spec.FirstEpoch <= b.epoch {
 		return false
 	}
-	b.later = max(b.later, spec.FirstEpoch)
+	b.laterEpoch = max(b.laterEpoch, spec.FirstEpoch)
 	return true
 }
 
 // LaterEpoch returns the epoch of the latest owner that a job has named, 0 if none is
 // later than this one.
-func (b *Scheduler) LaterEpoch() core.Epoch { return b.later }
+func (b *Scheduler) LaterEpoch() core.Epoch { return b.laterEpoch }
 
-// adopt finds what an earlier owner, which may have known the job first, has
+// recoverJob finds what an earlier owner, which may have known the job first, has
 // started of it. Until every worker has been heard of, and has had its ends
 // taken in, it may have run anywhere, unless its VM knew of this owner before.
-func (b *Scheduler) adopt(j *Job) {
-	if j.ended() || j.Spec.FirstEpoch >= b.own {
+func (b *Scheduler) recoverJob(j *Job) {
+	if j.ended() || j.Spec.FirstEpoch >= b.ownEpoch {
 		return
 	}
-	started := !b.settled || b.unheard()
-	for _, w := range b.byName {
-		for id := range w.foreign {
+	started := !b.settled || b.hasUnreportedWorkers()
+	for _, w := range b.sortedWorkers {
+		for id := range w.unknownRuns {
 			started = started || id.Job == j.Spec.ID
 		}
 	}
@@ -257,12 +257,12 @@
 	for _, t := range j.tasks {
 		t.fire(taskRecover)
 	}
-	for _, w := range b.byName {
-		for id, run := range w.foreign {
+	for _, w := range b.sortedWorkers {
+		for id, run := range w.unknownRuns {
 			if t := b.task(id); id.Job == j.Spec.ID && t != nil && t.state == taskHeld {
-				t.next, t.run = w, run
+				t.eventWorker, t.run = w, run
 				t.fire(taskFound)
-				delete(w.foreign, id)
+				delete(w.unknownRuns, id)
 			}
 		}
 	}
@@ -271,8 +271,8 @@
 // UnknownJobSeen reports, once, whether a worker has named a job that the board does
 // not know.
 func (b *Scheduler) UnknownJobSeen() bool {
-	m := b.missed
-	b.missed = false
+	m := b.unknownJobSeen
+	b.unknownJobSeen = false
 	return m
 }
 
@@ -283,16 +283,16 @@
 	slices.SortFunc(specs, func(x, y jobs.Spec) int { return x.Accepted.Compare(y.Accepted) })
 	for _, s := range specs {
 		p := progress[s.ID]
-		if b.jobs[s.ID] != nil || b.leave(&s) {
+		if b.jobs[s.ID] != nil || b.isForLaterOwner(&s) {
 			continue
 		}
 		j := b.add(s)
 		j.restore(&p)
-		b.adopt(j)
-		j.openUnits()
-		j.settle()
+		b.recoverJob(j)
+		j.openPhases()
+		j.completeIfDone()
 		if j.state == jobClosed {
-			b.closed = append(b.closed, closing{j.Spec.ID, now})
+			b.closed = append(b.closed, closedJob{j.Spec.ID, now})
 		}
 	}
 }
@@ -308,7 +308,7 @@
 	if !j.ended() {
 		j.progress.State = jobs.Cancelled
 		j.fire(jobCancel)
-		j.touch()
+		j.markDirty()
 	}
 	return true
 }
@@ -319,7 +319,7 @@
 	if j == nil {
 		return "", false
 	}
-	return j.shown(), true
+	return j.clientState(), true
 }
 
 // Pending returns how many jobs of each queue have not started any task and
@@ -337,20 +337,20 @@
 // Batch returns the progress to record next, and nothing while an earlier
 // record is in flight.
 func (b *Scheduler) Batch() []jobs.Progress {
-	if b.flying != nil || len(b.dirty) == 0 {
+	if b.inFlight != nil || len(b.dirty) == 0 {
 		return nil
 	}
 	var rows []jobs.Progress
 	for id, j := range b.dirty {
-		if len(rows) == batchRows {
+		if len(rows) == maxBatchRows {
 			break
 		}
 		rows = append(rows, j.progress.Clone())
-		b.flying = append(b.flying, flown{j, j.progress.State})
+		b.inFlight = append(b.inFlight, inFlightRow{j, j.progress.State})
 		delete(b.dirty, id)
 	}
 	if len(b.dirty) == 0 {
-		b.mark = b.changes
+		b.inFlightSeq = b.changeSeq
 	}
 	return rows
 }
@@ -358,16 +358,16 @@
 // BatchStored follows a record that is in the store.
 func (b *Scheduler) BatchStored(now time.Time) {
 	b.now = now
-	for _, f := range b.flying {
+	for _, f := range b.inFlight {
 		if f.state != "" && f.job.state == jobClosing {
 			f.job.fire(jobRecorded)
-			f.job.tellEnd()
-			b.closed = append(b.closed, closing{f.job.Spec.ID, now})
+			f.job.logEnd()
+			b.closed = append(b.closed, closedJob{f.job.Spec.ID, now})
 		}
 	}
-	b.flying = nil
-	b.confirmed = b.mark
-	for len(b.closed) > closedJobs {
+	b.inFlight = nil
+	b.storedSeq = b.inFlightSeq
+	for len(b.closed) > maxClosedJobs {
 		b.forgetOldest()
 	}
 }
@@ -384,7 +384,7 @@
 // ask for them; their rows can be deleted. It returns at most a number of them.
 func (b *Scheduler) Expired(now time.Time, keep time.Duration, most int) []core.JobID {
 	var out []core.JobID
-	for len(b.closed) > 0 && len(out) < most && now.Sub(b.closed[0].at) > keep {
+	for len(b.closed) > 0 && len(out) < most && now.Sub(b.closed[0].storedAt) > keep {
 		out = append(out, b.forgetOldest())
 	}
 	return out
@@ -392,24 +392,24 @@
 
 // BatchFailed puts a record back that surely is not in the store.
 func (b *Scheduler) BatchFailed() {
-	for _, f := range b.flying {
+	for _, f := range b.inFlight {
 		b.dirty[f.job.Spec.ID] = f.job
 	}
-	b.flying = nil
-	b.mark = b.confirmed
+	b.inFlight = nil
+	b.inFlightSeq = b.storedSeq
 }
 
 func (b *Scheduler) forget(id core.JobID) {
-	if j := b.jobs[id]; j != nil && j.live == 0 {
+	if j := b.jobs[id]; j != nil && j.tasksPlaced == 0 {
 		delete(b.jobs, id)
 	}
 }
 
-func (b *Scheduler) take(team core.Team, r core.Resources) { b.used[team] = b.used[team].Add(r) }
+func (b *Scheduler) chargeTeam(team core.Team, r core.Resources) { b.used[team] = b.used[team].Add(r) }
 
-func (b *Scheduler) give(team core.Team, r core.Resources) {
+func (b *Scheduler) creditTeam(team core.Team, r core.Resources) {
 	b.used[team] = b.used[team].Sub(r)
-	b.changed = true
+	b.needsPlacement = true
 }
 
 // task returns a task by its name.
@@ -418,7 +418,7 @@
 	if j == nil || id.Phase >= len(j.Spec.Phases) || id.Occurrence >= j.Spec.Occurrences() {
 		return nil
 	}
-	u := j.units[id.Occurrence*len(j.Spec.Phases)+id.Phase]
+	u := j.phases[id.Occurrence*len(j.Spec.Phases)+id.Phase]
 	if id.Index >= len(u.tasks) {
 		return nil
 	}
@@ -429,39 +429,41 @@
 // been heard of.
 func (b *Scheduler) Settled() bool { return b.settled }
 
-// settle frees the recovered tasks once every worker has been heard of: what
+// resolveRecovered frees the recovered tasks once every worker has been heard of: what
 // no worker has reported runs nowhere.
-func (b *Scheduler) settle() {
-	if b.settled && len(b.held) == 0 || b.unheard() {
+func (b *Scheduler) resolveRecovered() {
+	if b.settled && len(b.unresolved) == 0 || b.hasUnreportedWorkers() {
 		return
 	}
 	b.settled = true
-	b.changed = true
-	freed := map[*unit]struct{}{}
-	for t := range b.held {
+	b.needsPlacement = true
+	freed := map[*phase]struct{}{}
+	for t := range b.unresolved {
 		t.fire(taskClear)
-		freed[t.unit] = struct{}{}
+		freed[t.phase] = struct{}{}
 	}
 	for u := range freed {
 		// A gang that lacks a member does not work.
-		if u.phase.Gang && u.live > 0 && !u.won {
-			u.regroup()
+		if u.spec.Gang && u.tasksPlaced > 0 && !u.gangDone {
+			u.stopGang()
 		}
 	}
 }
 
-// unheard reports whether a worker may run, or may have ended, tasks that the
+// hasUnreportedWorkers reports whether a worker may run, or may have ended, tasks that the
 // board does not know of.
-func (b *Scheduler) unheard() bool { return slices.ContainsFunc(b.byName, (*Worker).unheard) }
+func (b *Scheduler) hasUnreportedWorkers() bool {
+	return slices.ContainsFunc(b.sortedWorkers, (*Worker).unreported)
+}
 
-func (w *Worker) unheard() bool { return w.state == workerFresh || !w.blocked.IsZero() }
+func (w *Worker) unreported() bool { return w.state == workerFresh || !w.blockedSince.IsZero() }
 
-// unheardRoom returns the room of the workers that have not been heard of.
-func (b *Scheduler) unheardRoom() core.Resources {
+// sumUnreportedRoom returns the room of the workers that have not been heard of.
+func (b *Scheduler) sumUnreportedRoom() core.Resources {
 	var sum core.Resources
-	for _, w := range b.byName {
-		if w.unheard() {
-			sum = sum.Add(w.host.Room)
+	for _, w := range b.sortedWorkers {
+		if w.unreported() {
+			sum = sum.Add(w.info.Room)
 		}
 	}
 	return sum
