--- a/core/fleet/absence.go
+++ b/core/fleet/absence.go
@@ -6,42 +6,43 @@
 	"chicoryturn/core"
 )
 
-// maxAbsentGap is the longest pause between two readings of the list that still
-// shows that an entry was missing all the while. VMs that own nothing read it
-// every 2 s.
+// maxAbsentGap is the longest interval between two readings of the list over
+// which a worker that is missing from both counts as continuously absent. VMs
+// that are not the owner read the list every 2 s.
 const maxAbsentGap = 3 * time.Second
 
-// AbsenceTracker follows which workers the platform lists no more, on VMs that own
-// nothing, too: a new owner need not begin to wait for those long gone.
+// AbsenceTracker records since when workers have been missing from the
+// platform's list. It runs on every VM, so that a new owner need not start the
+// waiting time of workers that disappeared long ago.
 type AbsenceTracker struct {
 	seen   core.Set[core.WorkerID]
 	since  map[core.WorkerID]time.Time
 	readAt time.Time
 }
 
-// NewAbsenceTracker returns a value that has seen no list.
+// NewAbsenceTracker returns a tracker that has observed no list.
 func NewAbsenceTracker() *AbsenceTracker {
 	return &AbsenceTracker{seen: core.NewSet[core.WorkerID](), since: map[core.WorkerID]time.Time{}}
 }
 
-// Observe takes in a list.
-func (a *AbsenceTracker) Observe(now time.Time, hosts []WorkerInfo) {
-	if now.Sub(a.readAt) > maxAbsentGap {
-		clear(a.since)
+// Observe updates the tracker with a list read at the given time.
+func (t *AbsenceTracker) Observe(now time.Time, infos []WorkerInfo) {
+	if now.Sub(t.readAt) > maxAbsentGap {
+		clear(t.since)
 	}
-	a.readAt = now
+	t.readAt = now
 	listed := core.NewSet[core.WorkerID]()
-	for _, h := range hosts {
-		listed.Add(h.ID())
-		a.seen.Add(h.ID())
-		delete(a.since, h.ID())
+	for _, info := range infos {
+		listed.Add(info.ID())
+		t.seen.Add(info.ID())
+		delete(t.since, info.ID())
 	}
-	for id := range a.seen {
-		if _, known := a.since[id]; !known && !listed.Has(id) {
-			a.since[id] = now
+	for id := range t.seen {
+		if _, known := t.since[id]; !known && !listed.Has(id) {
+			t.since[id] = now
 		}
 	}
 }
 
-// Since returns since when each absent worker has not been listed.
-func (a *AbsenceTracker) Since() map[core.WorkerID]time.Time { return a.since }
+// Since returns, for each absent worker, when it was first found missing.
+func (t *AbsenceTracker) Since() map[core.WorkerID]time.Time { return t.since }
--- a/core/fleet/advice.go
+++ b/core/fleet/advice.go
@@ -10,91 +10,96 @@
 )
 
 const (
-	// deadlineWorkers is how many workers the call for advice names that a job's
-	// owed time allows for; the platform's rules count one call on 30 workers
-	// for each phase.
+	// deadlineWorkers is the number of workers in the one advice request per
+	// phase that a job's deadline allows for; the platform's rules count a call
+	// on 30 workers for each phase.
 	deadlineWorkers = 30
-	// maxRequestWorkers bounds the workers of one call; the platform takes 100.
+	// maxRequestWorkers bounds the workers of one request; the platform accepts
+	// 100.
 	maxRequestWorkers = 100
-	// ticketSlack is how long before its end a ticket is no longer used, for
-	// the way of the order to the worker.
+	// ticketSlack is subtracted from the validity of a ticket to allow for the
+	// time that an order needs to reach the worker.
 	ticketSlack = 100 * time.Millisecond
-	// lostFactor times the expected length of a call, and askGrace more, is
-	// when a call counts as lost.
+	// A request counts as lost after lostFactor times its expected duration
+	// plus lostGrace.
 	lostFactor = 4
 	lostGrace  = 1500 * time.Millisecond
-	// recheckDelay is the time before a phase that no call would help is looked into
-	// again.
+	// recheckDelay is the time before a phase for which no request was
+	// worthwhile is examined again.
 	recheckDelay = 25 * time.Millisecond
-	// lowYieldInterval is the time between two calls for a phase that are not likely
-	// to let its tasks start, while few turns are free.
+	// lowYieldInterval is the time between two requests for a phase that are
+	// unlikely to let its tasks start, while few VMs are free to call the
+	// advisor.
 	lowYieldInterval = 3 * time.Second
 )
 
-// advice is what is known of the workers that may run a phase.
+// advice holds the advisor's answers on which workers may run a phase.
 type advice struct {
-	// received is set once the policy has been asked; which workers are allowed
-	// never changes.
+	// received is set once the advisor has answered. Whether a worker is
+	// allowed never changes.
 	received bool
-	named    core.Set[core.WorkerID]
-	allowed  map[core.WorkerID]ticket
-	// ticketsUntil is until when the newest ticket is good.
+	// named holds the workers that requests have named, allowed those of them
+	// that may run the phase.
+	named   core.Set[core.WorkerID]
+	allowed map[core.WorkerID]ticket
+	// ticketsUntil is when the newest tickets expire.
 	ticketsUntil time.Time
-	// recheckAt is until when another call is not worth looking into.
+	// recheckAt is when the phase is next examined for a worthwhile request.
 	recheckAt time.Time
-	// lowYieldAt is when a call against the odds was last sent.
+	// lowYieldAt is when the last low-yield request was sent.
 	lowYieldAt time.Time
-	// requestedAt is when a call was sent that has not been answered; zero if none.
+	// requestedAt is when the last request was sent; zero if it has been
+	// answered.
 	requestedAt time.Time
-	// lostAt is when that call counts as lost.
+	// lostAt is when an unanswered request counts as lost.
 	lostAt time.Time
 }
 
-// ticket lets a worker run the tasks of a phase for a while.
+// ticket permits a worker to run the tasks of a phase until it expires.
 type ticket struct {
 	text  string
 	until time.Time
 }
 
-// AdviceRequest is one call for advice.
+// AdviceRequest is one call to the placement advisor.
 type AdviceRequest struct {
 	Phase   jobs.PhaseID
 	Workers []core.WorkerID
-	// Cost is the expected length of the call.
+	// Cost is the expected duration of the call.
 	Cost time.Duration
 }
 
-// AllowedWorker is one worker that may run a phase.
+// AllowedWorker is a worker that the advisor allows to run a phase.
 type AllowedWorker struct {
 	Worker core.WorkerID
 	Ticket string
 }
 
-// AdviceReceived takes in an answer for the workers named; valid is what is left of
-// the tickets' time.
-func (b *Scheduler) AdviceReceived(now time.Time, id jobs.PhaseID, named []core.WorkerID, allowed []AllowedWorker, valid time.Duration) {
-	b.now = now
-	u := b.phase(id)
-	if u == nil || u.tasksLeft == 0 || u.job.ended() {
+// AdviceReceived handles the advisor's answer to a request that named some
+// workers. The tickets stay valid for the given duration.
+func (s *Scheduler) AdviceReceived(now time.Time, id jobs.PhaseID, named []core.WorkerID, allowed []AllowedWorker, valid time.Duration) {
+	s.now = now
+	p := s.phase(id)
+	if p == nil || p.tasksLeft == 0 || p.job.ended() {
 		return
 	}
-	a := &u.advice
-	n := Decision{Job: id.Job, Event: "advised", Task: id.String(), Reason: fmt.Sprintf("%d of %d workers allowed for %s", len(allowed), len(named), valid.Round(time.Millisecond))}
+	a := &p.advice
+	d := Decision{Job: id.Job, Event: "advice received", Task: id.String(), Reason: fmt.Sprintf("%d of %d workers allowed for %s", len(allowed), len(named), valid.Round(time.Millisecond))}
 	if !a.requestedAt.IsZero() {
-		n.Wait = now.Sub(a.requestedAt)
+		d.Wait = now.Sub(a.requestedAt)
 	}
-	b.logDecision(n)
+	s.logDecision(d)
 	a.requestedAt, a.lostAt = time.Time{}, time.Time{}
 	a.received = true
 	if a.allowed == nil {
 		a.allowed, a.named = map[core.WorkerID]ticket{}, core.NewSet[core.WorkerID]()
 	}
-	before := len(a.named)
+	namedBefore := len(a.named)
 	for _, w := range named {
 		a.named.Add(w)
 	}
-	if before == 0 {
-		b.learnAllowedShare(u.job.Spec.Queue, len(named), len(allowed))
+	if namedBefore == 0 {
+		s.learnAllowedShare(p.job.Spec.Queue, len(named), len(allowed))
 	}
 	for _, w := range allowed {
 		a.allowed[w.Worker] = ticket{w.Ticket, now.Add(valid)}
@@ -102,41 +107,44 @@
 	if len(allowed) > 0 {
 		a.ticketsUntil = now.Add(valid)
 	}
-	b.needsPlacement = true
+	s.needsPlacement = true
 }
 
-// AdviceFailed follows a call for advice that has failed.
-func (b *Scheduler) AdviceFailed(now time.Time, id jobs.PhaseID) {
-	b.now = now
-	if u := b.phase(id); u != nil {
-		u.advice.requestedAt, u.advice.lostAt = time.Time{}, time.Time{}
-		b.needsPlacement = true
+// AdviceFailed handles a failed advice request.
+func (s *Scheduler) AdviceFailed(now time.Time, id jobs.PhaseID) {
+	s.now = now
+	if p := s.phase(id); p != nil {
+		p.advice.requestedAt, p.advice.lostAt = time.Time{}, time.Time{}
+		s.needsPlacement = true
 	}
 }
 
-// AdvicePending tells that the VM that has accepted a job is asking for its phase. It
-// returns the expected length of the call, 0 if it is not waited for.
-func (b *Scheduler) AdvicePending(now time.Time, id jobs.PhaseID) time.Duration {
-	b.now = now
-	u := b.phase(id)
-	if u == nil || u.advice.received {
+// AdvicePending records that the VM that accepted a job has requested advice
+// for its phase itself. It returns the expected duration of the call, or 0 if
+// the scheduler does not wait for the answer.
+func (s *Scheduler) AdvicePending(now time.Time, id jobs.PhaseID) time.Duration {
+	s.now = now
+	p := s.phase(id)
+	if p == nil || p.advice.received {
 		return 0
 	}
-	p, ok := u.advisor().Get()
+	advisor, ok := p.advisor().Get()
 	if !ok {
 		return 0
 	}
-	n := min(len(b.sortedWorkers), earlyRequestSize(p, u.spec.Count))
-	u.advice.markRequested(now, p, n)
-	return p.Cost(n)
+	n := min(len(s.sortedWorkers), earlyRequestSize(advisor, p.spec.Count))
+	p.advice.markRequested(now, advisor, n)
+	return advisor.Cost(n)
 }
 
-func (a *advice) markRequested(now time.Time, p policy.Advice, workers int) {
+// markRequested records that a request has been sent.
+func (a *advice) markRequested(now time.Time, advisor policy.Advice, workers int) {
 	a.requestedAt = now
-	a.lostAt = now.Add(lostFactor*p.Cost(workers) + lostGrace)
+	a.lostAt = now.Add(lostFactor*advisor.Cost(workers) + lostGrace)
 }
 
-// expireTickets follows the refusal of a ticket: those that came with it are no better.
+// expireTickets handles a worker's refusal of its ticket: it expires that
+// ticket and all that were to expire no later.
 func (a *advice) expireTickets(worker core.WorkerID) {
 	until := a.allowed[worker].until
 	if !a.ticketsUntil.After(until) {
@@ -149,78 +157,80 @@
 	}
 }
 
-func (b *Scheduler) phase(id jobs.PhaseID) *phase {
-	t := b.task(jobs.TaskID{PhaseID: id})
+func (s *Scheduler) phase(id jobs.PhaseID) *phase {
+	t := s.task(jobs.TaskID{PhaseID: id})
 	if t == nil {
 		return nil
 	}
 	return t.phase
 }
 
-// advisor returns the placement policy of the unit's queue, if it has one.
-func (u *phase) advisor() core.Option[policy.Advice] {
-	if q := u.job.scheduler.policy.Queues[u.job.Spec.Queue]; q != nil {
+// advisor returns the policy of the queue's placement advisor, if it has one.
+func (p *phase) advisor() core.Option[policy.Advice] {
+	if q := p.job.scheduler.policy.Queues[p.job.Spec.Queue]; q != nil {
 		return q.Advice
 	}
 	return core.Option[policy.Advice]{}
 }
 
-// Turns are the VMs' turns at the placement policy.
+// Turns assigns advice requests to the VMs, each of which makes one call to the
+// placement advisor at a time.
 type Turns interface {
-	// Free reports whether a call of some length would begin soon.
+	// Free reports whether a VM could soon begin a call of the given duration.
 	Free(cost time.Duration) bool
-	// Spare reports whether more turns are free than calls are likely to come.
+	// Spare reports whether more VMs are idle than the expected calls need.
 	Spare() bool
-	// Take hands a call out.
+	// Take assigns a request to a VM.
 	Take(a AdviceRequest)
 }
 
-// AdviceRequests hands out the calls for advice that are worth their time now, the most
-// urgent first. A call that would only wait is not made: by the time it begins,
-// other work may be more urgent, and room elsewhere. Turns that are to spare, and
-// now and then others, go to calls that are less likely to let tasks start.
-func (b *Scheduler) AdviceRequests(now time.Time, turns Turns) {
-	b.now = now
+// AdviceRequests sends the advice requests that are worthwhile now, the most
+// urgent first. A request that would have to queue is not sent: by the time its
+// call begins, other work may be more urgent and other workers may have room.
+// Requests that are less likely to let tasks start are sent while Turns.Spare
+// reports idle VMs, and otherwise at most once per lowYieldInterval and phase.
+func (s *Scheduler) AdviceRequests(now time.Time, turns Turns) {
+	s.now = now
 	if !turns.Free(0) {
 		return
 	}
-	var later []*phase
-	for _, u := range b.rankedPhases() {
-		p, ok := u.advisor().Get()
-		asking := !u.advice.requestedAt.IsZero() && now.Before(u.advice.lostAt)
-		if !ok || asking || now.Before(u.advice.recheckAt) || !u.startable() || !turns.Free(p.Base) {
+	var lowYield []*phase
+	for _, p := range s.rankedPhases() {
+		advisor, ok := p.advisor().Get()
+		isPending := !p.advice.requestedAt.IsZero() && now.Before(p.advice.lostAt)
+		if !ok || isPending || now.Before(p.advice.recheckAt) || !p.startable() || !turns.Free(advisor.Base) {
 			continue
 		}
-		if names := u.workersToRequest(p); len(names) > 0 {
-			b.requestAdvice(turns, u, p, names)
+		if workers := p.workersToRequest(advisor); len(workers) > 0 {
+			s.requestAdvice(turns, p, advisor, workers)
 			continue
 		}
-		u.advice.recheckAt = now.Add(recheckDelay)
-		later = append(later, u)
+		p.advice.recheckAt = now.Add(recheckDelay)
+		lowYield = append(lowYield, p)
 	}
-	for _, u := range later {
-		p, ok := u.advisor().Get()
-		rested := now.Sub(u.openedAt) > lowYieldInterval && now.Sub(u.advice.lowYieldAt) > lowYieldInterval
-		if !ok || !turns.Free(p.Base) || !turns.Spare() && !rested {
+	for _, p := range lowYield {
+		advisor, ok := p.advisor().Get()
+		intervalOver := now.Sub(p.openedAt) > lowYieldInterval && now.Sub(p.advice.lowYieldAt) > lowYieldInterval
+		if !ok || !turns.Free(advisor.Base) || !turns.Spare() && !intervalOver {
 			continue
 		}
-		if names := u.lowYieldWorkers(p); len(names) > 0 {
-			u.advice.lowYieldAt = now
-			b.requestAdvice(turns, u, p, names)
+		if workers := p.lowYieldWorkers(advisor); len(workers) > 0 {
+			p.advice.lowYieldAt = now
+			s.requestAdvice(turns, p, advisor, workers)
 		}
 	}
 }
 
-func (b *Scheduler) requestAdvice(turns Turns, u *phase, p policy.Advice, names []core.WorkerID) {
-	u.advice.markRequested(b.now, p, len(names))
-	b.counts.Asks++
-	turns.Take(AdviceRequest{Phase: u.id, Workers: names, Cost: p.Cost(len(names))})
+func (s *Scheduler) requestAdvice(turns Turns, p *phase, advisor policy.Advice, workers []core.WorkerID) {
+	p.advice.markRequested(s.now, advisor, len(workers))
+	s.counts.Asks++
+	turns.Take(AdviceRequest{Phase: p.id, Workers: workers, Cost: advisor.Cost(len(workers))})
 }
 
-// minStartCount is how many tasks must start together.
-func (u *phase) minStartCount() int {
-	if u.spec.Gang {
-		return u.spec.Count
+// minStartCount returns how many tasks must start together.
+func (p *phase) minStartCount() int {
+	if p.spec.Gang {
+		return p.spec.Count
 	}
 	return 1
 }
--- a/core/fleet/charts.go
+++ b/core/fleet/charts.go
@@ -15,7 +15,8 @@
 //go:embed worker.toml
 var workerText []byte
 
-// The charts and their names are bound in init, as the actions use them in turn.
+// The charts, states and events are bound in init: the actions refer to these
+// variables, so initializing them here would be a cycle.
 var (
 	taskChart   *chart.Machine[*Task]
 	jobChart    *chart.Machine[*Job]
@@ -35,14 +36,14 @@
 
 func init() {
 	taskChart = chart.Must(chart.Load(taskText, nil, map[string]chart.Action[*Task]{
-		"hold":    (*Task).addUnresolved,
-		"unhold":  (*Task).removeUnresolved,
-		"reserve": (*Task).reserve,
-		"release": (*Task).release,
-		"begin":   (*Task).markStarted,
-		"halt":    (*Task).orderStop,
-		"finish":  (*Task).markDone,
-		"count":   (*Task).countFailure,
+		"add_unresolved":    (*Task).addUnresolved,
+		"remove_unresolved": (*Task).removeUnresolved,
+		"reserve":           (*Task).reserve,
+		"release":           (*Task).release,
+		"mark_started":      (*Task).markStarted,
+		"order_stop":        (*Task).orderStop,
+		"mark_done":         (*Task).markDone,
+		"count_failure":     (*Task).countFailure,
 	}))
 	for name, ev := range map[string]*chart.Event{
 		"recover": &taskRecover, "clear": &taskClear, "found": &taskFound, "place": &taskPlace,
@@ -58,7 +59,7 @@
 		*st = taskChart.State(name)
 	}
 
-	jobChart = chart.Must(chart.Load(jobText, nil, map[string]chart.Action[*Job]{"drop": (*Job).dropTasks}))
+	jobChart = chart.Must(chart.Load(jobText, nil, map[string]chart.Action[*Job]{"drop_tasks": (*Job).dropTasks}))
 	for name, ev := range map[string]*chart.Event{
 		"begin": &jobBegin, "complete": &jobComplete, "fail": &jobFail, "cancel": &jobCancel,
 		"restore": &jobRestore, "recorded": &jobRecorded,
@@ -71,7 +72,7 @@
 		*st = jobChart.State(name)
 	}
 
-	workerChart = chart.Must(chart.Load(workerText, nil, map[string]chart.Action[*Worker]{"cut": (*Worker).endRuns}))
+	workerChart = chart.Must(chart.Load(workerText, nil, map[string]chart.Action[*Worker]{"end_runs": (*Worker).endRuns}))
 	for name, ev := range map[string]*chart.Event{
 		"answer": &workerAnswer, "miss": &workerMiss, "lapse": &workerLapse, "vanish": &workerVanish,
 	} {
--- a/core/fleet/dump.go
+++ b/core/fleet/dump.go
@@ -9,7 +9,7 @@
 	"chicoryturn/core/jobs"
 )
 
-// Dump is the board's state for people.
+// Dump is the scheduler's state for operators.
 type Dump struct {
 	Epoch   core.Epoch
 	Settled bool
@@ -20,24 +20,29 @@
 	Jobs []JobDump
 }
 
-// WorkerDump is one worker.
+// WorkerDump is the state of one worker.
 type WorkerDump struct {
-	Worker            core.WorkerID
-	State             string
-	Room, Free        core.Resources
+	Worker     core.WorkerID
+	State      string
+	Room, Free core.Resources
+	// Tasks counts the tasks placed on the worker, Strays the orphaned runs.
 	Tasks, Strays     int
 	Leaving, SetAside bool
-	// Usable is set if tasks may be placed there, Recorded if the worker is in
-	// the roster in the store.
+	// Usable is set if tasks may be placed on the worker, Recorded if it is in
+	// the stored roster.
 	Usable, Recorded bool
 	// Foreign counts the runs of unknown jobs.
-	Foreign      int
-	Heard        string
+	Foreign int
+	// Heard is the time since the worker's last answer.
+	Heard string
+	// Taken is the number of the newest end handled, Acked that of the newest
+	// end acknowledged.
 	Taken, Acked uint64
-	Slow         float64
+	// Slow is the mean logarithm of actual over predicted run time.
+	Slow float64
 }
 
-// JobDump is one job that has not ended.
+// JobDump is the state of one job that has not ended.
 type JobDump struct {
 	Job    core.JobID
 	Team   core.Team
@@ -47,32 +52,36 @@
 	Phases []PhaseDump
 }
 
-// PhaseDump is one open phase of a job.
+// PhaseDump is the state of one open phase of a job.
 type PhaseDump struct {
-	Phase            jobs.PhaseID
+	Phase jobs.PhaseID
+	// Left counts the tasks that have not succeeded, Live those that hold room
+	// on a worker, Idle those that wait for placement.
 	Left, Live, Idle int
 	Gang             bool
-	// Allowed is how many workers may run it; Ready how many tickets are good.
+	// Allowed counts the workers that may run the phase, Ready those of them
+	// whose tickets are valid.
 	Allowed, Ready int
-	Asking         bool
+	// Asking is set while an advice request is unanswered.
+	Asking bool
 }
 
-// Dump returns the state.
-func (b *Scheduler) Dump() *Dump {
-	d := &Dump{Epoch: b.epoch, Settled: b.settled, Counts: b.counts, Used: map[core.Team]core.Resources{}}
-	for t, r := range b.used {
+// Dump returns the scheduler's state.
+func (s *Scheduler) Dump() *Dump {
+	d := &Dump{Epoch: s.epoch, Settled: s.settled, Counts: s.counts, Used: map[core.Team]core.Resources{}}
+	for t, r := range s.used {
 		d.Used[t] = r
 	}
-	for _, w := range b.sortedWorkers {
+	for _, w := range s.sortedWorkers {
 		d.Workers = append(d.Workers, WorkerDump{
 			Worker: w.id, State: workerChart.Name(w.state), Room: w.info.Room, Free: w.free, Tasks: len(w.tasks), Strays: len(w.orphans),
 			Usable: w.usable(), Recorded: w.inRoster, Foreign: len(w.unknownRuns),
-			Leaving: w.info.Leaving, SetAside: b.now.Before(w.asideUntil), Heard: b.now.Sub(w.answeredAt).Round(time.Millisecond).String(),
-			Taken: w.takenEnd, Acked: w.ackedEnd, Slow: w.slowness,
+			Leaving: w.info.Leaving, SetAside: s.now.Before(w.asideUntil), Heard: s.now.Sub(w.answeredAt).Round(time.Millisecond).String(),
+			Taken: w.handledEnd, Acked: w.ackedEnd, Slow: w.slowness,
 		})
 	}
 	var open []*Job
-	for _, j := range b.jobs {
+	for _, j := range s.jobs {
 		if !j.ended() {
 			open = append(open, j)
 		}
@@ -86,17 +95,17 @@
 
 func (j *Job) dump() JobDump {
 	out := JobDump{Job: j.Spec.ID, Team: j.Spec.Team, Queue: j.Spec.Queue, State: jobChart.Name(j.state), Age: j.scheduler.now.Sub(j.arrivedAt).Round(time.Millisecond).String()}
-	for _, u := range j.phases {
-		if !u.isOpen || u.tasksLeft == 0 {
+	for _, p := range j.phases {
+		if !p.isOpen || p.tasksLeft == 0 {
 			continue
 		}
-		p := PhaseDump{Phase: u.id, Left: u.tasksLeft, Live: u.tasksPlaced, Idle: u.tasksWaiting, Gang: u.spec.Gang, Allowed: len(u.advice.allowed), Asking: !u.advice.requestedAt.IsZero()}
-		for _, t := range u.advice.allowed {
+		d := PhaseDump{Phase: p.id, Left: p.tasksLeft, Live: p.tasksPlaced, Idle: p.tasksWaiting, Gang: p.spec.Gang, Allowed: len(p.advice.allowed), Asking: !p.advice.requestedAt.IsZero()}
+		for _, t := range p.advice.allowed {
 			if t.until.After(j.scheduler.now) {
-				p.Ready++
+				d.Ready++
 			}
 		}
-		out.Phases = append(out.Phases, p)
+		out.Phases = append(out.Phases, d)
 	}
 	return out
 }
--- /dev/null
+++ b/core/fleet/heartbeat.go
@@ -0,0 +1,389 @@
+package fleet
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"chicoryturn/core"
+	"chicoryturn/core/jobs"
+)
+
+const (
+	// heartbeatWait is how long a worker may delay its answer to a heartbeat
+	// until a run ends. If an answer is lost, the owner learns of no end on
+	// that worker until the call times out, so the wait is short; the platform
+	// allows 2 s.
+	heartbeatWait = 600 * time.Millisecond
+	// While the ends in a worker's last answer cannot be acknowledged yet, its
+	// next heartbeat is put off, but for no longer than the lease divided by
+	// heartbeatDivisor.
+	heartbeatDivisor = 4
+	// heartbeatRetry is the delay before the next heartbeat to a worker that
+	// has not answered the last one.
+	heartbeatRetry = 400 * time.Millisecond
+	// firstHeartbeatRetry is the same delay for a worker that has never
+	// answered this owner. It is short because tasks that an earlier owner may
+	// have started cannot start on another worker until all workers have
+	// answered.
+	firstHeartbeatRetry = 50 * time.Millisecond
+	// stopRetry is the delay before an unanswered stop is sent again.
+	stopRetry = 500 * time.Millisecond
+	// maxJobWait is how long the end of a run of an unknown job waits for that
+	// job to be read from the store. A job that is still unknown after several
+	// readings has been deleted.
+	maxJobWait = 5 * time.Second
+)
+
+// HeartbeatAnswered handles a worker's answer to the heartbeat sent at the
+// given time.
+func (s *Scheduler) HeartbeatAnswered(now time.Time, id core.WorkerID, sent time.Time, l RunLists) {
+	s.now = now
+	w := s.workers[id]
+	if w == nil {
+		return
+	}
+	w.heartbeatInFlight = false
+	if !w.incarnation.IsZero() && !l.Incarnation.Equal(w.incarnation) {
+		w.resetIncarnation()
+	}
+	w.incarnation = l.Incarnation
+	w.setIncarnation(l.Incarnation)
+	if w.answeredAt.IsZero() {
+		// An earlier owner may have granted a full lease just before this
+		// answer.
+		w.leaseUntil = max(w.leaseUntil, l.Clock+s.limits.Lease)
+	}
+	if l.Clock >= w.clock {
+		w.clock, w.answeredAt = l.Clock, now
+	}
+	w.fire(workerAnswer)
+	if w.state == workerGone {
+		return
+	}
+	w.applyEnds(l.Ended)
+	w.reconcileActive(sent, l)
+	s.resolveRecovered()
+	s.needsPlacement = true
+}
+
+// resetIncarnation resets what is specific to an incarnation when a new one
+// answers under the same name: its clock and its numbering of ends start again.
+// The runs of the former incarnation have ended, but an order meant for it may
+// have reached the new one, whose lists show that. A stop acknowledged by the
+// former incarnation does not prevent a run on the new one.
+func (w *Worker) resetIncarnation() {
+	w.scheduler.counts.Lapses++
+	w.unknownRuns, w.blockedSince = nil, time.Time{}
+	for _, t := range w.tasks {
+		t.stopSentAt, t.stopAckedAt = time.Time{}, time.Time{}
+	}
+	for i := range w.orphans {
+		w.orphans[i].stopSentAt, w.orphans[i].stopAckedAt = time.Time{}, time.Time{}
+	}
+	w.clock, w.answeredAt, w.leaseUntil = 0, time.Time{}, 0
+	w.handledEnd, w.ackedEnd, w.ackableSeq = 0, 0, 0
+	w.failedInRow = 0
+}
+
+// setIncarnation records the incarnation that the worker or the platform's list
+// names. A new one is not in the stored roster yet.
+func (w *Worker) setIncarnation(incarnation time.Time) {
+	if w.info.Incarnation.Equal(incarnation) {
+		return
+	}
+	w.info.Incarnation, w.inRoster = incarnation, false
+	w.scheduler.rosterVersion++
+}
+
+// applyEnds handles the listed ends that are new. At the first end of an
+// unknown job it stops, until that job has been read or maxJobWait has passed.
+func (w *Worker) applyEnds(ends []EndedRun) {
+	s := w.scheduler
+	for _, e := range ends {
+		if e.Number <= w.handledEnd {
+			continue
+		}
+		if s.jobs[e.Task.Job] == nil && w.mustAwaitJob() {
+			w.ackableSeq = s.changeSeq
+			return
+		}
+		w.blockedSince = time.Time{}
+		w.handledEnd = e.Number
+		w.countOutcome(e.Kind)
+		if i := slices.IndexFunc(w.orphans, func(o orphanedRun) bool { return o.task == e.Task && o.run == e.Run }); i >= 0 {
+			w.releaseOrphan(w.orphans[i])
+			w.orphans = slices.Delete(w.orphans, i, i+1)
+		}
+		t := s.task(e.Task)
+		d := Decision{Job: e.Task.Job, Event: "run ended " + e.Reason, Worker: w.id, Task: e.Task.String(), Run: e.Run}
+		if t != nil {
+			if t.worker == w && t.run == e.Run && !t.startedAt.IsZero() {
+				d.Wait = s.now.Sub(t.startedAt)
+			}
+			t.runEnded(w, e.Run, e.Kind, e.Checkpoint)
+		}
+		s.logDecision(d)
+	}
+	w.ackableSeq = s.changeSeq
+}
+
+// mustAwaitJob reports whether the end of a run of an unknown job must wait for
+// that job: acknowledging the end would lose it, and the task would run again.
+func (w *Worker) mustAwaitJob() bool {
+	w.scheduler.unknownJobSeen = true
+	if w.blockedSince.IsZero() {
+		w.blockedSince = w.scheduler.now
+	}
+	return w.scheduler.now.Sub(w.blockedSince) < maxJobWait
+}
+
+// countOutcome counts consecutive failed runs and sets the worker aside when
+// there are too many.
+func (w *Worker) countOutcome(kind EndKind) {
+	switch kind {
+	case EndDone:
+		w.failedInRow, w.asidePeriod = 0, 0
+	case EndFailed:
+		if w.failedInRow++; w.failedInRow >= maxFailedInRow {
+			w.setAside()
+		}
+	}
+}
+
+// setAside excludes the worker from placement for a period that doubles each
+// time.
+func (w *Worker) setAside() {
+	w.asidePeriod = min(max(2*w.asidePeriod, minAside), maxAside)
+	w.asideUntil = w.scheduler.now.Add(w.asidePeriod)
+}
+
+// reconcileActive reconciles the scheduler's state with the runs that the
+// worker lists as active.
+func (w *Worker) reconcileActive(sent time.Time, l RunLists) {
+	s := w.scheduler
+	w.unknownRuns = nil
+	type runID struct {
+		task jobs.TaskID
+		run  uint64
+	}
+	listed := make(map[runID]struct{}, len(l.Active))
+	for _, a := range l.Active {
+		listed[runID{a.Task, a.Run}] = struct{}{}
+		t := s.task(a.Task)
+		switch {
+		case t == nil:
+			if w.unknownRuns == nil {
+				w.unknownRuns = map[jobs.TaskID]uint64{}
+			}
+			w.unknownRuns[a.Task] = a.Run
+			s.unknownJobSeen = true
+		case t.worker == w && t.run == a.Run:
+			t.fire(taskFound)
+			t.takeReport(a)
+		case t.state == taskHeld:
+			t.eventWorker, t.run = w, a.Run
+			t.fire(taskFound)
+			t.takeReport(a)
+		default:
+			w.orphanFound(t, a)
+		}
+	}
+	for _, t := range w.sortedTasks() {
+		if _, ok := listed[runID{t.ID(), t.run}]; !ok {
+			t.runNotListed(sent, len(l.Ended))
+		}
+	}
+	w.orphans = slices.DeleteFunc(w.orphans, func(o orphanedRun) bool {
+		_, ok := listed[runID{o.task, o.run}]
+		// A run that neither list names after the worker acknowledged its stop
+		// will never start.
+		willNotStart := !ok && !o.stopAckedAt.IsZero() && sent.After(o.stopAckedAt)
+		if willNotStart {
+			w.releaseOrphan(o)
+		}
+		return willNotStart
+	})
+}
+
+// orphanFound adopts a listed run that is not the task's current run as an
+// orphaned run and stops it.
+func (w *Worker) orphanFound(t *Task, a ActiveRun) {
+	if slices.ContainsFunc(w.orphans, func(o orphanedRun) bool { return o.task == a.Task && o.run == a.Run }) {
+		return
+	}
+	w.scheduler.logDecision(Decision{Job: a.Task.Job, Event: "orphaned run found; stopping it", Worker: w.id, Task: a.Task.String(), Run: a.Run, Reason: "task is " + taskChart.Name(t.state)})
+	if t.run < a.Run {
+		t.run = a.Run
+	}
+	w.addOrphan(orphanedRun{task: a.Task, run: a.Run, reserved: t.phase.need(), team: t.phase.job.Spec.Team})
+}
+
+// takeReport records what the worker reports about the active run.
+func (t *Task) takeReport(a ActiveRun) {
+	s := t.phase.job.scheduler
+	if a.Checkpoint != "" {
+		t.keepCheckpoint(a.Run, a.Checkpoint)
+	}
+	if a.Percent != t.percent {
+		t.percent, t.progressChangedAt = a.Percent, s.now
+		s.progressSeen = true
+	}
+	switch {
+	case t.state != taskRunning || t.startedAt.IsZero() || t.phase.spec.LongRunning:
+	case t.stalled():
+		t.stopStalled()
+	default:
+		t.learnFromProgress()
+	}
+}
+
+// stalled reports whether the run has made no progress for too long. A gang
+// that waits for a member makes none either; its worker ends it after GangWait.
+// Progress is reported in whole percent, so in long runs it changes seldom.
+func (t *Task) stalled() bool {
+	s := t.phase.job.scheduler
+	if !s.progressSeen || t.percent >= 100 {
+		return false
+	}
+	timeout := max(stallTimeout, s.estimator.Predict(t.phase.job.Spec.Queue, t.phase.spec.Estimate)/stallDivisor)
+	if t.phase.spec.Gang {
+		timeout += s.limits.GangWait
+	}
+	return s.now.Sub(t.progressChangedAt) > timeout
+}
+
+// stopStalled stops a stalled run, so that the task starts on another worker.
+func (t *Task) stopStalled() {
+	s, w := t.phase.job.scheduler, t.worker
+	s.logDecision(Decision{Job: t.phase.id.Job, Event: "run makes no progress; stopping it", Worker: w.id, Task: t.ID().String(), Run: t.run, Wait: s.now.Sub(t.progressChangedAt)})
+	t.avoidWorker(w.id)
+	w.setAside()
+	t.fire(taskStop)
+}
+
+// learnFromProgress updates the worker's learned slowness from the progress of
+// the active run.
+func (t *Task) learnFromProgress() {
+	s := t.phase.job.scheduler
+	worked := s.now.Sub(t.startedAt)
+	if t.percent == 0 || t.checkpoint != "" || worked < minProgressTime || s.now.Sub(t.speedReadAt) < progressInterval {
+		return
+	}
+	t.speedReadAt = s.now
+	runTime := worked.Seconds() * 100 / float64(t.percent)
+	expected := max(s.estimator.Predict(t.phase.job.Spec.Queue, t.phase.spec.Estimate), time.Millisecond)
+	t.worker.slowness += progressGain * (math.Log(runTime/expected.Seconds()) - t.worker.slowness)
+}
+
+// maxListedEnds is the most ends that an answer lists. A run that neither list
+// names may be among the ends that did not fit.
+const maxListedEnds = 500
+
+// runNotListed handles a heartbeat answer that lists the task's run neither as
+// active nor as ended.
+func (t *Task) runNotListed(sent time.Time, ends int) {
+	if ends >= maxListedEnds {
+		return
+	}
+	switch t.state {
+	case taskRunning:
+		// The worker had confirmed the run before the heartbeat was sent.
+		if !t.startedAt.IsZero() && sent.After(t.startedAt) {
+			s := t.phase.job.scheduler
+			s.logDecision(Decision{Job: t.phase.id.Job, Event: "run is missing from the lists of its worker", Worker: t.worker.id, Task: t.ID().String(), Run: t.run})
+			t.fire(taskCut)
+		}
+	case taskDoubtful, taskStopping, taskLeaving:
+		// Once the worker has acknowledged the stop, the run can no longer
+		// start.
+		if !t.stopAckedAt.IsZero() && sent.After(t.stopAckedAt) {
+			t.fire(taskRefused)
+		}
+	}
+}
+
+// HeartbeatFailed handles a heartbeat without answer.
+func (s *Scheduler) HeartbeatFailed(now time.Time, id core.WorkerID) {
+	s.now = now
+	w := s.workers[id]
+	if w == nil {
+		return
+	}
+	w.heartbeatInFlight = false
+	w.nextHeartbeat = now.Add(heartbeatRetry)
+	if w.state == workerFresh && w.listed {
+		w.nextHeartbeat = now.Add(firstHeartbeatRetry)
+	}
+	w.fire(workerMiss)
+	s.needsPlacement = true
+}
+
+// IncarnationEnded handles the proof that a worker's incarnation has ended.
+func (s *Scheduler) IncarnationEnded(now time.Time, id core.WorkerID) {
+	s.now = now
+	if w := s.workers[id]; w != nil {
+		w.fire(workerVanish)
+		s.removeGone()
+		s.resolveRecovered()
+	}
+}
+
+// repeatStops sends unanswered stops again.
+func (s *Scheduler) repeatStops() {
+	for _, w := range s.sortedWorkers {
+		for _, t := range w.tasks {
+			isStopping := t.state == taskDoubtful || t.state == taskStopping || t.state == taskLeaving
+			if isStopping && t.stopAckedAt.IsZero() && s.now.Sub(t.stopSentAt) > stopRetry {
+				t.orderStop()
+			}
+		}
+		for i := range w.orphans {
+			if w.orphans[i].stopAckedAt.IsZero() && s.now.Sub(w.orphans[i].stopSentAt) > stopRetry {
+				w.stopOrphan(i)
+			}
+		}
+	}
+}
+
+// orderHeartbeats orders the heartbeats that are due. It also marks a worker
+// that does not answer as lapsed once its lease has certainly expired.
+func (s *Scheduler) orderHeartbeats() {
+	for _, w := range s.sortedWorkers {
+		if w.state != workerLive && w.leaseLapsed(s.now) {
+			w.fire(workerLapse)
+		}
+		if w.heartbeatInFlight || s.now.Before(w.nextHeartbeat) {
+			continue
+		}
+		wait := heartbeatWait
+		switch {
+		case w.state == workerFresh || w.answeredAt.IsZero():
+			wait = 0
+		case w.state != workerLive:
+			wait = 0
+			w.nextHeartbeat = s.now.Add(heartbeatRetry)
+		case s.storedSeq < w.ackableSeq:
+			// The worker would list the unacknowledged ends again at once.
+			if s.now.Sub(w.heartbeatSentAt) < s.limits.Lease/heartbeatDivisor {
+				continue
+			}
+			wait = 0
+		default:
+			w.ackedEnd = w.handledEnd
+		}
+		w.heartbeatInFlight, w.heartbeatSentAt = true, s.now
+		s.orderHeartbeat(w, wait)
+	}
+}
+
+// orderHeartbeat orders a heartbeat. Only a worker that answered the last one
+// gets its lease renewed: a renewal sent to a silent worker may arrive late,
+// and no time would be known by which the runs there must have ended.
+func (s *Scheduler) orderHeartbeat(w *Worker, wait time.Duration) {
+	o := Order{Kind: OrderHeartbeat, Worker: w.id, Info: w.info, Epoch: s.epoch, AckedEnd: w.ackedEnd, Wait: wait}
+	if w.state == workerLive {
+		o.LeaseUntil = w.extendLease()
+	}
+	s.orders = append(s.orders, o)
+}
--- a/core/fleet/job.go
+++ b/core/fleet/job.go
@@ -10,88 +10,91 @@
 	"chicoryturn/core/jobs"
 )
 
-// usefulFactor times the time that a job is owed is the most for which ending
-// late is still worth something to its client.
+// A job that ends later than usefulFactor times the time allowed to it is worth
+// nothing to its client.
 const usefulFactor = 3
 
-// Job is a job of the fleet.
+// Job is the scheduler's state of one job.
 type Job struct {
 	Spec      jobs.Spec
 	scheduler *Scheduler
 	state     chart.State
-	// phases holds the phases of each occurrence in order of occurrence.
+	// phases holds the phases in order of occurrence and phase.
 	phases []*phase
 	// tasks holds the tasks in order of occurrence, phase and index.
 	tasks []*Task
-	// phasesLeft counts the phases that are not complete, live the tasks that hold
-	// room on a worker.
+	// phasesLeft counts the phases that are not complete, tasksPlaced the tasks
+	// that hold room on a worker.
 	phasesLeft, tasksPlaced int
 	progress                jobs.Progress
-	// seq is the order of arrival.
+	// seq numbers the jobs in order of arrival at this scheduler.
 	seq       uint64
 	arrivedAt time.Time
-	// onTimeUntil is when the job must end to be on time, late from when on its end is
-	// worth nothing more; both follow the policy.
+	// A job that ends after onTimeUntil is late; one that ends after
+	// usefulUntil is worth nothing to its client. Both change with the policy.
 	onTimeUntil, usefulUntil time.Time
-	// overShare is set for work that exceeds the team's share of a full fleet.
-	overShare bool
+	// exceedsShare is set if the team submitted the job in excess of its share
+	// of a full fleet.
+	exceedsShare bool
 }
 
-// phase is one phase of one occurrence.
+// phase is the state of one phase of one occurrence of a job.
 type phase struct {
 	id   jobs.PhaseID
 	job  *Job
 	spec *jobs.Phase
 	// nameHash is a hash of the job's name.
 	nameHash uint64
-	// firstPosition is the position of the first task within the job.
+	// firstPosition is the position of the first task in the job's progress.
 	firstPosition int
 	tasks         []*Task
-	// tasksLeft counts the tasks that have not ended well, live those that hold
-	// room, idle those that wait.
+	// tasksLeft counts the tasks that have not succeeded, tasksPlaced those
+	// that hold room on a worker, tasksWaiting those that wait for placement.
 	tasksLeft, tasksPlaced, tasksWaiting int
-	// isOpen is set once earlier phases have ended and the occurrence is due.
+	// isOpen is set once the earlier phases are complete and the occurrence is
+	// due.
 	isOpen   bool
 	openedAt time.Time
-	// timeLeft is the expected time from the phase's start to the job's end, as worked
-	// out at restAt.
+	// timeLeft is the expected time from the phase's start to the job's end,
+	// computed at timeLeftAt.
 	timeLeft   time.Duration
 	timeLeftAt time.Time
-	// waitLoggedAt is when the log last said what the phase waits for.
+	// waitLoggedAt is when the reason for waiting was last logged.
 	waitLoggedAt time.Time
-	// gangDone is set once a member of a gang has ended well: so has the gang.
+	// gangDone is set once one member of a gang has succeeded, and with it the
+	// gang.
 	gangDone bool
-	// gangRun is the newest run of a gang.
+	// gangRun is the number of a gang's newest run.
 	gangRun uint64
 	advice  advice
 	// gangCheckpoint is the checkpoint that all tasks of a gang start from.
 	gangCheckpoint string
 }
 
-func (b *Scheduler) add(spec jobs.Spec) *Job {
-	b.lastJobSeq++
-	j := &Job{Spec: spec, scheduler: b, state: jobChart.Start(), seq: b.lastJobSeq, arrivedAt: spec.Accepted, progress: jobs.Progress{Job: spec.ID}}
-	if j.arrivedAt.IsZero() || j.arrivedAt.After(b.now) {
-		j.arrivedAt = b.now
+func (s *Scheduler) add(spec jobs.Spec) *Job {
+	s.lastJobSeq++
+	j := &Job{Spec: spec, scheduler: s, state: jobChart.Start(), seq: s.lastJobSeq, arrivedAt: spec.Accepted, progress: jobs.Progress{Job: spec.ID}}
+	if j.arrivedAt.IsZero() || j.arrivedAt.After(s.now) {
+		j.arrivedAt = s.now
 	}
-	order := xxhash.Sum64String(string(spec.ID))
-	for occ := range spec.Occurrences() {
+	nameHash := xxhash.Sum64String(string(spec.ID))
+	for occurrence := range spec.Occurrences() {
 		for index := range j.Spec.Phases {
 			phaseSpec := &j.Spec.Phases[index]
-			u := &phase{id: jobs.PhaseID{Job: spec.ID, Occurrence: occ, Phase: index}, job: j, spec: phaseSpec, nameHash: order, firstPosition: len(j.tasks), tasksLeft: phaseSpec.Count, tasksWaiting: phaseSpec.Count}
+			p := &phase{id: jobs.PhaseID{Job: spec.ID, Occurrence: occurrence, Phase: index}, job: j, spec: phaseSpec, nameHash: nameHash, firstPosition: len(j.tasks), tasksLeft: phaseSpec.Count, tasksWaiting: phaseSpec.Count}
 			for i := range phaseSpec.Count {
-				t := &Task{phase: u, index: i, state: taskChart.Start()}
-				u.tasks = append(u.tasks, t)
+				t := &Task{phase: p, index: i, state: taskChart.Start()}
+				p.tasks = append(p.tasks, t)
 				j.tasks = append(j.tasks, t)
 			}
-			j.phases = append(j.phases, u)
+			j.phases = append(j.phases, p)
 		}
 	}
 	j.phasesLeft = len(j.phases)
-	j.overShare = b.exceedsShare(spec.Team, j.arrivedAt)
+	j.exceedsShare = s.exceedsShare(spec.Team, j.arrivedAt)
 	j.setDeadlines()
-	b.jobs[spec.ID] = j
-	b.needsPlacement = true
+	s.jobs[spec.ID] = j
+	s.needsPlacement = true
 	return j
 }
 
@@ -100,7 +103,8 @@
 // ended reports whether the job's end has been decided.
 func (j *Job) ended() bool { return j.state == jobClosing || j.state == jobClosed }
 
-// clientState returns the state that clients may be told.
+// clientState returns the state that clients see. A final state is visible only
+// once it is in the store.
 func (j *Job) clientState() jobs.State {
 	switch j.state {
 	case jobQueued:
@@ -112,60 +116,61 @@
 	}
 }
 
-// markDirty has the job's progress recorded.
+// markDirty queues the job's progress for the next batch.
 func (j *Job) markDirty() {
 	j.scheduler.changeSeq++
 	j.scheduler.dirty[j.Spec.ID] = j
 }
 
-// restore takes over recorded progress.
-func (j *Job) restore(p *jobs.Progress) {
-	if p.Job == "" {
+// restore applies stored progress to a new job.
+func (j *Job) restore(recorded *jobs.Progress) {
+	if recorded.Job == "" {
 		return
 	}
-	j.progress = p.Clone()
-	if p.State.Final() {
+	j.progress = recorded.Clone()
+	if recorded.State.Final() {
 		j.fire(jobRestore)
 		for _, t := range j.tasks {
 			t.fire(taskDrop)
 		}
 		return
 	}
-	for at, t := range j.tasks {
-		if p.IsDone(at) {
+	for position, t := range j.tasks {
+		if recorded.IsDone(position) {
 			t.fire(taskRestore)
 			t.phase.tasksWaiting--
 			t.phase.tasksLeft--
 		}
 	}
-	for _, u := range j.phases {
-		if u.tasksLeft == 0 {
+	for _, p := range j.phases {
+		if p.tasksLeft == 0 {
 			j.phasesLeft--
-			u.gangDone = u.spec.Gang
+			p.gangDone = p.spec.Gang
 		}
 	}
 }
 
-// openPhases lets the phases start whose earlier phases have ended well.
+// openPhases opens the phases whose predecessors are complete. Phases of
+// occurrences that are not due yet are queued in futurePhases.
 func (j *Job) openPhases() {
 	if j.ended() {
 		return
 	}
 	n := len(j.Spec.Phases)
-	for i, u := range j.phases {
-		if u.isOpen || u.tasksLeft == 0 || !j.predecessorsDone(i/n, u.spec) {
+	for i, p := range j.phases {
+		if p.isOpen || p.tasksLeft == 0 || !j.predecessorsDone(i/n, p.spec) {
 			continue
 		}
-		if due := j.Spec.Due(u.id.Occurrence); due.After(j.scheduler.now) {
-			j.scheduler.futurePhases[u] = struct{}{}
+		if due := j.Spec.Due(p.id.Occurrence); due.After(j.scheduler.now) {
+			j.scheduler.futurePhases[p] = struct{}{}
 			continue
 		}
-		u.open()
+		p.open()
 	}
 }
 
-func (j *Job) predecessorsDone(occurrence int, p *jobs.Phase) bool {
-	for _, a := range p.After {
+func (j *Job) predecessorsDone(occurrence int, spec *jobs.Phase) bool {
+	for _, a := range spec.After {
 		if j.phases[occurrence*len(j.Spec.Phases)+a].tasksLeft > 0 {
 			return false
 		}
@@ -173,7 +178,7 @@
 	return true
 }
 
-// completeIfDone completes the job once all its phases have.
+// completeIfDone completes the job once all its phases are complete.
 func (j *Job) completeIfDone() {
 	if j.phasesLeft == 0 && !j.ended() {
 		j.progress.State = jobs.Completed
@@ -191,87 +196,87 @@
 	}
 }
 
-// dropTasks ends all tasks of a job that has ended.
+// dropTasks drops all tasks of a job that has ended.
 func (j *Job) dropTasks() {
 	for _, t := range j.tasks {
 		t.fire(taskDrop)
 	}
-	for _, u := range j.phases {
-		delete(j.scheduler.openPhases, u)
-		delete(j.scheduler.futurePhases, u)
-		u.advice = advice{}
+	for _, p := range j.phases {
+		delete(j.scheduler.openPhases, p)
+		delete(j.scheduler.futurePhases, p)
+		p.advice = advice{}
 	}
 }
 
-// logEnd logs how the job has ended, against what it was owed.
+// logEnd logs the job's final state and by how much it missed its deadline.
 func (j *Job) logEnd() {
-	n := Decision{Job: j.Spec.ID, Event: "job " + string(j.progress.State), Wait: j.scheduler.now.Sub(j.arrivedAt)}
-	if late := j.scheduler.now.Sub(j.onTimeUntil); late > 0 {
-		n.Reason = "late by " + late.Round(time.Millisecond).String()
+	d := Decision{Job: j.Spec.ID, Event: "job " + string(j.progress.State), Wait: j.scheduler.now.Sub(j.arrivedAt)}
+	if overdue := j.scheduler.now.Sub(j.onTimeUntil); overdue > 0 {
+		d.Reason = "late by " + overdue.Round(time.Millisecond).String()
 	}
-	j.scheduler.logDecision(n)
+	j.scheduler.logDecision(d)
 }
 
-// setDeadlines works out what the job is owed.
+// setDeadlines computes the job's deadlines from the policy of its queue.
 func (j *Job) setDeadlines() {
 	j.onTimeUntil, j.usefulUntil = j.arrivedAt, j.arrivedAt
 	q := j.scheduler.policy.Queues[j.Spec.Queue]
 	if q == nil {
 		return
 	}
-	extra := time.Duration(0)
+	adviceTime := time.Duration(0)
 	if a, ok := q.Advice.Get(); ok {
-		extra = a.Cost(deadlineWorkers)
+		adviceTime = a.Cost(deadlineWorkers)
 	}
-	owed := time.Duration(q.Slowdown*float64(j.Spec.CriticalPath(extra))) + q.Latency
-	j.onTimeUntil, j.usefulUntil = j.arrivedAt.Add(owed), j.arrivedAt.Add(usefulFactor*owed)
+	allowed := time.Duration(q.Slowdown*float64(j.Spec.CriticalPath(adviceTime))) + q.Latency
+	j.onTimeUntil, j.usefulUntil = j.arrivedAt.Add(allowed), j.arrivedAt.Add(usefulFactor*allowed)
 }
 
-func (u *phase) open() {
-	u.isOpen, u.openedAt = true, u.job.scheduler.now
-	delete(u.job.scheduler.futurePhases, u)
-	u.job.scheduler.openPhases[u] = struct{}{}
-	u.job.scheduler.needsPlacement = true
+func (p *phase) open() {
+	p.isOpen, p.openedAt = true, p.job.scheduler.now
+	delete(p.job.scheduler.futurePhases, p)
+	p.job.scheduler.openPhases[p] = struct{}{}
+	p.job.scheduler.needsPlacement = true
 }
 
-// complete follows the end of the last task of the phase.
-func (u *phase) complete() {
-	j := u.job
-	delete(j.scheduler.openPhases, u)
-	// Who may run the phase is the largest part of a job's memory.
-	u.advice = advice{}
+// complete handles the end of the last task of the phase.
+func (p *phase) complete() {
+	j := p.job
+	delete(j.scheduler.openPhases, p)
+	// The advice is the largest part of a job's memory.
+	p.advice = advice{}
 	j.phasesLeft--
 	j.openPhases()
 	j.completeIfDone()
 }
 
-// need is what one task takes of a worker's room.
-func (u *phase) need() core.Resources {
-	n := u.spec.Need
-	if u.spec.Filler {
-		// Such tasks take only processor time that others leave unused.
+// need returns what one task takes of a worker's room.
+func (p *phase) need() core.Resources {
+	n := p.spec.Need
+	if p.spec.Filler {
+		// Filler tasks take only processor time that others leave unused.
 		n.Cores = 0
 	}
 	return n
 }
 
-// maxAttempts is how often a task may fail.
-func (u *phase) maxAttempts() int {
-	if q := u.job.scheduler.policy.Queues[u.job.Spec.Queue]; q != nil {
+// maxAttempts returns how many failed runs of a task fail the job.
+func (p *phase) maxAttempts() int {
+	if q := p.job.scheduler.policy.Queues[p.job.Spec.Queue]; q != nil {
 		return max(q.Attempts, 1)
 	}
 	return 1
 }
 
 // nextRun returns the number of the next run of a task or gang.
-func (u *phase) nextRun(last uint64) uint64 {
-	return max(last+1, uint64(max(u.job.scheduler.epoch, 1)-1)<<runNumberBits+1)
+func (p *phase) nextRun(last uint64) uint64 {
+	return max(last+1, uint64(max(p.job.scheduler.epoch, 1)-1)<<runNumberBits+1)
 }
 
-// stopGang stops what is left of a gang's run once a member has ended; the gang
-// starts again when none holds room any more.
-func (u *phase) stopGang() {
-	for _, t := range u.tasks {
+// stopGang stops the remaining members of a gang's run after one has ended. The
+// gang starts again once no member holds room.
+func (p *phase) stopGang() {
+	for _, t := range p.tasks {
 		t.fire(taskStop)
 	}
 }
--- a/core/fleet/order.go
+++ b/core/fleet/order.go
@@ -7,16 +7,17 @@
 	"chicoryturn/core/jobs"
 )
 
-// OrderKind tells the calls to workers apart.
+// OrderKind is the kind of a call to a worker.
 type OrderKind uint8
 
 // The kinds of calls to a worker.
 const (
 	// OrderStart starts a run.
 	OrderStart OrderKind = iota
-	// OrderStop stops a run, and makes it impossible if it has not begun.
+	// OrderStop stops a run, or prevents it if it has not started.
 	OrderStop
-	// OrderHeartbeat renews the lease of all that runs on a worker and reads its lists.
+	// OrderHeartbeat renews the lease of all runs on a worker and reads its
+	// lists.
 	OrderHeartbeat
 )
 
@@ -24,53 +25,59 @@
 type Order struct {
 	Kind   OrderKind
 	Worker core.WorkerID
-	// Info is where and which incarnation of the worker is meant.
+	// Info holds the address and the incarnation of the worker.
 	Info WorkerInfo
-	// Epoch fences the orders of earlier owners.
+	// Epoch fences off the orders of earlier owners.
 	Epoch core.Epoch
 
 	Task jobs.TaskID
 	Run  uint64
-	// Payload, Checkpoint and Ticket belong to a start. Checkpoint is the one to
-	// start from, if any.
+	// Payload, Checkpoint and Ticket belong to a start. Checkpoint is the one
+	// to resume from, if any.
 	Payload    string
 	Checkpoint string
 	Ticket     string
 
-	// LeaseUntil is the end of the lease on the worker's clock; 0 asks for none.
+	// LeaseUntil is the end of the lease on the worker's clock; 0 requests
+	// none.
 	LeaseUntil time.Duration
-	// AckedEnd is the number of the newest end that is safe with the owner.
+	// AckedEnd acknowledges all ends up to this number, whose progress is
+	// stored.
 	AckedEnd uint64
-	// Wait is how long a hold may wait for an end.
+	// Wait is how long a worker may delay its answer to a heartbeat until a run
+	// ends.
 	Wait time.Duration
 }
 
 // Reply is the outcome of a start or stop.
 type Reply uint8
 
-// The outcomes of a start or stop. Only ReplyNone leaves it open whether the
-// call is carried out later.
+// The outcomes of a start or stop. Only ReplyUnanswered leaves open whether the
+// worker will still carry out the call.
 const (
 	ReplyOK Reply = iota
-	// ReplyUnanswered means that no answer came.
+	// ReplyUnanswered means that no answer arrived.
 	ReplyUnanswered
-	// ReplyFenced means that the worker knows a later owner.
+	// ReplyFenced means that the worker has seen a later epoch.
 	ReplyFenced
-	// ReplyStaleRun means that the worker has ended or stopped this or a later run.
+	// ReplyStaleRun means that the worker has already ended or stopped this run
+	// or a later one of the task.
 	ReplyStaleRun
-	// ReplyLeaseExpired means that the lease of the order had ended.
+	// ReplyLeaseExpired means that the order's lease had expired on arrival.
 	ReplyLeaseExpired
 	// ReplyNoRoom means that the worker has no room for the task.
 	ReplyNoRoom
-	// ReplyBadTicket means that the ticket is not or no longer good.
+	// ReplyBadTicket means that the ticket is invalid or has expired.
 	ReplyBadTicket
 	// ReplyMalformed means that the worker does not understand the order.
 	ReplyMalformed
-	// ReplyUnhealthy means that an unhealthy worker has done nothing.
+	// ReplyUnhealthy means that the worker is unhealthy and did not carry out
+	// the order.
 	ReplyUnhealthy
-	// ReplyOtherIncarnation means that another incarnation of the worker has answered.
+	// ReplyOtherIncarnation means that another incarnation of the worker
+	// answered.
 	ReplyOtherIncarnation
-	// ReplyNotSent means that the order surely never left this process.
+	// ReplyNotSent means that the order certainly never left this process.
 	ReplyNotSent
 )
 
@@ -86,12 +93,12 @@
 const (
 	EndDone   EndKind = "done"
 	EndFailed EndKind = "failed"
-	// EndOther stands for all ends that are neither: stopped, lapsed, or ended
-	// because of other members of a gang.
+	// EndOther stands for all other ends: the run was stopped, its lease
+	// lapsed, or it ended because of other members of its gang.
 	EndOther EndKind = "other"
 )
 
-// ActiveRun is one run on a worker.
+// ActiveRun is one active run on a worker.
 type ActiveRun struct {
 	Task jobs.TaskID
 	Run  uint64
@@ -99,43 +106,43 @@
 	Checkpoint string
 	Percent    int
 	// Load is the latency of a serving task in milliseconds, or the processor
-	// time of any other in thousandths of a core.
+	// time of any other task in thousandths of a core.
 	Load int
 }
 
-// EndedRun is one end that a worker lists until it has been acknowledged.
+// EndedRun is an end that a worker lists until it has been acknowledged.
 type EndedRun struct {
 	// Number grows by one with each end of one incarnation.
 	Number uint64
 	Task   jobs.TaskID
 	Run    uint64
 	Kind   EndKind
-	// Reason is the worker's own word for how the run ended.
+	// Reason is the worker's own name for how the run ended.
 	Reason     string
 	Checkpoint string
 }
 
-// RunLists is what a worker answers to a hold.
+// RunLists is a worker's answer to a heartbeat.
 type RunLists struct {
-	// Clock is the worker's own steady clock.
+	// Clock is the worker's own monotonic clock.
 	Clock time.Duration
-	// Incarnation marks the incarnation of the worker.
+	// Incarnation identifies the incarnation of the worker.
 	Incarnation time.Time
-	// Active holds all that runs there; Ended may hold only the first part of
-	// what has not been acknowledged.
+	// Active holds all active runs; Ended may hold only the oldest of the ends
+	// that have not been acknowledged.
 	Active []ActiveRun
 	Ended  []EndedRun
 }
 
-// addOrder adds a call; the worker's address and the lease are filled in.
-func (b *Scheduler) addOrder(o Order) {
-	w := b.workers[o.Worker]
+// addOrder adds a call and fills in the worker's address and the lease.
+func (s *Scheduler) addOrder(o Order) {
+	w := s.workers[o.Worker]
 	if w == nil {
 		return
 	}
-	o.Info, o.Epoch = w.info, b.epoch
+	o.Info, o.Epoch = w.info, s.epoch
 	if o.Kind == OrderStart {
 		o.LeaseUntil = w.extendLease()
 	}
-	b.orders = append(b.orders, o)
+	s.orders = append(s.orders, o)
 }
--- a/core/fleet/place.go
+++ b/core/fleet/place.go
@@ -12,139 +12,146 @@
 )
 
 const (
-	// slownessWeight is what a worker's learned slowness counts against the share
-	// of its cores that a placement leaves free.
+	// slownessWeight weighs a worker's learned slowness against the share of
+	// its cores that a placement leaves free.
 	slownessWeight = 0.5
-	// unbounded stands for a phase without a bound on tasks per worker.
+	// unbounded is the number of slots if nothing bounds the tasks on a worker.
 	unbounded = math.MaxInt
-	// marginDivisor of the expected time, and marginLeast more, is how much longer
-	// work may take and still count as on time: most run times are within an
-	// eighth, and an end takes some 100 ms to be heard of and recorded.
+	// Work counts as on time if it would meet its deadline even when it takes
+	// 1/marginDivisor plus minMargin longer than expected: most run times are
+	// within an eighth of the estimate, and it takes about 100 ms until the
+	// owner has learned of an end and recorded it.
 	marginDivisor = 8
 	minMargin     = 100 * time.Millisecond
-	// timeLeftTTL is how long an estimate of the remaining time is used again.
+	// timeLeftTTL is how long a computed time left is reused; the estimates
+	// behind it change slowly.
 	timeLeftTTL = 300 * time.Millisecond
-	// waitLogDelay is how long work waits before the log says why, tellPause the time
-	// between two such lines.
+	// waitLogDelay is how long a phase waits before the reason is logged,
+	// waitLogInterval the time between two such lines.
 	waitLogDelay    = time.Second
 	waitLogInterval = 2 * time.Second
-	// tickInterval is the longest pause between two looks at leases and due times.
+	// tickInterval is the longest interval between two checks of leases and due
+	// times.
 	tickInterval = 100 * time.Millisecond
 )
 
-// Tick follows the passing of time: it renews leases, repeats stops and places
-// what fits. It returns when to be called next.
-func (b *Scheduler) Tick(now time.Time) time.Time {
-	b.now = now
-	for u := range b.futurePhases {
-		if !u.job.Spec.Due(u.id.Occurrence).After(now) {
-			u.open()
+// Tick makes the decisions that depend on time: it opens phases that are due,
+// orders heartbeats, repeats stops and starts the tasks that fit. It returns
+// when it must be called next.
+func (s *Scheduler) Tick(now time.Time) time.Time {
+	s.now = now
+	for p := range s.futurePhases {
+		if !p.job.Spec.Due(p.id.Occurrence).After(now) {
+			p.open()
 		}
 	}
-	if len(b.unresolved) > 0 {
-		b.unreportedRoom = b.sumUnreportedRoom()
+	if len(s.unresolved) > 0 {
+		s.unreportedRoom = s.sumUnreportedRoom()
 	}
-	b.orderHeartbeats()
-	b.repeatStops()
-	if b.needsPlacement {
-		b.needsPlacement = false
-		b.placeAll()
+	s.orderHeartbeats()
+	s.repeatStops()
+	if s.needsPlacement {
+		s.needsPlacement = false
+		s.placeAll()
 	}
 	return now.Add(tickInterval)
 }
 
-// rankedPhase is the order in which work is served.
+// rankedPhase is a phase with its sort keys for placement.
 type rankedPhase struct {
 	phase *phase
-	// lateness is 0 while the job can end on time, 1 while its end is worth
-	// something, 2 after that or if it exceeds its team's share.
-	lateness    int
-	priority    int
+	// lateness is 0 if the job can end on time, 1 if its end can still be
+	// useful, and 2 if not or if the job exceeds its team's share.
+	lateness int
+	priority int
+	// latestStart is the latest start that meets the job's deadline.
 	latestStart time.Time
 }
 
-// rankedPhases returns the open phases, those to be served first in front: work that
-// can still be on time before work that is late, then by the queue's priority,
-// then by the latest start that keeps what is owed.
-func (b *Scheduler) rankedPhases() []*phase {
-	list := make([]rankedPhase, 0, len(b.openPhases))
-	for u := range b.openPhases {
-		if u.tasksWaiting == 0 {
+// rankedPhases returns the open phases with waiting tasks, the most urgent
+// first: work that can still be on time before late work, then by the queue's
+// priority, then by the latest start that meets the deadline.
+func (s *Scheduler) rankedPhases() []*phase {
+	ranked := make([]rankedPhase, 0, len(s.openPhases))
+	for p := range s.openPhases {
+		if p.tasksWaiting == 0 {
 			continue
 		}
-		s := rankedPhase{phase: u}
-		left := b.expectedTimeLeft(u)
+		r := rankedPhase{phase: p}
+		left := s.expectedTimeLeft(p)
 		left += left/marginDivisor + minMargin
 		switch {
-		case u.job.overShare:
-			s.lateness = 2
-		case !b.now.Add(left).After(u.job.onTimeUntil):
-		case !b.now.Add(left).After(u.job.usefulUntil):
-			s.lateness = 1
+		case p.job.exceedsShare:
+			r.lateness = 2
+		case !s.now.Add(left).After(p.job.onTimeUntil):
+		case !s.now.Add(left).After(p.job.usefulUntil):
+			r.lateness = 1
 		default:
-			s.lateness = 2
+			r.lateness = 2
 		}
-		s.latestStart = u.job.onTimeUntil.Add(-left)
-		if q := b.policy.Queues[u.job.Spec.Queue]; q != nil {
-			s.priority = q.Priority
+		r.latestStart = p.job.onTimeUntil.Add(-left)
+		if q := s.policy.Queues[p.job.Spec.Queue]; q != nil {
+			r.priority = q.Priority
 		}
-		list = append(list, s)
+		ranked = append(ranked, r)
 	}
-	slices.SortFunc(list, func(x, y rankedPhase) int {
+	slices.SortFunc(ranked, func(x, y rankedPhase) int {
 		return cmp.Or(cmp.Compare(x.lateness, y.lateness), cmp.Compare(x.priority, y.priority),
 			x.latestStart.Compare(y.latestStart), cmp.Compare(x.phase.job.seq, y.phase.job.seq), cmp.Compare(x.phase.firstPosition, y.phase.firstPosition))
 	})
-	out := make([]*phase, len(list))
-	for i, s := range list {
-		out[i] = s.phase
+	out := make([]*phase, len(ranked))
+	for i, r := range ranked {
+		out[i] = r.phase
 	}
 	return out
 }
 
-// expectedTimeLeft is the expected time from the start of a phase to the end of its
-// job, along the longest chain. What is learned moves it slowly.
-func (b *Scheduler) expectedTimeLeft(u *phase) time.Duration {
-	if !u.timeLeftAt.IsZero() && b.now.Sub(u.timeLeftAt) < timeLeftTTL {
-		return u.timeLeft
-	}
-	phases := u.job.Spec.Phases
-	tail := make([]time.Duration, len(phases))
-	for i := len(phases) - 1; i >= u.id.Phase; i-- {
-		tail[i] += b.estimator.Predict(u.job.Spec.Queue, phases[i].Estimate)
+// expectedTimeLeft returns the expected time from the start of a phase to the
+// end of its job, along the critical path.
+func (s *Scheduler) expectedTimeLeft(p *phase) time.Duration {
+	if !p.timeLeftAt.IsZero() && s.now.Sub(p.timeLeftAt) < timeLeftTTL {
+		return p.timeLeft
+	}
+	phases := p.job.Spec.Phases
+	timeLeft := make([]time.Duration, len(phases))
+	for i := len(phases) - 1; i >= p.id.Phase; i-- {
+		timeLeft[i] += s.estimator.Predict(p.job.Spec.Queue, phases[i].Estimate)
 		for _, a := range phases[i].After {
-			tail[a] = max(tail[a], tail[i])
+			timeLeft[a] = max(timeLeft[a], timeLeft[i])
 		}
 	}
-	u.timeLeft, u.timeLeftAt = tail[u.id.Phase], b.now
-	return u.timeLeft
+	p.timeLeft, p.timeLeftAt = timeLeft[p.id.Phase], s.now
+	return p.timeLeft
 }
 
-// startable reports whether the phase has tasks that may be placed now; a gang
-// waits until nothing is left of its last run.
-func (u *phase) startable() bool {
-	if u.spec.Gang {
-		return u.tasksWaiting == u.spec.Count && u.tasksPlaced == 0
+// startable reports whether the phase has tasks that may be placed now. A gang
+// waits until no member of its last run holds room.
+func (p *phase) startable() bool {
+	if p.spec.Gang {
+		return p.tasksWaiting == p.spec.Count && p.tasksPlaced == 0
 	}
-	return u.tasksWaiting > 0
+	return p.tasksWaiting > 0
 }
 
-// canRunOn reports whether the phase may run on a worker at all.
-func (u *phase) canRunOn(w *Worker) bool {
-	b := u.job.scheduler
-	if !w.usable() || !u.need().Fits(w.info.Room) {
+// canRunOn reports whether the phase may run on the worker, whatever room is
+// free there.
+func (p *phase) canRunOn(w *Worker) bool {
+	s := p.job.scheduler
+	if !w.usable() || !p.need().Fits(w.info.Room) {
 		return false
 	}
-	if q := b.policy.Queues[u.job.Spec.Queue]; q == nil || q.Service != w.info.Service {
+	if q := s.policy.Queues[p.job.Spec.Queue]; q == nil || q.Service != w.info.Service {
 		return false
 	}
-	return u.spec.Label == "" || slices.Contains(w.info.Labels, u.spec.Label)
+	return p.spec.Label == "" || slices.Contains(w.info.Labels, p.spec.Label)
 }
 
-// slotsOn returns how many tasks of the phase fit into what a worker has free.
-func (u *phase) slotsOn(w *Worker, need, free core.Resources) int {
+// slotsOn returns how many tasks of the phase fit into the free room of a
+// worker.
+func (p *phase) slotsOn(w *Worker, need, free core.Resources) int {
 	n := unbounded
-	if u.spec.PerWorker > 0 {
-		n = u.spec.PerWorker - w.countTasks(u)
+	if p.spec.PerWorker > 0 {
+		n = p.spec.PerWorker - w.countTasks(p)
 	}
 	for _, d := range [][2]int64{{need.Cores, free.Cores}, {need.Memory, free.Memory}, {need.Accel, free.Accel}} {
 		if d[0] > 0 {
@@ -154,31 +161,33 @@
 	return max(n, 0)
 }
 
-func (w *Worker) countTasks(u *phase) int {
+// countTasks counts the runs of a phase on the worker, orphaned ones included.
+func (w *Worker) countTasks(p *phase) int {
 	n := 0
 	for _, t := range w.tasks {
-		if t.phase == u {
+		if t.phase == p {
 			n++
 		}
 	}
-	for _, s := range w.orphans {
-		if s.task.PhaseID == u.id {
+	for _, o := range w.orphans {
+		if o.task.PhaseID == p.id {
 			n++
 		}
 	}
 	return n
 }
 
-// withinLimit reports whether a team may run n more tasks.
-func (b *Scheduler) withinLimit(u *phase, need core.Resources, n int) bool {
-	t := b.policy.Teams[u.job.Spec.Team]
-	if t == nil {
+// withinLimit reports whether the phase's team may run n more tasks.
+func (s *Scheduler) withinLimit(p *phase, need core.Resources, n int) bool {
+	team := s.policy.Teams[p.job.Spec.Team]
+	if team == nil {
 		return true
 	}
-	// What an earlier owner may have started fits on the workers not heard of.
-	after := b.used[u.job.Spec.Team].Add(b.unresolvedNeed[u.job.Spec.Team].Min(b.unreportedRoom))
+	// Runs of an earlier owner that are not known yet cannot exceed the room of
+	// the workers that have not reported.
+	used := s.used[p.job.Spec.Team].Add(s.unresolvedNeed[p.job.Spec.Team].Min(s.unreportedRoom))
 	for _, d := range [][3]int64{
-		{need.Cores, after.Cores, t.Limit.Cores}, {need.Memory, after.Memory, t.Limit.Memory}, {need.Accel, after.Accel, t.Limit.Accel},
+		{need.Cores, used.Cores, team.Limit.Cores}, {need.Memory, used.Memory, team.Limit.Memory}, {need.Accel, used.Accel, team.Limit.Accel},
 	} {
 		if d[2] > 0 && d[0] > 0 && d[1]+int64(n)*d[0] > d[2] {
 			return false
@@ -187,35 +196,36 @@
 	return true
 }
 
-// freeWorker is a worker that a phase may use now.
+// freeWorker is a worker with room for tasks of a phase.
 type freeWorker struct {
 	worker *Worker
 	ticket string
-	// slots is how many tasks still fit.
+	// slots is how many more tasks fit.
 	slots int
+	// score is lowest for the best worker.
 	score float64
 }
 
 // freeWorkers returns the workers with room for the phase, the best first.
-func (u *phase) freeWorkers() []freeWorker {
-	b := u.job.scheduler
-	need := u.need()
+func (p *phase) freeWorkers() []freeWorker {
+	s := p.job.scheduler
+	need := p.need()
 	var out []freeWorker
 	add := func(w *Worker, ticket string) {
-		if !u.canRunOn(w) {
+		if !p.canRunOn(w) {
 			return
 		}
-		if n := u.slotsOn(w, need, w.free); n > 0 {
-			out = append(out, freeWorker{w, ticket, n, u.score(w, need)})
+		if n := p.slotsOn(w, need, w.free); n > 0 {
+			out = append(out, freeWorker{w, ticket, n, p.score(w, need)})
 		}
 	}
-	if _, advised := u.advisor().Get(); !advised {
-		for _, w := range b.sortedWorkers {
+	if _, needsAdvice := p.advisor().Get(); !needsAdvice {
+		for _, w := range s.sortedWorkers {
 			add(w, "")
 		}
-	} else if good := b.now.Add(ticketSlack); good.Before(u.advice.ticketsUntil) {
-		for id, t := range u.advice.allowed {
-			if w := b.workers[id]; w != nil && good.Before(t.until) {
+	} else if minExpiry := s.now.Add(ticketSlack); minExpiry.Before(p.advice.ticketsUntil) {
+		for id, t := range p.advice.allowed {
+			if w := s.workers[id]; w != nil && minExpiry.Before(t.until) {
 				add(w, t.text)
 			}
 		}
@@ -226,178 +236,183 @@
 	return out
 }
 
-// score is lowest for the best worker: one that the task fills best, that is
-// fast, and that is near the data.
-func (u *phase) score(w *Worker, need core.Resources) float64 {
+// score rates a worker for the phase. It is lowest for a worker that the task
+// would leave little free room on, that is fast, and that is in the rack of the
+// data.
+func (p *phase) score(w *Worker, need core.Resources) float64 {
 	room := max(w.info.Room.Cores, 1)
-	s := float64(w.free.Cores-need.Cores)/float64(room) + slownessWeight*w.slowness
-	if u.spec.Rack != "" && u.spec.Rack != w.info.Rack {
-		s += u.job.scheduler.limits.RemoteFactor
+	score := float64(w.free.Cores-need.Cores)/float64(room) + slownessWeight*w.slowness
+	if p.spec.Rack != "" && p.spec.Rack != w.info.Rack {
+		score += p.job.scheduler.limits.RemoteFactor
 	}
-	return s
+	return score
 }
 
-// placeAll starts what fits, and tells of work that has waited for a while what
-// it waits for.
-func (b *Scheduler) placeAll() {
-	for _, u := range b.rankedPhases() {
-		why := u.blockReason()
+// placeAll starts the tasks that fit, the most urgent first, and logs why other
+// phases wait.
+func (s *Scheduler) placeAll() {
+	for _, p := range s.rankedPhases() {
+		reason := p.blockReason()
 		switch {
-		case why != "":
-		case u.spec.Gang:
-			why = b.placeGang(u)
+		case reason != "":
+		case p.spec.Gang:
+			reason = s.placeGang(p)
 		default:
-			why = b.placeTasks(u)
+			reason = s.placeTasks(p)
 		}
-		u.logWait(why)
+		p.logWait(reason)
 	}
 }
 
-// blockReason says why no task of the phase may start, whatever room there is.
-func (u *phase) blockReason() string {
-	switch b := u.job.scheduler; {
-	case !u.startable():
-		return "last run of the gang has not ended"
-	case !b.withinLimit(u, u.need(), u.minStartCount()):
+// blockReason returns why no task of the phase may start whatever room is free,
+// or "".
+func (p *phase) blockReason() string {
+	switch s := p.job.scheduler; {
+	case !p.startable():
+		return "previous run of the gang has not ended"
+	case !s.withinLimit(p, p.need(), p.minStartCount()):
 		return "team is at its limit"
 	}
 	return ""
 }
 
-// logWait logs now and then why work that has waited for long still waits.
-func (u *phase) logWait(why string) {
-	b := u.job.scheduler
-	waited := b.now.Sub(u.openedAt)
-	if why == "" || waited < waitLogDelay || b.now.Sub(u.waitLoggedAt) < waitLogInterval {
+// logWait logs why a phase waits, once it has waited for waitLogDelay, and
+// again after each waitLogInterval.
+func (p *phase) logWait(reason string) {
+	s := p.job.scheduler
+	waited := s.now.Sub(p.openedAt)
+	if reason == "" || waited < waitLogDelay || s.now.Sub(p.waitLoggedAt) < waitLogInterval {
 		return
 	}
-	u.waitLoggedAt = b.now
-	b.logDecision(Decision{Job: u.id.Job, Event: "waits", Task: u.id.String(), Wait: waited, Reason: why})
+	p.waitLoggedAt = s.now
+	s.logDecision(Decision{Job: p.id.Job, Event: "waits", Task: p.id.String(), Wait: waited, Reason: reason})
 }
 
-// placeTasks starts as many waiting tasks as fit, and says why others do not.
-func (b *Scheduler) placeTasks(u *phase) string {
-	seats := u.freeWorkers()
-	if len(seats) == 0 {
-		return u.noFreeWorkerReason()
-	}
-	for _, t := range u.tasks {
+// placeTasks starts as many waiting tasks as fit. It returns why others still
+// wait, or "".
+func (s *Scheduler) placeTasks(p *phase) string {
+	free := p.freeWorkers()
+	if len(free) == 0 {
+		return p.noFreeWorkerReason()
+	}
+	for _, t := range p.tasks {
 		if t.state != taskWaiting {
 			continue
 		}
-		i := slices.IndexFunc(seats, func(s freeWorker) bool { return s.slots > 0 && !t.avoid.Has(s.worker.id) })
+		i := slices.IndexFunc(free, func(f freeWorker) bool { return f.slots > 0 && !t.avoid.Has(f.worker.id) })
 		if i < 0 {
-			// A task that has failed everywhere may run anywhere again.
-			i = slices.IndexFunc(seats, func(s freeWorker) bool { return s.slots > 0 && len(t.avoid) >= len(seats) })
+			// A task that has failed on all these workers may run on any of
+			// them again.
+			i = slices.IndexFunc(free, func(f freeWorker) bool { return f.slots > 0 && len(t.avoid) >= len(free) })
 		}
 		if i < 0 {
 			continue
 		}
-		if !b.withinLimit(u, u.need(), 1) {
+		if !s.withinLimit(p, p.need(), 1) {
 			return "team is at its limit"
 		}
-		b.startTask(t, seats[i], u.nextRun(t.run), t.checkpoint)
-		seats[i].slots--
+		s.startTask(t, free[i], p.nextRun(t.run), t.checkpoint)
+		free[i].slots--
 	}
-	if u.tasksWaiting > 0 {
-		return u.noFreeWorkerReason()
+	if p.tasksWaiting > 0 {
+		return p.noFreeWorkerReason()
 	}
 	return ""
 }
 
-// noFreeWorkerReason says why no worker can take a task.
-func (u *phase) noFreeWorkerReason() string {
-	switch _, advised := u.advisor().Get(); {
-	case advised && !u.advice.received:
-		return "placement policy has not answered"
-	case advised && u.job.scheduler.now.Before(u.advice.lostAt):
-		return "placement policy is being asked again"
+// noFreeWorkerReason returns why no worker can take a task.
+func (p *phase) noFreeWorkerReason() string {
+	switch _, needsAdvice := p.advisor().Get(); {
+	case needsAdvice && !p.advice.received:
+		return "placement advisor has not answered"
+	case needsAdvice && p.job.scheduler.now.Before(p.advice.lostAt):
+		return "another advice request is in flight"
 	}
 	return "no worker that may run it has room"
 }
 
-// placeGang starts all tasks together, or none and says why.
-func (b *Scheduler) placeGang(u *phase) string {
-	seats := u.freeWorkers()
-	if u.spec.SameRack {
-		seats = oneRack(seats, u.spec.Count)
+// placeGang starts all tasks of a gang together, or none and returns why.
+func (s *Scheduler) placeGang(p *phase) string {
+	free := p.freeWorkers()
+	if p.spec.SameRack {
+		free = oneRack(free, p.spec.Count)
 	}
 	room := 0
-	for _, s := range seats {
-		room = min(room+s.slots, u.spec.Count)
+	for _, f := range free {
+		room = min(room+f.slots, p.spec.Count)
 	}
-	if room < u.spec.Count {
-		return fmt.Sprintf("%s for all %d tasks at once", u.noFreeWorkerReason(), u.spec.Count)
+	if room < p.spec.Count {
+		return fmt.Sprintf("%s (gang of %d tasks)", p.noFreeWorkerReason(), p.spec.Count)
 	}
-	run := u.nextRun(u.gangRun)
-	for _, t := range u.tasks {
-		run = max(run, u.nextRun(t.run))
+	run := p.nextRun(p.gangRun)
+	for _, t := range p.tasks {
+		run = max(run, p.nextRun(t.run))
 	}
-	u.gangRun = run
-	at := 0
-	for _, t := range u.tasks {
-		for seats[at].slots == 0 {
-			at++
+	p.gangRun = run
+	i := 0
+	for _, t := range p.tasks {
+		for free[i].slots == 0 {
+			i++
 		}
-		b.startTask(t, seats[at], run, u.gangCheckpoint)
-		seats[at].slots--
+		s.startTask(t, free[i], run, p.gangCheckpoint)
+		free[i].slots--
 	}
 	return ""
 }
 
-// oneRack returns the seats of the rack that holds the whole gang best, or all
-// seats if none does.
-func oneRack(seats []freeWorker, count int) []freeWorker {
+// oneRack returns the workers of the best rack with room for the whole gang, or
+// all workers if no rack has it.
+func oneRack(workers []freeWorker, count int) []freeWorker {
 	racks := map[string][]freeWorker{}
 	var names []string
-	for _, s := range seats {
-		rack := s.worker.info.Rack
+	for _, f := range workers {
+		rack := f.worker.info.Rack
 		if racks[rack] == nil {
 			names = append(names, rack)
 		}
-		racks[rack] = append(racks[rack], s)
+		racks[rack] = append(racks[rack], f)
 	}
 	for _, name := range names {
 		room := 0
-		for _, s := range racks[name] {
-			room = min(room+s.slots, count)
+		for _, f := range racks[name] {
+			room = min(room+f.slots, count)
 		}
 		if room == count {
 			return racks[name]
 		}
 	}
-	return seats
+	return workers
 }
 
-// startTask places one task.
-func (b *Scheduler) startTask(t *Task, s freeWorker, run uint64, saved string) {
-	t.run, t.eventWorker = run, s.worker
+// startTask starts a run of the task on the worker.
+func (s *Scheduler) startTask(t *Task, f freeWorker, run uint64, checkpoint string) {
+	t.run, t.eventWorker = run, f.worker
 	t.fire(taskPlace)
-	b.counts.Starts++
-	b.addOrder(Order{
-		Kind: OrderStart, Worker: s.worker.id, Task: t.ID(), Run: run,
-		Payload: t.phase.job.Spec.Payload, Checkpoint: saved, Ticket: s.ticket,
+	s.counts.Starts++
+	s.addOrder(Order{
+		Kind: OrderStart, Worker: f.worker.id, Task: t.ID(), Run: run,
+		Payload: t.phase.job.Spec.Payload, Checkpoint: checkpoint, Ticket: f.ticket,
 	})
-	b.logDecision(Decision{Job: t.phase.id.Job, Event: "placed", Worker: s.worker.id, Task: t.ID().String(), Run: run, Wait: b.now.Sub(t.phase.openedAt)})
+	s.logDecision(Decision{Job: t.phase.id.Job, Event: "placed", Worker: f.worker.id, Task: t.ID().String(), Run: run, Wait: s.now.Sub(t.phase.openedAt)})
 }
 
-// StartAnswered follows the answer to a start.
-func (b *Scheduler) StartAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
-	b.now = now
-	t := b.task(id)
+// StartAnswered handles the outcome of a start.
+func (s *Scheduler) StartAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
+	s.now = now
+	t := s.task(id)
 	if t == nil || t.worker == nil || t.worker.id != worker || t.run != run {
 		return
 	}
 	w := t.worker
 	if r != ReplyOK {
-		b.logDecision(Decision{Job: id.Job, Event: "start not confirmed", Worker: worker, Task: id.String(), Run: run, Reason: r.String()})
+		s.logDecision(Decision{Job: id.Job, Event: "start not confirmed", Worker: worker, Task: id.String(), Run: run, Reason: r.String()})
 	}
 	switch r {
 	case ReplyOK:
 		t.fire(taskAccepted)
 		return
 	case ReplyUnanswered:
-		b.counts.Unanswered++
+		s.counts.Unanswered++
 		t.fire(taskUnanswered)
 		return
 	case ReplyBadTicket:
@@ -405,36 +420,35 @@
 	case ReplyUnhealthy:
 		w.setAside()
 	case ReplyOtherIncarnation:
-		b.IncarnationEnded(now, worker)
+		s.IncarnationEnded(now, worker)
 		return
 	case ReplyMalformed:
 		t.avoidWorker(worker)
 	}
-	b.counts.Refused++
+	s.counts.Refused++
 	t.fire(taskRefused)
 }
 
-// StopAnswered follows the answer to a stop.
-func (b *Scheduler) StopAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
-	b.now = now
+// StopAnswered handles the outcome of a stop.
+func (s *Scheduler) StopAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
+	s.now = now
 	if r == ReplyOtherIncarnation {
-		b.IncarnationEnded(now, worker)
+		s.IncarnationEnded(now, worker)
 		return
 	}
 	if r != ReplyOK && r != ReplyStaleRun {
 		return
 	}
-	if t := b.task(id); t != nil && t.worker != nil && t.worker.id == worker && t.run == run {
+	if t := s.task(id); t != nil && t.worker != nil && t.worker.id == worker && t.run == run {
 		t.stopAckedAt = now
 	}
-	if w := b.workers[worker]; w != nil {
+	if w := s.workers[worker]; w != nil {
 		for i := range w.orphans {
-			if s := &w.orphans[i]; s.task == id && s.run == run {
-				s.stopAckedAt = now
+			if o := &w.orphans[i]; o.task == id && o.run == run {
+				o.stopAckedAt = now
 			}
 		}
 	}
 }
 
-// logDecision adds a decision to the log.
-func (b *Scheduler) logDecision(n Decision) { b.decisions = append(b.decisions, n) }
+func (s *Scheduler) logDecision(d Decision) { s.decisions = append(s.decisions, d) }
--- a/core/fleet/roomhint.go
+++ b/core/fleet/roomhint.go
@@ -14,23 +14,26 @@
 )
 
 const (
-	// RoomHintInterval is the time between two hints of where room is, in which a
-	// third of the fleet's short tasks end.
+	// RoomHintInterval is the time between two room hints. About a third of the
+	// fleet's short tasks end in one interval.
 	RoomHintInterval = 250 * time.Millisecond
-	// RoomHintTTL is how long a hint is used.
+	// RoomHintTTL is how long a room hint is used.
 	RoomHintTTL = 4 * RoomHintInterval
-	// roomHintDivisor of a worker's room must be free for it to be in a hint.
+	// A room hint names workers with at least 1/roomHintDivisor of their room
+	// free.
 	roomHintDivisor = 6
-	// maxRoomHint bounds the workers of a hint, for the links between VMs.
+	// maxRoomHint bounds the workers of a hint, to limit traffic between the
+	// VMs.
 	maxRoomHint = 100
 )
 
-// WorkersWithRoom returns workers on which a task of common size finds room. VMs that
-// take jobs ask for advice on these before the owner has heard of the job.
-func (b *Scheduler) WorkersWithRoom(now time.Time) []core.WorkerID {
-	b.now = now
+// WorkersWithRoom returns the workers with room for a task of common size. VMs
+// that accept jobs request advice on these workers before the owner has
+// received the job.
+func (s *Scheduler) WorkersWithRoom(now time.Time) []core.WorkerID {
+	s.now = now
 	var out []core.WorkerID
-	for _, w := range b.sortedWorkers {
+	for _, w := range s.sortedWorkers {
 		room := w.info.Room
 		if w.usable() && w.free.Cores >= room.Cores/roomHintDivisor && w.free.Memory >= room.Memory/roomHintDivisor {
 			out = append(out, w.id)
@@ -43,7 +46,7 @@
 	return out
 }
 
-// shuffleByHash orders workers by a hash that differs by seed.
+// shuffleByHash orders workers by a hash of their names and the seed.
 func shuffleByHash(ids []core.WorkerID, seed uint64) {
 	order := make(map[core.WorkerID]uint64, len(ids))
 	for _, id := range ids {
@@ -52,25 +55,26 @@
 	slices.SortFunc(ids, func(x, y core.WorkerID) int { return cmp.Compare(order[x], order[y]) })
 }
 
-// EarlyCandidates returns the workers that a VM names in its own call for the first
-// phase of a job that it has just taken, of those that may have room.
-func EarlyCandidates(spec *jobs.Spec, p policy.Advice, candidates []core.WorkerID) []core.WorkerID {
+// EarlyCandidates selects the workers that a VM names when it requests advice
+// for the first phase of a job that it has just accepted. The candidates are
+// those of the last room hint.
+func EarlyCandidates(spec *jobs.Spec, advisor policy.Advice, candidates []core.WorkerID) []core.WorkerID {
 	out := slices.Clone(candidates)
 	shuffleByHash(out, xxhash.Sum64String(string(spec.ID)))
-	return out[:min(len(out), earlyRequestSize(p, spec.Phases[0].Count))]
+	return out[:min(len(out), earlyRequestSize(advisor, spec.Phases[0].Count))]
 }
 
-// earlyRequestSize is how many workers a call names that knows neither how much room
-// each of them has nor how many are likely to be allowed.
-func earlyRequestSize(p policy.Advice, tasks int) int {
-	return min(max(int(math.Ceil(requestMargin*float64(tasks)/priorAllowedShare)), cheapRequestSize(p)), maxRequestWorkers)
+// earlyRequestSize is how many workers a request names if neither their room
+// nor the share that the advisor allows is known.
+func earlyRequestSize(advisor policy.Advice, tasks int) int {
+	return min(max(int(math.Ceil(requestMargin*float64(tasks)/priorAllowedShare)), cheapRequestSize(advisor)), maxRequestWorkers)
 }
 
-// cheapRequestSize is how many workers a call names at least: naming them takes half
-// as long as the call does anyway.
-func cheapRequestSize(p policy.Advice) int {
-	if p.PerWorker <= 0 {
+// cheapRequestSize is the fewest workers that a request names, if there are as
+// many: naming them takes only half as long as the call's base time.
+func cheapRequestSize(advisor policy.Advice) int {
+	if advisor.PerWorker <= 0 {
 		return maxRequestWorkers
 	}
-	return min(max(int(p.Base/(2*p.PerWorker)), minRequestWorkers), maxRequestWorkers)
+	return min(max(int(advisor.Base/(2*advisor.PerWorker)), minRequestWorkers), maxRequestWorkers)
 }
--- a/core/fleet/scheduler.go
+++ b/core/fleet/scheduler.go
@@ -1,6 +1,7 @@
-// Package fleet decides on all jobs and workers of the fleet under one owner.
-// The owner calls it from one goroutine; time enters as a value, and orders to
-// workers, questions about placement and records leave as values.
+// Package fleet makes the decisions for all jobs and workers of the fleet under
+// one owner. The owner calls it from one goroutine. Time is passed in as a
+// value; orders to workers, advice requests and progress to record are returned
+// as values.
 package fleet
 
 import (
@@ -14,38 +15,43 @@
 )
 
 const (
-	// runNumberBits leaves room for the runs of one task below an owner's epoch, so
-	// that numbers grow over owners. The first owner's runs begin at 1.
+	// A run number holds the owner's epoch above runNumberBits bits that count
+	// the runs of a task, so that later owners use higher numbers. The first
+	// owner's runs begin at 1.
 	runNumberBits = 20
-	// maxBatchRows bounds the rows of one record; the platform takes 100 entries a
-	// transaction, and the owner's own row is one of them.
+	// maxBatchRows bounds the rows of one batch: the platform accepts 100
+	// entries per transaction, and the ownership record is one of them.
 	maxBatchRows = 90
-	// maxClosedJobs bounds the ended jobs that are kept to answer questions, at some
-	// 5 KB each; of older ones the record tells.
+	// maxClosedJobs bounds the ended jobs kept in memory to answer queries,
+	// about 5 KB each. Older ones are read from the store.
 	maxClosedJobs = 8000
-	// maxLease bounds the leases granted, where the platform allows longer ones:
-	// what a silent worker ran may start elsewhere only once its lease has ended.
-	// It outlasts a change of owner, 2.5 s, with the reading of the record and the
-	// first contact, some 1.5 s, and the age of the last renewal, 1.5 s.
+	// maxLease bounds the leases granted where the platform allows longer ones,
+	// since the tasks of a silent worker can start on another one only after
+	// its lease has expired. It outlasts a change of owner: 2.5 s for the
+	// election, 1.5 s for loading the state and the first heartbeat, and 1.5 s
+	// for the age of the last renewal.
 	maxLease = 6 * time.Second
 )
 
-// Limits are the figures of the fleet that bound the board's decisions.
+// Limits are the settings and platform figures that bound the scheduler's
+// decisions.
 type Limits struct {
-	// Lease is the longest time for which a worker goes on without contact.
+	// Lease is how long a worker keeps its runs without a renewal.
 	Lease time.Duration
-	// ListTimeout is for how long a worker has been silent, at least, when the
-	// platform drops it from its list.
+	// ListTimeout is the shortest silence of a worker after which the platform
+	// removes it from its list.
 	ListTimeout time.Duration
-	// Retention is how long clients may ask for an ended job.
+	// Retention is how long clients may query an ended job.
 	Retention time.Duration
-	// GangWait is how long a gang's tasks wait for one another.
+	// GangWait is how long the tasks of a gang wait for one another.
 	GangWait time.Duration
-	// RemoteFactor multiplies run times away from a phase's rack.
+	// RemoteFactor multiplies the run times of tasks outside their phase's
+	// rack.
 	RemoteFactor float64
 }
 
-// Scheduler is the state of the fleet under one owner.
+// Scheduler holds the state of the fleet under one owner and makes its
+// decisions.
 type Scheduler struct {
 	epoch     core.Epoch
 	now       time.Time
@@ -55,65 +61,75 @@
 
 	jobs    map[core.JobID]*Job
 	workers map[core.WorkerID]*Worker
-	// sortedWorkers holds the workers sorted by name, so that decisions repeat.
+	// sortedWorkers holds the workers sorted by name, for deterministic
+	// decisions.
 	sortedWorkers []*Worker
-	// openPhases holds the phases that have waiting tasks and may start.
+	// openPhases holds the phases whose tasks may start.
 	openPhases map[*phase]struct{}
 	// futurePhases holds the phases of occurrences that are not due yet.
 	futurePhases map[*phase]struct{}
-	// used is what each team holds on workers.
+	// used is the room that each team's runs hold on workers.
 	used map[core.Team]core.Resources
-	// unresolved are the recovered tasks that may run on a worker not heard of yet,
-	// awaited is what those of each team would take.
+	// unresolved holds the recovered tasks that may still run on a worker that
+	// has not reported, unresolvedNeed what those of each team would take.
 	unresolved     map[*Task]struct{}
 	unresolvedNeed map[core.Team]core.Resources
-	// unreportedRoom is the room of the workers that have not been heard of; it is kept up
-	// to date while tasks are held.
+	// unreportedRoom is the total room of the workers that have not reported.
+	// It is updated only while tasks are unresolved.
 	unreportedRoom core.Resources
 	shares         map[core.Team]*teamShare
-	// adviceStats tell how many of the workers named for a queue have been allowed.
+	// adviceStats counts how many of the workers named for a queue were
+	// allowed.
 	adviceStats map[core.Queue]adviceStats
-	// rosterVersion numbers the changes of the list of workers.
+	// rosterVersion is incremented when the roster changes.
 	rosterVersion uint64
 	// listedAt is when the list of workers was last read.
 	listedAt time.Time
-	// settled is set once every worker of earlier owners has been heard of.
+	// settled is set once every worker that an earlier owner may have used has
+	// reported.
 	settled bool
-	// ownEpoch is the least epoch that a job must name for no earlier owner, and no
-	// earlier board of this one, to have started any of it.
+	// A job whose FirstEpoch is at least ownEpoch cannot have been started by
+	// an earlier owner, nor by this one before it lost its state.
 	ownEpoch core.Epoch
 
-	// dirty are the jobs whose progress waits for a record, flying those in the
-	// record whose outcome is not known.
+	// dirty holds the jobs whose progress must be stored, inFlight those in the
+	// batch whose outcome is not known yet.
 	dirty    map[core.JobID]*Job
 	inFlight []inFlightRow
-	// changeSeq numbers the changes of progress. Those up to confirmed are in the
-	// store, those up to mark will be once the record in flight is.
+	// changeSeq numbers the changes of progress. Those up to storedSeq are in
+	// the store; those up to inFlightSeq will be once the batch in flight is
+	// stored.
 	changeSeq, inFlightSeq, storedSeq uint64
 	// closed holds the ended jobs, the first to end in front.
 	closed []closedJob
 
-	orders         []Order
-	decisions      []Decision
-	refusals       []error
-	counts         Counts
-	lastJobSeq     uint64
+	// orders, decisions and refusals hold what the caller has not collected
+	// yet.
+	orders     []Order
+	decisions  []Decision
+	refusals   []error
+	counts     Counts
+	lastJobSeq uint64
+	// needsPlacement is set when a change may let waiting tasks start.
 	needsPlacement bool
-	// progressSeen is set once a worker has told of any run's progress.
+	// progressSeen is set once any worker has reported progress of a run.
 	progressSeen bool
-	// unknownJobSeen is set when a worker names a job that the board does not know.
+	// unknownJobSeen is set when a worker names a job that the scheduler does
+	// not know.
 	unknownJobSeen bool
-	// laterEpoch is the latest owner that a job has named, if later than this one.
+	// laterEpoch is the highest FirstEpoch of a job above this owner's epoch, 0
+	// if there is none.
 	laterEpoch core.Epoch
 }
 
-// inFlightRow is a job in a record and the state that the record gives it.
+// inFlightRow is a job in the batch in flight, with the state that the batch
+// stores.
 type inFlightRow struct {
 	job   *Job
 	state jobs.State
 }
 
-// closedJob is a job whose end is in the store since a time.
+// closedJob is a job whose end has been stored.
 type closedJob struct {
 	job      core.JobID
 	storedAt time.Time
@@ -135,131 +151,134 @@
 	Reason string
 }
 
-// bounded returns the limits that the board goes by.
+// bounded returns the limits with the lease reduced to maxLease.
 func (l Limits) bounded() Limits {
 	l.Lease = min(l.Lease, maxLease)
 	return l
 }
 
-// Option changes a board under construction.
+// Option configures a new Scheduler.
 type Option func(*Scheduler)
 
-// WithLostState is for an owner that has decided under its epoch before and has
-// forgotten what.
+// WithLostState marks an owner that has already made decisions under its epoch
+// and has lost its state.
 func WithLostState() Option {
-	return func(b *Scheduler) { b.settled, b.ownEpoch = false, b.epoch+1 }
+	return func(s *Scheduler) { s.settled, s.ownEpoch = false, s.epoch+1 }
 }
 
-// New returns an empty board under a new owner's epoch.
+// New returns a scheduler without jobs and workers for a new owner's epoch.
 func New(now time.Time, epoch core.Epoch, limits Limits, p *policy.Policy, opts ...Option) *Scheduler {
-	b := &Scheduler{
+	s := &Scheduler{
 		epoch: epoch, ownEpoch: epoch, now: now, settled: epoch <= 1, limits: limits.bounded(), policy: p, estimator: cell.NewEstimator(),
 		jobs: map[core.JobID]*Job{}, workers: map[core.WorkerID]*Worker{},
 		openPhases: map[*phase]struct{}{}, futurePhases: map[*phase]struct{}{},
 		used: map[core.Team]core.Resources{}, shares: map[core.Team]*teamShare{}, adviceStats: map[core.Queue]adviceStats{}, unresolved: map[*Task]struct{}{}, unresolvedNeed: map[core.Team]core.Resources{}, dirty: map[core.JobID]*Job{},
 	}
 	for _, o := range opts {
-		o(b)
+		o(s)
 	}
-	return b
+	return s
 }
 
 // Epoch returns the owner's epoch.
-func (b *Scheduler) Epoch() core.Epoch { return b.epoch }
+func (s *Scheduler) Epoch() core.Epoch { return s.epoch }
 
 // Counts returns the running totals.
-func (b *Scheduler) Counts() Counts { return b.counts }
+func (s *Scheduler) Counts() Counts { return s.counts }
 
-// SetLimits follows changed figures of the fleet.
-func (b *Scheduler) SetLimits(l Limits) { b.limits = l.bounded() }
+// SetLimits replaces the limits.
+func (s *Scheduler) SetLimits(l Limits) { s.limits = l.bounded() }
 
-// SetPolicy follows a newer configuration.
-func (b *Scheduler) SetPolicy(p *policy.Policy) {
-	b.policy = p
-	for _, j := range b.jobs {
+// SetPolicy replaces the policy and recomputes the deadlines of the jobs that
+// have not ended.
+func (s *Scheduler) SetPolicy(p *policy.Policy) {
+	s.policy = p
+	for _, j := range s.jobs {
 		if !j.ended() {
 			j.setDeadlines()
 		}
 	}
-	b.needsPlacement = true
+	s.needsPlacement = true
 }
 
-// Decisions returns and forgets the decisions since the last call.
-func (b *Scheduler) Decisions() []Decision {
-	out := b.decisions
-	b.decisions = nil
+// Decisions returns the decisions since the last call and clears them.
+func (s *Scheduler) Decisions() []Decision {
+	out := s.decisions
+	s.decisions = nil
 	return out
 }
 
-// Refusals returns and forgets the events that a chart refused.
-func (b *Scheduler) Refusals() []error {
-	out := b.refusals
-	b.refusals = nil
+// Refusals returns the events that a chart has refused since the last call and
+// clears them.
+func (s *Scheduler) Refusals() []error {
+	out := s.refusals
+	s.refusals = nil
 	return out
 }
 
-func (b *Scheduler) addRefusal(err error) {
+func (s *Scheduler) addRefusal(err error) {
 	if err != nil {
-		b.refusals = append(b.refusals, err)
+		s.refusals = append(s.refusals, err)
 	}
 }
 
-// Orders returns and forgets the calls to workers decided since the last call.
-func (b *Scheduler) Orders() []Order {
-	out := b.orders
-	b.orders = nil
+// Orders returns the calls to workers decided since the last call and clears
+// them.
+func (s *Scheduler) Orders() []Order {
+	out := s.orders
+	s.orders = nil
 	return out
 }
 
-// Accept takes in a job that is in the store. It reports whether it is new.
-func (b *Scheduler) Accept(now time.Time, spec jobs.Spec) bool {
-	b.now = now
-	if b.jobs[spec.ID] != nil || b.isForLaterOwner(&spec) {
+// Accept adds a job that is in the store. It reports whether the job is new.
+func (s *Scheduler) Accept(now time.Time, spec jobs.Spec) bool {
+	s.now = now
+	if s.jobs[spec.ID] != nil || s.isForLaterOwner(&spec) {
 		return false
 	}
-	j := b.add(spec)
-	b.recoverJob(j)
-	b.resolveRecovered()
+	j := s.add(spec)
+	s.recoverJob(j)
+	s.resolveRecovered()
 	j.openPhases()
 	return true
 }
 
-// isForLaterOwner reports whether a job is left to a later owner, which relies on no earlier
-// one having started any of it.
-func (b *Scheduler) isForLaterOwner(spec *jobs.Spec) bool {
-	if spec.FirstEpoch <= b.epoch {
+// isForLaterOwner reports whether a job must be left to a later owner, which
+// relies on no earlier one having started any of its tasks.
+func (s *Scheduler) isForLaterOwner(spec *jobs.Spec) bool {
+	if spec.FirstEpoch <= s.epoch {
 		return false
 	}
-	b.laterEpoch = max(b.laterEpoch, spec.FirstEpoch)
+	s.laterEpoch = max(s.laterEpoch, spec.FirstEpoch)
 	return true
 }
 
-// LaterEpoch returns the epoch of the latest owner that a job has named, 0 if none is
-// later than this one.
-func (b *Scheduler) LaterEpoch() core.Epoch { return b.laterEpoch }
+// LaterEpoch returns the highest epoch that a job is reserved for, or 0 if none
+// is later than this owner's.
+func (s *Scheduler) LaterEpoch() core.Epoch { return s.laterEpoch }
 
-// recoverJob finds what an earlier owner, which may have known the job first, has
-// started of it. Until every worker has been heard of, and has had its ends
-// taken in, it may have run anywhere, unless its VM knew of this owner before.
-func (b *Scheduler) recoverJob(j *Job) {
-	if j.ended() || j.Spec.FirstEpoch >= b.ownEpoch {
+// recoverJob recovers the runs of a job that an earlier owner may have started.
+// Unless the job's FirstEpoch excludes that, any of its tasks may be running
+// until every worker has reported and its listed ends have been handled.
+func (s *Scheduler) recoverJob(j *Job) {
+	if j.ended() || j.Spec.FirstEpoch >= s.ownEpoch {
 		return
 	}
-	started := !b.settled || b.hasUnreportedWorkers()
-	for _, w := range b.sortedWorkers {
+	mayHaveRun := !s.settled || s.hasUnreportedWorkers()
+	for _, w := range s.sortedWorkers {
 		for id := range w.unknownRuns {
-			started = started || id.Job == j.Spec.ID
+			mayHaveRun = mayHaveRun || id.Job == j.Spec.ID
 		}
 	}
-	if !started {
+	if !mayHaveRun {
 		return
 	}
 	for _, t := range j.tasks {
 		t.fire(taskRecover)
 	}
-	for _, w := range b.sortedWorkers {
+	for _, w := range s.sortedWorkers {
 		for id, run := range w.unknownRuns {
-			if t := b.task(id); id.Job == j.Spec.ID && t != nil && t.state == taskHeld {
+			if t := s.task(id); id.Job == j.Spec.ID && t != nil && t.state == taskHeld {
 				t.eventWorker, t.run = w, run
 				t.fire(taskFound)
 				delete(w.unknownRuns, id)
@@ -268,40 +287,40 @@
 	}
 }
 
-// UnknownJobSeen reports, once, whether a worker has named a job that the board does
-// not know.
-func (b *Scheduler) UnknownJobSeen() bool {
-	m := b.unknownJobSeen
-	b.unknownJobSeen = false
-	return m
+// UnknownJobSeen reports whether a worker has named a job that the scheduler
+// does not know, and clears the mark.
+func (s *Scheduler) UnknownJobSeen() bool {
+	seen := s.unknownJobSeen
+	s.unknownJobSeen = false
+	return seen
 }
 
-// Load takes over the recorded jobs. What an earlier owner may have started may
-// still run somewhere.
-func (b *Scheduler) Load(now time.Time, specs []jobs.Spec, progress map[core.JobID]jobs.Progress) {
-	b.now = now
+// Load adds the stored jobs with their progress. Tasks that an earlier owner
+// may have started may still be running.
+func (s *Scheduler) Load(now time.Time, specs []jobs.Spec, progress map[core.JobID]jobs.Progress) {
+	s.now = now
 	slices.SortFunc(specs, func(x, y jobs.Spec) int { return x.Accepted.Compare(y.Accepted) })
-	for _, s := range specs {
-		p := progress[s.ID]
-		if b.jobs[s.ID] != nil || b.isForLaterOwner(&s) {
+	for _, spec := range specs {
+		recorded := progress[spec.ID]
+		if s.jobs[spec.ID] != nil || s.isForLaterOwner(&spec) {
 			continue
 		}
-		j := b.add(s)
-		j.restore(&p)
-		b.recoverJob(j)
+		j := s.add(spec)
+		j.restore(&recorded)
+		s.recoverJob(j)
 		j.openPhases()
 		j.completeIfDone()
 		if j.state == jobClosed {
-			b.closed = append(b.closed, closedJob{j.Spec.ID, now})
+			s.closed = append(s.closed, closedJob{j.Spec.ID, now})
 		}
 	}
 }
 
 // Cancel ends a job whose cancellation is in the store. It reports whether the
 // job is known.
-func (b *Scheduler) Cancel(now time.Time, id core.JobID) bool {
-	b.now = now
-	j := b.jobs[id]
+func (s *Scheduler) Cancel(now time.Time, id core.JobID) bool {
+	s.now = now
+	j := s.jobs[id]
 	if j == nil {
 		return false
 	}
@@ -313,20 +332,20 @@
 	return true
 }
 
-// State returns how a job is shown to its client, if it is known.
-func (b *Scheduler) State(id core.JobID) (jobs.State, bool) {
-	j := b.jobs[id]
+// State returns the state that clients see of a job, if the job is known.
+func (s *Scheduler) State(id core.JobID) (jobs.State, bool) {
+	j := s.jobs[id]
 	if j == nil {
 		return "", false
 	}
 	return j.clientState(), true
 }
 
-// Pending returns how many jobs of each queue have not started any task and
-// are due.
-func (b *Scheduler) Pending() map[core.Queue]int {
+// Pending returns, for each queue, the number of jobs that have not started any
+// task.
+func (s *Scheduler) Pending() map[core.Queue]int {
 	out := map[core.Queue]int{}
-	for _, j := range b.jobs {
+	for _, j := range s.jobs {
 		if j.state == jobQueued {
 			out[j.Spec.Queue]++
 		}
@@ -334,134 +353,138 @@
 	return out
 }
 
-// Batch returns the progress to record next, and nothing while an earlier
-// record is in flight.
-func (b *Scheduler) Batch() []jobs.Progress {
-	if b.inFlight != nil || len(b.dirty) == 0 {
+// Batch returns the progress to store next, or nil while an earlier batch is in
+// flight.
+func (s *Scheduler) Batch() []jobs.Progress {
+	if s.inFlight != nil || len(s.dirty) == 0 {
 		return nil
 	}
 	var rows []jobs.Progress
-	for id, j := range b.dirty {
+	for id, j := range s.dirty {
 		if len(rows) == maxBatchRows {
 			break
 		}
 		rows = append(rows, j.progress.Clone())
-		b.inFlight = append(b.inFlight, inFlightRow{j, j.progress.State})
-		delete(b.dirty, id)
+		s.inFlight = append(s.inFlight, inFlightRow{j, j.progress.State})
+		delete(s.dirty, id)
 	}
-	if len(b.dirty) == 0 {
-		b.inFlightSeq = b.changeSeq
+	if len(s.dirty) == 0 {
+		s.inFlightSeq = s.changeSeq
 	}
 	return rows
 }
 
-// BatchStored follows a record that is in the store.
-func (b *Scheduler) BatchStored(now time.Time) {
-	b.now = now
-	for _, f := range b.inFlight {
-		if f.state != "" && f.job.state == jobClosing {
-			f.job.fire(jobRecorded)
-			f.job.logEnd()
-			b.closed = append(b.closed, closedJob{f.job.Spec.ID, now})
+// BatchStored handles the confirmation that the batch in flight is in the
+// store.
+func (s *Scheduler) BatchStored(now time.Time) {
+	s.now = now
+	for _, row := range s.inFlight {
+		if row.state != "" && row.job.state == jobClosing {
+			row.job.fire(jobRecorded)
+			row.job.logEnd()
+			s.closed = append(s.closed, closedJob{row.job.Spec.ID, now})
 		}
 	}
-	b.inFlight = nil
-	b.storedSeq = b.inFlightSeq
-	for len(b.closed) > maxClosedJobs {
-		b.forgetOldest()
+	s.inFlight = nil
+	s.storedSeq = s.inFlightSeq
+	for len(s.closed) > maxClosedJobs {
+		s.forgetOldest()
 	}
 }
 
-// forgetOldest forgets the job that ended first, and returns its name.
-func (b *Scheduler) forgetOldest() core.JobID {
-	id := b.closed[0].job
-	b.closed = b.closed[1:]
-	b.forget(id)
+// forgetOldest forgets the job that ended first and returns its name.
+func (s *Scheduler) forgetOldest() core.JobID {
+	id := s.closed[0].job
+	s.closed = s.closed[1:]
+	s.forget(id)
 	return id
 }
 
-// Expired returns, and forgets, jobs that have ended longer ago than clients may
-// ask for them; their rows can be deleted. It returns at most a number of them.
-func (b *Scheduler) Expired(now time.Time, keep time.Duration, most int) []core.JobID {
+// Expired forgets and returns at most limit jobs that ended longer than keep
+// ago, so that their rows can be deleted.
+func (s *Scheduler) Expired(now time.Time, keep time.Duration, limit int) []core.JobID {
 	var out []core.JobID
-	for len(b.closed) > 0 && len(out) < most && now.Sub(b.closed[0].storedAt) > keep {
-		out = append(out, b.forgetOldest())
+	for len(s.closed) > 0 && len(out) < limit && now.Sub(s.closed[0].storedAt) > keep {
+		out = append(out, s.forgetOldest())
 	}
 	return out
 }
 
-// BatchFailed puts a record back that surely is not in the store.
-func (b *Scheduler) BatchFailed() {
-	for _, f := range b.inFlight {
-		b.dirty[f.job.Spec.ID] = f.job
+// BatchFailed queues the progress in flight again after a write that certainly
+// had no effect.
+func (s *Scheduler) BatchFailed() {
+	for _, row := range s.inFlight {
+		s.dirty[row.job.Spec.ID] = row.job
 	}
-	b.inFlight = nil
-	b.inFlightSeq = b.storedSeq
+	s.inFlight = nil
+	s.inFlightSeq = s.storedSeq
 }
 
-func (b *Scheduler) forget(id core.JobID) {
-	if j := b.jobs[id]; j != nil && j.tasksPlaced == 0 {
-		delete(b.jobs, id)
+// forget forgets a job none of whose tasks holds room on a worker.
+func (s *Scheduler) forget(id core.JobID) {
+	if j := s.jobs[id]; j != nil && j.tasksPlaced == 0 {
+		delete(s.jobs, id)
 	}
 }
 
-func (b *Scheduler) chargeTeam(team core.Team, r core.Resources) { b.used[team] = b.used[team].Add(r) }
+func (s *Scheduler) chargeTeam(team core.Team, r core.Resources) { s.used[team] = s.used[team].Add(r) }
 
-func (b *Scheduler) creditTeam(team core.Team, r core.Resources) {
-	b.used[team] = b.used[team].Sub(r)
-	b.needsPlacement = true
+func (s *Scheduler) creditTeam(team core.Team, r core.Resources) {
+	s.used[team] = s.used[team].Sub(r)
+	s.needsPlacement = true
 }
 
-// task returns a task by its name.
-func (b *Scheduler) task(id jobs.TaskID) *Task {
-	j := b.jobs[id.Job]
+// task returns the named task, or nil if it is unknown.
+func (s *Scheduler) task(id jobs.TaskID) *Task {
+	j := s.jobs[id.Job]
 	if j == nil || id.Phase >= len(j.Spec.Phases) || id.Occurrence >= j.Spec.Occurrences() {
 		return nil
 	}
-	u := j.phases[id.Occurrence*len(j.Spec.Phases)+id.Phase]
-	if id.Index >= len(u.tasks) {
+	p := j.phases[id.Occurrence*len(j.Spec.Phases)+id.Phase]
+	if id.Index >= len(p.tasks) {
 		return nil
 	}
-	return u.tasks[id.Index]
+	return p.tasks[id.Index]
 }
 
 // Settled reports whether every worker that an earlier owner may have used has
-// been heard of.
-func (b *Scheduler) Settled() bool { return b.settled }
+// reported.
+func (s *Scheduler) Settled() bool { return s.settled }
 
-// resolveRecovered frees the recovered tasks once every worker has been heard of: what
-// no worker has reported runs nowhere.
-func (b *Scheduler) resolveRecovered() {
-	if b.settled && len(b.unresolved) == 0 || b.hasUnreportedWorkers() {
+// resolveRecovered lets the unresolved tasks start once every worker has
+// reported: a run that no worker listed does not exist.
+func (s *Scheduler) resolveRecovered() {
+	if s.settled && len(s.unresolved) == 0 || s.hasUnreportedWorkers() {
 		return
 	}
-	b.settled = true
-	b.needsPlacement = true
-	freed := map[*phase]struct{}{}
-	for t := range b.unresolved {
+	s.settled = true
+	s.needsPlacement = true
+	phases := map[*phase]struct{}{}
+	for t := range s.unresolved {
 		t.fire(taskClear)
-		freed[t.phase] = struct{}{}
+		phases[t.phase] = struct{}{}
 	}
-	for u := range freed {
-		// A gang that lacks a member does not work.
-		if u.spec.Gang && u.tasksPlaced > 0 && !u.gangDone {
-			u.stopGang()
+	for p := range phases {
+		// A gang makes no progress without all its members.
+		if p.spec.Gang && p.tasksPlaced > 0 && !p.gangDone {
+			p.stopGang()
 		}
 	}
 }
 
-// hasUnreportedWorkers reports whether a worker may run, or may have ended, tasks that the
-// board does not know of.
-func (b *Scheduler) hasUnreportedWorkers() bool {
-	return slices.ContainsFunc(b.sortedWorkers, (*Worker).unreported)
+// hasUnreportedWorkers reports whether any worker is unreported.
+func (s *Scheduler) hasUnreportedWorkers() bool {
+	return slices.ContainsFunc(s.sortedWorkers, (*Worker).unreported)
 }
 
+// unreported reports whether the worker may run, or may have ended, tasks
+// without the scheduler's knowledge.
 func (w *Worker) unreported() bool { return w.state == workerFresh || !w.blockedSince.IsZero() }
 
-// sumUnreportedRoom returns the room of the workers that have not been heard of.
-func (b *Scheduler) sumUnreportedRoom() core.Resources {
+// sumUnreportedRoom returns the total room of the unreported workers.
+func (s *Scheduler) sumUnreportedRoom() core.Resources {
 	var sum core.Resources
-	for _, w := range b.sortedWorkers {
+	for _, w := range s.sortedWorkers {
 		if w.unreported() {
 			sum = sum.Add(w.info.Room)
 		}
--- a/core/fleet/share.go
+++ b/core/fleet/share.go
@@ -6,37 +6,39 @@
 	"chicoryturn/core"
 )
 
-// shareBurst is for how long a team may send faster than its share before its
-// jobs come behind all others.
+// A team may exceed its share by the jobs of shareBurst before its jobs rank
+// behind all others.
 const shareBurst = 2 * time.Second
 
-// teamShare measures what a team sends against the jobs a second that its weight
-// entitles it to when the fleet is full.
+// teamShare is a token bucket that measures the jobs that a team submits
+// against the jobs per second that its weight entitles it to when the fleet is
+// full.
 type teamShare struct {
-	// tokens are the jobs that the team may still send within its share.
+	// tokens counts the jobs that the team may still submit within its share,
+	// as of refilledAt.
 	tokens     float64
 	refilledAt time.Time
 }
 
-// exceedsShare takes in one job and reports whether it exceeds the team's share.
-func (b *Scheduler) exceedsShare(id core.Team, at time.Time) bool {
-	t := b.policy.Teams[id]
-	if t == nil || t.Weight <= 0 {
+// exceedsShare counts one job and reports whether it exceeds the team's share.
+func (s *Scheduler) exceedsShare(id core.Team, at time.Time) bool {
+	team := s.policy.Teams[id]
+	if team == nil || team.Weight <= 0 {
 		return false
 	}
-	most := t.Weight * shareBurst.Seconds()
-	s := b.shares[id]
-	if s == nil {
-		s = &teamShare{tokens: most, refilledAt: at}
-		b.shares[id] = s
+	burst := team.Weight * shareBurst.Seconds()
+	bucket := s.shares[id]
+	if bucket == nil {
+		bucket = &teamShare{tokens: burst, refilledAt: at}
+		s.shares[id] = bucket
 	}
-	if at.After(s.refilledAt) {
-		s.tokens = min(most, s.tokens+t.Weight*at.Sub(s.refilledAt).Seconds())
-		s.refilledAt = at
+	if at.After(bucket.refilledAt) {
+		bucket.tokens = min(burst, bucket.tokens+team.Weight*at.Sub(bucket.refilledAt).Seconds())
+		bucket.refilledAt = at
 	}
-	if s.tokens < 1 {
+	if bucket.tokens < 1 {
 		return true
 	}
-	s.tokens--
+	bucket.tokens--
 	return false
 }
--- a/core/fleet/task.go
+++ b/core/fleet/task.go
@@ -10,108 +10,116 @@
 )
 
 const (
-	// slownessGain is the weight of the newest run in the learned speed of a worker.
+	// slownessGain is the weight of the newest run in a worker's learned
+	// slowness, progressGain that of one progress report of an active run.
 	slownessGain = 0.15
-	// progressGain is that of the progress of a run that goes on.
 	progressGain = 0.05
-	// minProgressTime is how long a run must have worked before its progress tells the
-	// speed of its worker, pacePause the time between two readings of it.
+	// minProgressTime is how long a run must have been active before its
+	// progress is used to learn its worker's slowness, progressInterval the
+	// time between two such updates.
 	minProgressTime  = 400 * time.Millisecond
 	progressInterval = 250 * time.Millisecond
-	// stallTimeout is for how long a run may show no progress before it is stopped
-	// and started elsewhere; in long runs it is a tenth of their expected time.
-	// Workers described as slow take 6.5 times as long, and one percent of that
-	// is 6.5 % of it.
+	// stallTimeout is how long a run may report no progress before it is
+	// stopped and started on another worker; for long runs it is a tenth of
+	// their expected run time. Workers described as slow take 6.5 times as
+	// long, so even there one percent of a run takes only 6.5 % of the expected
+	// run time.
 	stallTimeout = 2500 * time.Millisecond
 	stallDivisor = 10
 )
 
-// Task is one task of a phase.
+// Task is the scheduler's state of one task of a phase.
 type Task struct {
 	phase *phase
 	index int
 	state chart.State
-	// worker is set exactly while the task holds room there.
+	// worker is where the task holds room; nil if it holds none.
 	worker *Worker
-	// eventWorker is the worker that a place or found event is about.
+	// eventWorker is the worker to which the next place or found event refers.
+	// It is set before the event is fired.
 	eventWorker *Worker
-	// run numbers the newest run; runs of one task only grow.
+	// run is the number of the newest run. It only grows.
 	run uint64
-	// reserved is what the task holds of its worker's room.
+	// reserved is the room that the task holds on its worker.
 	reserved core.Resources
-	placed   time.Time
+	// placedAt is when the task was last placed.
+	placedAt time.Time
 	// startedAt is when the worker was first known to run the task.
 	startedAt time.Time
-	// stopSentAt is when a stop was last ordered, stopped when the worker has
-	// answered one; zero if not.
+	// stopSentAt is when a stop was last ordered, stopAckedAt when the worker
+	// acknowledged it; zero if not.
 	stopSentAt, stopAckedAt time.Time
-	// checkpoint is the newest checkpoint known.
+	// checkpoint is the newest known checkpoint.
 	checkpoint string
-	// percent is the progress last reported, moved when it last changed.
+	// percent is the last reported progress, progressChangedAt when it last
+	// changed.
 	percent           int
 	progressChangedAt time.Time
-	// speedReadAt is when the progress was last taken as a sign of the worker's speed.
+	// speedReadAt is when the progress was last used to learn the worker's
+	// slowness.
 	speedReadAt time.Time
-	// avoid are the workers on which the task has failed.
+	// avoid holds the workers on which the task has failed or stalled.
 	avoid core.Set[core.WorkerID]
 }
 
 // ID returns the task's name.
 func (t *Task) ID() jobs.TaskID { return jobs.TaskID{PhaseID: t.phase.id, Index: t.index} }
 
-// position is the task's place in the job's progress.
+// position returns the task's position in the job's progress.
 func (t *Task) position() int { return t.phase.firstPosition + t.index }
 
 func (t *Task) fire(ev chart.Event) {
 	t.phase.job.scheduler.addRefusal(taskChart.Fire(&t.state, ev, t))
 }
 
+// addUnresolved marks a recovered task that may be running on a worker that has
+// not reported.
 func (t *Task) addUnresolved() {
-	b := t.phase.job.scheduler
-	b.unresolved[t] = struct{}{}
+	s := t.phase.job.scheduler
+	s.unresolved[t] = struct{}{}
 	t.reserved = t.phase.need()
 	t.phase.tasksWaiting--
 	team := t.phase.job.Spec.Team
-	b.unresolvedNeed[team] = b.unresolvedNeed[team].Add(t.reserved)
+	s.unresolvedNeed[team] = s.unresolvedNeed[team].Add(t.reserved)
 }
 
 func (t *Task) removeUnresolved() {
-	b := t.phase.job.scheduler
-	delete(b.unresolved, t)
+	s := t.phase.job.scheduler
+	delete(s.unresolved, t)
 	t.phase.tasksWaiting++
 	team := t.phase.job.Spec.Team
-	b.unresolvedNeed[team] = b.unresolvedNeed[team].Sub(t.reserved)
-	b.needsPlacement = true
+	s.unresolvedNeed[team] = s.unresolvedNeed[team].Sub(t.reserved)
+	s.needsPlacement = true
 }
 
-// reserve takes room on the chosen worker and of the team's limit.
+// reserve charges the task's need to eventWorker's free room and to the team.
 func (t *Task) reserve() {
-	b := t.phase.job.scheduler
-	t.worker, t.placed, t.startedAt = t.eventWorker, b.now, time.Time{}
+	s := t.phase.job.scheduler
+	t.worker, t.placedAt, t.startedAt = t.eventWorker, s.now, time.Time{}
 	t.stopSentAt, t.stopAckedAt = time.Time{}, time.Time{}
-	t.percent, t.progressChangedAt, t.speedReadAt = 0, b.now, b.now
+	t.percent, t.progressChangedAt, t.speedReadAt = 0, s.now, s.now
 	t.reserved = t.phase.need()
 	t.worker.tasks[t.ID()] = t
 	t.worker.free = t.worker.free.Sub(t.reserved)
 	t.phase.tasksWaiting--
 	t.phase.tasksPlaced++
 	t.phase.job.tasksPlaced++
-	b.chargeTeam(t.phase.job.Spec.Team, t.reserved)
+	s.chargeTeam(t.phase.job.Spec.Team, t.reserved)
 	if t.state == taskRunning {
 		t.markStarted()
 	}
 }
 
-// release gives the room back.
+// release returns the room to the worker and the team.
 func (t *Task) release() {
-	b, w := t.phase.job.scheduler, t.worker
+	s, w := t.phase.job.scheduler, t.worker
 	delete(w.tasks, t.ID())
 	w.free = w.free.Add(t.reserved)
 	t.worker = nil
 	t.phase.tasksWaiting++
 	t.phase.tasksPlaced--
 	t.phase.job.tasksPlaced--
-	b.creditTeam(t.phase.job.Spec.Team, t.reserved)
+	s.creditTeam(t.phase.job.Spec.Team, t.reserved)
 	switch {
 	case t.state != taskWaiting || !t.phase.spec.Gang:
 	case t.phase.gangDone:
@@ -121,6 +129,7 @@
 	}
 }
 
+// markStarted records that the worker runs the task.
 func (t *Task) markStarted() {
 	if t.startedAt.IsZero() {
 		t.startedAt = t.phase.job.scheduler.now
@@ -131,134 +140,136 @@
 
 // orderStop orders the worker to stop the run.
 func (t *Task) orderStop() {
-	b := t.phase.job.scheduler
-	t.stopSentAt = b.now
-	b.counts.Stops++
-	b.addOrder(Order{Kind: OrderStop, Worker: t.worker.id, Task: t.ID(), Run: t.run})
+	s := t.phase.job.scheduler
+	t.stopSentAt = s.now
+	s.counts.Stops++
+	s.addOrder(Order{Kind: OrderStop, Worker: t.worker.id, Task: t.ID(), Run: t.run})
 }
 
-// markDone marks the task as ended well.
+// markDone records that the task has succeeded.
 func (t *Task) markDone() {
-	u := t.phase
-	u.tasksWaiting--
-	if u.gangDone {
+	p := t.phase
+	p.tasksWaiting--
+	if p.gangDone {
 		return
 	}
-	u.tasksLeft--
-	u.job.progress.SetDone(t.position())
-	u.job.markDirty()
-	if u.tasksLeft == 0 {
-		u.complete()
+	p.tasksLeft--
+	p.job.progress.SetDone(t.position())
+	p.job.markDirty()
+	if p.tasksLeft == 0 {
+		p.complete()
 	}
 }
 
-// completeGang ends a gang well: the end of one member stands for all. Those that still
-// hold room give it back as their workers list their ends.
-func (u *phase) completeGang() {
-	if u.gangDone {
+// completeGang completes a gang: the success of one member counts for all.
+// Members that still hold room release it when their workers list their ends.
+func (p *phase) completeGang() {
+	if p.gangDone {
 		return
 	}
-	u.gangDone, u.tasksLeft = true, 0
-	for _, t := range u.tasks {
-		u.job.progress.SetDone(t.position())
+	p.gangDone, p.tasksLeft = true, 0
+	for _, t := range p.tasks {
+		p.job.progress.SetDone(t.position())
 	}
-	u.job.markDirty()
-	u.complete()
-	for _, t := range u.tasks {
+	p.job.markDirty()
+	p.complete()
+	for _, t := range p.tasks {
 		if t.state == taskWaiting || t.state == taskHeld {
 			t.fire(taskEndDone)
 		}
 	}
 }
 
-// countFailure follows a run that has failed; the run was that of t.failed.
+// countFailure counts the failed run t.run and fails the job after too many
+// failures. The failures of a gang are counted at its first task.
 func (t *Task) countFailure() {
-	u := t.phase
-	at := t.position()
-	if u.spec.Gang {
-		at = u.firstPosition
+	p := t.phase
+	position := t.position()
+	if p.spec.Gang {
+		position = p.firstPosition
 	}
-	if !u.job.progress.AddFailedRun(at, t.run) {
+	if !p.job.progress.AddFailedRun(position, t.run) {
 		return
 	}
-	u.job.scheduler.counts.Failures++
-	u.job.markDirty()
-	if !u.spec.LongRunning && len(u.job.progress.FailedRuns[at]) >= u.maxAttempts() {
-		u.job.fail()
+	p.job.scheduler.counts.Failures++
+	p.job.markDirty()
+	if !p.spec.LongRunning && len(p.job.progress.FailedRuns[position]) >= p.maxAttempts() {
+		p.job.fail()
 	}
 }
 
-// detachRun leaves a run of the task to its worker as a stray, which holds its
-// room until the worker has listed its end.
+// detachRun turns the task's run into an orphaned run, which holds its room
+// until the worker has listed its end.
 func (t *Task) detachRun() {
-	w, run, charge := t.worker, t.run, t.reserved
+	w, run, reserved := t.worker, t.run, t.reserved
 	t.fire(taskCut)
 	if t.worker == nil {
-		w.addOrphan(orphanedRun{task: t.ID(), run: run, reserved: charge, team: t.phase.job.Spec.Team})
+		w.addOrphan(orphanedRun{task: t.ID(), run: run, reserved: reserved, team: t.phase.job.Spec.Team})
 	}
 }
 
-// runEnded takes in the end of one run as its worker lists it.
-func (t *Task) runEnded(w *Worker, run uint64, how EndKind, saved string) {
-	u, b := t.phase, t.phase.job.scheduler
-	mine := t.worker == w && t.run == run
-	if saved != "" {
-		t.keepCheckpoint(run, saved)
+// runEnded handles the end of one run as its worker lists it.
+func (t *Task) runEnded(w *Worker, run uint64, kind EndKind, checkpoint string) {
+	p, s := t.phase, t.phase.job.scheduler
+	isCurrent := t.worker == w && t.run == run
+	if checkpoint != "" {
+		t.keepCheckpoint(run, checkpoint)
 	}
 	switch {
-	case u.spec.LongRunning && (how == EndDone || how == EndFailed):
-		if mine {
+	case p.spec.LongRunning && (kind == EndDone || kind == EndFailed):
+		if isCurrent {
 			t.fire(taskCut)
 		}
-	case how == EndDone:
-		if mine {
+	case kind == EndDone:
+		if isCurrent {
 			t.learnRunTime()
 		} else if t.worker != nil {
 			t.detachRun()
 		}
-		if u.spec.Gang {
-			u.completeGang()
+		if p.spec.Gang {
+			p.completeGang()
 		}
 		t.fire(taskEndDone)
-	case how == EndFailed && mine:
+	case kind == EndFailed && isCurrent:
 		t.avoidWorker(w.id)
 		t.fire(taskEndFailed)
-	case how == EndFailed && t.state != taskDone && t.state != taskDropped:
+	case kind == EndFailed && t.state != taskDone && t.state != taskDropped:
 		t.countOldFailure(run)
-	case mine:
+	case isCurrent:
 		t.fire(taskCut)
 	}
-	b.counts.Ends++
+	s.counts.Ends++
 }
 
-// countOldFailure counts a failed run that is not the task's present one.
+// countOldFailure counts a failed run that is not the task's current one.
 func (t *Task) countOldFailure(run uint64) {
-	now := t.run
+	newest := t.run
 	t.run = run
 	t.countFailure()
-	t.run = max(now, run)
+	t.run = max(newest, run)
 }
 
-// learnRunTime takes the run time into the estimates of the queue.
+// learnRunTime updates the queue's estimates and the worker's slowness with the
+// run time.
 func (t *Task) learnRunTime() {
 	if t.startedAt.IsZero() || t.checkpoint != "" {
 		return
 	}
-	b := t.phase.job.scheduler
-	took := max(b.now.Sub(t.startedAt), time.Millisecond)
-	expected := max(b.estimator.Predict(t.phase.job.Spec.Queue, t.phase.spec.Estimate), time.Millisecond)
-	t.worker.slowness += slownessGain * (math.Log(took.Seconds()/expected.Seconds()) - t.worker.slowness)
-	b.estimator.Learn(t.phase.job.Spec.Queue, t.phase.spec.Estimate, took)
+	s := t.phase.job.scheduler
+	runTime := max(s.now.Sub(t.startedAt), time.Millisecond)
+	expected := max(s.estimator.Predict(t.phase.job.Spec.Queue, t.phase.spec.Estimate), time.Millisecond)
+	t.worker.slowness += slownessGain * (math.Log(runTime.Seconds()/expected.Seconds()) - t.worker.slowness)
+	s.estimator.Learn(t.phase.job.Spec.Queue, t.phase.spec.Estimate, runTime)
 }
 
-// keepCheckpoint remembers the newest checkpoint of the task, or of its gang.
-func (t *Task) keepCheckpoint(run uint64, saved string) {
+// keepCheckpoint records the newest checkpoint of the task and of its gang.
+func (t *Task) keepCheckpoint(run uint64, checkpoint string) {
 	if run < t.run {
 		return
 	}
-	t.checkpoint = saved
+	t.checkpoint = checkpoint
 	if t.phase.spec.Gang {
-		t.phase.gangCheckpoint = saved
+		t.phase.gangCheckpoint = checkpoint
 	}
 }
 
--- a/core/fleet/worker.go
+++ b/core/fleet/worker.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// minClockRate is the least rate of a worker's clock; the platform allows
+	// minClockRate is the lowest rate of a worker's clock; the platform allows
 	// clocks that are 2 % slow.
 	minClockRate = 0.98
-	// leaseSlack is added to a lease before it counts as ended, for rounding on
-	// both sides.
+	// leaseSlack is added to a lease before it counts as expired, for rounding
+	// on both sides.
 	leaseSlack = 50 * time.Millisecond
-	// goneDelay is how long an entry must be missing from the platform's list
-	// before it counts as gone: entries that lapse while the store is away are
-	// back within 2 s of its return.
+	// goneDelay is how long a worker must be missing from the platform's list
+	// before it counts as gone. Entries that lapse while the store is
+	// unavailable reappear within 2 s of its return.
 	goneDelay = 2500 * time.Millisecond
-	// drainMargin is how much earlier than the platform's bound of silence an entry
-	// must have gone to show that its worker has left.
+	// An entry that is removed more than drainMargin before the platform's
+	// ListTimeout was removed because its worker drained.
 	drainMargin = 1500 * time.Millisecond
-	// maxListGap is the longest pause between two readings of the list that still
-	// shows that an entry was missing all the while.
+	// maxListGap is the longest interval between two readings of the list over
+	// which a worker that is missing from both counts as continuously missing.
 	maxListGap = 1500 * time.Millisecond
-	// maxFailedInRow is how many runs must fail on a worker in a row before it is
-	// set aside.
+	// maxFailedInRow is how many consecutive runs must fail on a worker before
+	// it is set aside.
 	maxFailedInRow = 3
-	// minAside and asideMost bound the time for which a worker that fails
-	// what it starts is set aside; the time doubles.
+	// minAside and maxAside bound the period for which a worker with failing
+	// runs is set aside; the period doubles each time.
 	minAside = 1 * time.Second
 	maxAside = 8 * time.Second
 )
@@ -42,237 +42,247 @@
 type WorkerInfo struct {
 	core.VM
 	Labels []string
-	// LeavesIn is the least time until a leaving worker is gone.
+	// LeavesIn is the shortest time until a leaving worker is gone.
 	LeavesIn time.Duration `json:"Left"`
-	// Incarnation marks the incarnation, as far as the list tells.
+	// Incarnation identifies the incarnation, as far as the list names it.
 	Incarnation time.Time `json:"Born"`
 	// Renewals changes whenever the worker renews its entry.
 	Renewals uint64 `json:"Beat"`
 }
 
 // ID returns the worker's name.
-func (h WorkerInfo) ID() core.WorkerID { return core.WorkerID(h.Name) }
+func (info WorkerInfo) ID() core.WorkerID { return core.WorkerID(info.Name) }
 
-// orphanedRun is a run that holds room on a worker but is not what the board wants
-// there.
+// orphanedRun is a run that holds room on a worker but is not wanted there and
+// is being stopped.
 type orphanedRun struct {
 	task     jobs.TaskID
 	run      uint64
 	reserved core.Resources
 	team     core.Team
-	// stopSentAt is when its stop was last ordered, stopped when the worker has
-	// answered one.
+	// stopSentAt is when its stop was last ordered, stopAckedAt when the worker
+	// acknowledged it; zero if not.
 	stopSentAt, stopAckedAt time.Time
 }
 
-// Worker is a worker VM as the owner knows it.
+// Worker is the scheduler's state of one worker.
 type Worker struct {
 	id        core.WorkerID
 	scheduler *Scheduler
-	// nameHash is a hash of the name.
+	// nameHash is a hash of the worker's name.
 	nameHash uint64
 	state    chart.State
 	info     WorkerInfo
-	// inRoster is set once the worker is in the roster that a later owner reads.
+	// inRoster is set once this incarnation is in the stored roster, which a
+	// later owner reads.
 	inRoster bool
-	// listed is set while the platform lists the worker, missing since when it
-	// does not.
+	// listed is set while the platform lists the worker. If it does not,
+	// missingSince is when that was first seen.
 	listed       bool
 	missingSince time.Time
-	// renewedAt is when the entry was first seen as it was last listed.
+	// renewedAt is when the last renewal of the entry was seen.
 	renewedAt time.Time
-	// free is the room less what the tasks and strays hold.
+	// free is the room that neither tasks nor orphaned runs hold.
 	free    core.Resources
 	tasks   map[jobs.TaskID]*Task
 	orphans []orphanedRun
-	// unknownRuns are runs of jobs that the board has not read yet; nothing is placed
-	// on the worker meanwhile.
+	// unknownRuns holds the runs of jobs that the scheduler does not know.
+	// While there are any, nothing is placed on the worker.
 	unknownRuns map[jobs.TaskID]uint64
-	// blockedSince is since when an end of an unknown job keeps later ends from being
-	// taken in; zero if none does.
+	// blockedSince is since when the end of an unknown job's run has kept later
+	// ends from being handled; zero if none does.
 	blockedSince time.Time
 
-	// clock is the worker's clock as of its last answer, which came at heard.
-	clock       time.Duration
-	answeredAt  time.Time
+	// clock is the worker's clock in its last answer, which arrived at
+	// answeredAt.
+	clock      time.Duration
+	answeredAt time.Time
+	// incarnation is the one that answered last; zero if none has.
 	incarnation time.Time
-	// leaseUntil is the latest lease ever sent, on the worker's clock.
+	// leaseUntil is the end of the longest lease sent, on the worker's clock.
 	leaseUntil time.Duration
 
-	// heartbeatInFlight is set while a hold is in flight, asked is when it was sent.
+	// heartbeatInFlight is set while a heartbeat sent at heartbeatSentAt has no
+	// answer.
 	heartbeatInFlight bool
 	heartbeatSentAt   time.Time
-	// nextHeartbeat is when a worker that has missed a contact is asked again.
+	// nextHeartbeat is the earliest time of the next heartbeat after a missed
+	// one.
 	nextHeartbeat time.Time
-	// takenEnd is the newest end taken in, seen the newest one acknowledged;
-	// those up to taken may be acknowledged once the change numbered after is
-	// in the store.
-	takenEnd, ackedEnd uint64
-	ackableSeq         uint64
+	// handledEnd is the number of the newest end handled, ackedEnd that of the
+	// newest one acknowledged. The ends up to handledEnd may be acknowledged
+	// once the change numbered ackableSeq is in the store.
+	handledEnd, ackedEnd uint64
+	ackableSeq           uint64
 
-	// slowness is the mean logarithm of the run times here over those predicted.
+	// slowness is the mean logarithm of actual over predicted run time.
 	slowness float64
-	// failedInRow counts the runs that have failed since one ended well.
+	// failedInRow counts the failed runs since the last successful one.
 	failedInRow int
+	// The worker is set aside until asideUntil, the last time for asidePeriod.
 	asideUntil  time.Time
 	asidePeriod time.Duration
 }
 
 func (w *Worker) fire(ev chart.Event) { w.scheduler.addRefusal(workerChart.Fire(&w.state, ev, w)) }
 
-// SetWorkers follows a new list of the platform.
-func (b *Scheduler) SetWorkers(now time.Time, hosts []WorkerInfo) {
-	b.now = now
+// SetWorkers updates the workers from a new list of the platform.
+func (s *Scheduler) SetWorkers(now time.Time, infos []WorkerInfo) {
+	s.now = now
 	listed := map[core.WorkerID]bool{}
-	for _, h := range hosts {
-		id := h.ID()
+	for _, info := range infos {
+		id := info.ID()
 		listed[id] = true
-		w := b.workers[id]
+		w := s.workers[id]
 		if w == nil {
-			w = b.addWorker(id, h)
+			w = s.addWorker(id, info)
 		}
-		w.updateInfo(h)
+		w.updateInfo(info)
 	}
-	for _, w := range slices.Clone(b.sortedWorkers) {
+	for _, w := range slices.Clone(s.sortedWorkers) {
 		if !listed[w.id] {
 			w.handleUnlisted()
 		}
 	}
-	b.listedAt = now
-	b.removeGone()
-	b.resolveRecovered()
-	b.needsPlacement = true
+	s.listedAt = now
+	s.removeGone()
+	s.resolveRecovered()
+	s.needsPlacement = true
 }
 
-// Recover adds the workers that an earlier owner may have used. Absent tells
-// since when the platform has not listed a worker, as far as this process has
-// seen.
-func (b *Scheduler) Recover(hosts []WorkerInfo, absent map[core.WorkerID]time.Time) {
-	for _, h := range hosts {
-		if b.workers[h.ID()] == nil {
-			b.addWorker(h.ID(), h).missingSince = absent[h.ID()]
+// Recover adds the workers of the stored roster, which earlier owners may have
+// used. For workers that this process has found missing from the platform's
+// list, absent holds since when.
+func (s *Scheduler) Recover(infos []WorkerInfo, absent map[core.WorkerID]time.Time) {
+	for _, info := range infos {
+		if s.workers[info.ID()] == nil {
+			s.addWorker(info.ID(), info).missingSince = absent[info.ID()]
 		}
 	}
 }
 
-// RosterVersion changes whenever the roster does.
-func (b *Scheduler) RosterVersion() uint64 { return b.rosterVersion }
+// RosterVersion returns a number that changes whenever the roster does.
+func (s *Scheduler) RosterVersion() uint64 { return s.rosterVersion }
 
-// Roster returns the workers that a later owner must hear of before it starts
-// older tasks.
-func (b *Scheduler) Roster() []WorkerInfo {
-	out := make([]WorkerInfo, 0, len(b.sortedWorkers))
-	for _, w := range b.sortedWorkers {
+// Roster returns the workers that must report to a later owner before it starts
+// tasks that this owner may have started.
+func (s *Scheduler) Roster() []WorkerInfo {
+	out := make([]WorkerInfo, 0, len(s.sortedWorkers))
+	for _, w := range s.sortedWorkers {
 		out = append(out, w.info)
 	}
 	return out
 }
 
-// RosterStored tells which incarnations of workers are in the recorded roster. Tasks
-// are placed on no other: an owner that has been replaced unawares can record
-// nothing, and so uses no worker that its successor does not know.
-func (b *Scheduler) RosterStored(roster []WorkerInfo) {
-	known := make(map[core.WorkerID]time.Time, len(roster))
-	for _, h := range roster {
-		known[h.ID()] = h.Incarnation
+// RosterStored records which incarnations of workers are in the stored roster.
+// Tasks are placed on no others: an owner that does not know that it has been
+// replaced can store nothing, and so uses no worker that its successor does not
+// know.
+func (s *Scheduler) RosterStored(roster []WorkerInfo) {
+	stored := make(map[core.WorkerID]time.Time, len(roster))
+	for _, info := range roster {
+		stored[info.ID()] = info.Incarnation
 	}
-	for _, w := range b.sortedWorkers {
-		born, ok := known[w.id]
-		w.inRoster = ok && born.Equal(w.info.Incarnation)
+	for _, w := range s.sortedWorkers {
+		incarnation, ok := stored[w.id]
+		w.inRoster = ok && incarnation.Equal(w.info.Incarnation)
 	}
-	b.needsPlacement = true
+	s.needsPlacement = true
 }
 
-func (b *Scheduler) addWorker(id core.WorkerID, h WorkerInfo) *Worker {
-	w := &Worker{id: id, scheduler: b, nameHash: xxhash.Sum64String(string(id)), state: workerChart.Start(), info: h, free: h.Room, tasks: map[jobs.TaskID]*Task{}}
-	b.workers[id] = w
-	b.rosterVersion++
-	i, _ := slices.BinarySearchFunc(b.sortedWorkers, id, func(o *Worker, id core.WorkerID) int { return cmp.Compare(o.id, id) })
-	b.sortedWorkers = slices.Insert(b.sortedWorkers, i, w)
-	// A port is bound by one process at a time: another worker at the same
-	// address is over.
-	for _, o := range b.sortedWorkers {
-		if o != w && o.info.Addr == h.Addr && !o.listed {
+func (s *Scheduler) addWorker(id core.WorkerID, info WorkerInfo) *Worker {
+	w := &Worker{id: id, scheduler: s, nameHash: xxhash.Sum64String(string(id)), state: workerChart.Start(), info: info, free: info.Room, tasks: map[jobs.TaskID]*Task{}}
+	s.workers[id] = w
+	s.rosterVersion++
+	i, _ := slices.BinarySearchFunc(s.sortedWorkers, id, func(o *Worker, id core.WorkerID) int { return cmp.Compare(o.id, id) })
+	s.sortedWorkers = slices.Insert(s.sortedWorkers, i, w)
+	// A port is bound by one process at a time, so another worker at the same
+	// address that is no longer listed has ended.
+	for _, o := range s.sortedWorkers {
+		if o != w && o.info.Addr == info.Addr && !o.listed {
 			o.fire(workerVanish)
 		}
 	}
 	return w
 }
 
-func (w *Worker) updateInfo(h WorkerInfo) {
-	if h.Renewals != w.info.Renewals {
+// updateInfo updates the worker from its entry in the platform's list.
+func (w *Worker) updateInfo(info WorkerInfo) {
+	if info.Renewals != w.info.Renewals {
 		w.renewedAt = w.scheduler.now
 	}
 	w.listed, w.missingSince = true, time.Time{}
-	if h.Room != w.info.Room {
-		w.free = w.free.Add(h.Room).Sub(w.info.Room)
+	if info.Room != w.info.Room {
+		w.free = w.free.Add(info.Room).Sub(w.info.Room)
 	}
 	if w.incarnation.IsZero() {
-		w.setListedIncarnation(h.Incarnation)
+		w.setIncarnation(info.Incarnation)
 	}
-	// What the worker itself says of its incarnation is newer than the list.
-	h.Incarnation = w.info.Incarnation
-	w.info = h
+	// The incarnation that the worker itself reports is newer than the list.
+	info.Incarnation = w.info.Incarnation
+	w.info = info
 }
 
-// handleUnlisted follows a list that does not name the worker. One that still answers
-// runs on. One that does not is gone at once if it has left by plan or if
-// nothing ran there, else once its lease has surely ended. The platform drops an
-// entry after some silence, and that much of the lease of a worker that this
-// owner has never heard has passed.
+// handleUnlisted handles a list without the worker. A worker that still answers
+// keeps its runs. One that does not is gone at once if it has drained, after
+// goneDelay if it has no runs, and otherwise once its lease has certainly
+// expired. The platform removes an entry only after ListTimeout without
+// contact, so that much of the lease of a worker that has never answered this
+// owner has already passed.
 func (w *Worker) handleUnlisted() {
-	b := w.scheduler
+	s := w.scheduler
 	w.listed = false
-	if w.missingSince.IsZero() || !b.listedAt.IsZero() && b.now.Sub(b.listedAt) > maxListGap {
-		w.missingSince = b.now
+	if w.missingSince.IsZero() || !s.listedAt.IsZero() && s.now.Sub(s.listedAt) > maxListGap {
+		w.missingSince = s.now
 	}
-	gone := b.now.Sub(w.missingSince)
-	left := time.Duration(float64(b.limits.Lease)/minClockRate) - b.limits.ListTimeout
+	missing := s.now.Sub(w.missingSince)
+	remaining := time.Duration(float64(s.limits.Lease)/minClockRate) - s.limits.ListTimeout
 	switch {
 	case w.hasDrained():
-	case gone < goneDelay:
+	case missing < goneDelay:
 		return
 	case w.state == workerSilent && w.hasNoRuns():
 	case w.state == workerLapsed:
-	case w.state == workerFresh && gone >= left:
+	case w.state == workerFresh && missing >= remaining:
 	default:
 		return
 	}
 	w.fire(workerVanish)
 }
 
-// hasDrained reports whether the entry went because the worker has left: it was
-// leaving, and its entry was renewed too lately to have been dropped for
-// silence.
+// hasDrained reports whether the worker's entry was removed because it drained:
+// it was leaving, and its last renewal is too recent for a removal by time-out.
 func (w *Worker) hasDrained() bool {
-	b := w.scheduler
-	return w.info.Leaving && !w.renewedAt.IsZero() && b.now.Sub(w.renewedAt) < b.limits.ListTimeout-drainMargin
+	s := w.scheduler
+	return w.info.Leaving && !w.renewedAt.IsZero() && s.now.Sub(w.renewedAt) < s.limits.ListTimeout-drainMargin
 }
 
-// hasNoRuns reports whether nothing runs on the worker, nor may begin to.
+// hasNoRuns reports whether the worker has no runs and none can start there.
 func (w *Worker) hasNoRuns() bool {
-	return len(w.tasks) == 0 && len(w.orphans) == 0 && len(w.unknownRuns) == 0 && w.blockedSince.IsZero() && w.ackedEnd == w.takenEnd
+	return len(w.tasks) == 0 && len(w.orphans) == 0 && len(w.unknownRuns) == 0 && w.blockedSince.IsZero() && w.ackedEnd == w.handledEnd
 }
 
-func (b *Scheduler) removeGone() {
-	b.sortedWorkers = slices.DeleteFunc(b.sortedWorkers, func(w *Worker) bool {
+// removeGone removes the workers that are gone.
+func (s *Scheduler) removeGone() {
+	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(w *Worker) bool {
 		if w.state == workerGone {
-			delete(b.workers, w.id)
-			b.rosterVersion++
+			delete(s.workers, w.id)
+			s.rosterVersion++
 		}
 		return w.state == workerGone
 	})
 }
 
-// endRuns follows the end of all that ran on the worker.
+// endRuns handles the end of all runs on a worker that is gone or whose lease
+// has lapsed.
 func (w *Worker) endRuns() {
 	w.scheduler.counts.Lapses++
 	for _, t := range w.sortedTasks() {
-		w.scheduler.logDecision(Decision{Job: t.phase.id.Job, Event: "lost with its worker", Worker: w.id, Task: t.ID().String(), Run: t.run, Reason: workerChart.Name(w.state)})
+		w.scheduler.logDecision(Decision{Job: t.phase.id.Job, Event: "run lost with its worker", Worker: w.id, Task: t.ID().String(), Run: t.run, Reason: workerChart.Name(w.state)})
 		t.fire(taskCut)
 	}
-	for _, s := range w.orphans {
-		w.releaseOrphan(s)
+	for _, o := range w.orphans {
+		w.releaseOrphan(o)
 	}
 	w.orphans = nil
 	w.unknownRuns, w.blockedSince = nil, time.Time{}
@@ -287,44 +297,44 @@
 	return out
 }
 
-func (w *Worker) addOrphan(s orphanedRun) {
-	w.orphans = append(w.orphans, s)
-	w.free = w.free.Sub(s.reserved)
-	w.scheduler.chargeTeam(s.team, s.reserved)
+func (w *Worker) addOrphan(o orphanedRun) {
+	w.orphans = append(w.orphans, o)
+	w.free = w.free.Sub(o.reserved)
+	w.scheduler.chargeTeam(o.team, o.reserved)
 	w.stopOrphan(len(w.orphans) - 1)
 }
 
-func (w *Worker) releaseOrphan(s orphanedRun) {
-	w.free = w.free.Add(s.reserved)
-	w.scheduler.creditTeam(s.team, s.reserved)
+func (w *Worker) releaseOrphan(o orphanedRun) {
+	w.free = w.free.Add(o.reserved)
+	w.scheduler.creditTeam(o.team, o.reserved)
 }
 
 func (w *Worker) stopOrphan(i int) {
-	s := &w.orphans[i]
-	s.stopSentAt = w.scheduler.now
+	o := &w.orphans[i]
+	o.stopSentAt = w.scheduler.now
 	w.scheduler.counts.Stops++
-	w.scheduler.addOrder(Order{Kind: OrderStop, Worker: w.id, Task: s.task, Run: s.run})
+	w.scheduler.addOrder(Order{Kind: OrderStop, Worker: w.id, Task: o.task, Run: o.run})
 }
 
-// extendLease returns the end of a full lease from now on, on the worker's clock,
-// and remembers it as sent.
+// extendLease returns the end of a full lease that starts now, on the worker's
+// clock, and records it as sent.
 func (w *Worker) extendLease() time.Duration {
 	if w.answeredAt.IsZero() {
 		return 0
 	}
-	until := w.clock + w.scheduler.now.Sub(w.answeredAt) + w.scheduler.limits.Lease
-	w.leaseUntil = max(w.leaseUntil, until)
-	return until
+	end := w.clock + w.scheduler.now.Sub(w.answeredAt) + w.scheduler.limits.Lease
+	w.leaseUntil = max(w.leaseUntil, end)
+	return end
 }
 
-// leaseLapsed reports whether everything on the worker has surely ended, however
-// slow its clock is.
+// leaseLapsed reports whether the lease of all runs on the worker has certainly
+// expired, even if its clock runs at minClockRate.
 func (w *Worker) leaseLapsed(now time.Time) bool {
 	if w.answeredAt.IsZero() {
 		return false
 	}
-	least := w.clock + time.Duration(float64(now.Sub(w.answeredAt))*minClockRate)
-	return least > w.leaseUntil+leaseSlack
+	clock := w.clock + time.Duration(float64(now.Sub(w.answeredAt))*minClockRate)
+	return clock > w.leaseUntil+leaseSlack
 }
 
 // usable reports whether tasks may be placed on the worker.
