--- a/core/fleet/advice.go
+++ b/core/fleet/advice.go
@@ -10,137 +10,145 @@
 )
 
 const (
-	// adviceWorkers is how many workers the call for advice names that a job's
-	// owed time allows for; the platform's rules count one call on 30 workers
-	// for each phase.
-	adviceWorkers = 30
-	// askMost bounds the workers of one call; the platform takes 100.
-	askMost = 100
-	// ticketSlack is how long before its end a ticket is no longer used, for
-	// the way of the order to the worker.
+	// deadlineWorkers is the number of workers in the one advice request per
+	// phase that a job's deadline allows for; the platform's rules count a call
+	// on 30 workers for each phase.
+	deadlineWorkers = 30
+	// maxRequestWorkers bounds the workers of one request; the platform accepts
+	// 100.
+	maxRequestWorkers = 100
+	// ticketSlack is subtracted from the validity of a ticket to allow for the
+	// time that an order needs to reach the worker.
 	ticketSlack = 100 * time.Millisecond
-	// askPatience times the expected length of a call, and askGrace more, is
-	// when a call counts as lost.
-	askPatience = 4
-	askGrace    = 1500 * time.Millisecond
-	// askAgain is the time before a phase that no call would help is looked into
-	// again.
-	askAgain = 25 * time.Millisecond
-	// unlikelyPause is the time between two calls for a phase that are not likely
-	// to let its tasks start, while few turns are free.
-	unlikelyPause = 3 * time.Second
+	// A request counts as lost after lostFactor times its expected duration
+	// plus lostGrace.
+	lostFactor = 4
+	lostGrace  = 1500 * time.Millisecond
+	// recheckDelay is the time before a phase for which no request was
+	// worthwhile is examined again.
+	recheckDelay = 25 * time.Millisecond
+	// lowYieldInterval is the time between two requests for a phase that are
+	// unlikely to let its tasks start, while few VMs are free to call the
+	// advisor.
+	lowYieldInterval = 3 * time.Second
 )
 
-// advice is what is known of the workers that may run a phase.
+// advice holds the advisor's answers on which workers may run a phase.
 type advice struct {
-	// known is set once the policy has been asked; which workers are allowed
-	// never changes.
-	known   bool
+	// received is set once the advisor has answered. Whether a worker is
+	// allowed never changes.
+	received bool
+	// named holds the workers that requests have named, allowed those of them
+	// that may run the phase.
 	named   core.Set[core.WorkerID]
 	allowed map[core.WorkerID]ticket
-	// fresh is until when the newest ticket is good.
-	fresh time.Time
-	// idle is until when another call is not worth looking into.
-	idle time.Time
-	// unlikely is when a call against the odds was last sent.
-	unlikely time.Time
-	// asked is when a call was sent that has not been answered; zero if none.
-	asked time.Time
-	// lost is when that call counts as lost.
-	lost time.Time
+	// ticketsUntil is when the newest tickets expire.
+	ticketsUntil time.Time
+	// recheckAt is when the phase is next examined for a worthwhile request.
+	recheckAt time.Time
+	// lowYieldAt is when the last low-yield request was sent.
+	lowYieldAt time.Time
+	// requestedAt is when the last request was sent; zero if it has been
+	// answered.
+	requestedAt time.Time
+	// lostAt is when an unanswered request counts as lost.
+	lostAt time.Time
 }
 
-// ticket lets a worker run the tasks of a phase for a while.
+// ticket permits a worker to run the tasks of a phase until it expires.
 type ticket struct {
 	text  string
 	until time.Time
 }
 
-// AdviceRequest is one call for advice.
+// AdviceRequest is one call to the placement advisor.
 type AdviceRequest struct {
 	Phase   jobs.PhaseID
 	Workers []core.WorkerID
-	// Cost is the expected length of the call.
+	// Cost is the expected duration of the call.
 	Cost time.Duration
 }
 
-// AllowedWorker is one worker that may run a phase.
+// AllowedWorker is a worker that the advisor allows to run a phase.
 type AllowedWorker struct {
 	Worker core.WorkerID
 	Ticket string
 }
 
-// AdviceReceived takes in an answer for the workers named; valid is what is left of
-// the tickets' time.
-func (b *Scheduler) AdviceReceived(now time.Time, id jobs.PhaseID, named []core.WorkerID, allowed []AllowedWorker, valid time.Duration) {
-	b.now = now
-	u := b.unit(id)
-	if u == nil || u.left == 0 || u.job.ended() {
+// AdviceReceived handles the advisor's answer to a request that named some
+// workers. The tickets stay valid for the given duration.
+func (s *Scheduler) AdviceReceived(now time.Time, id jobs.PhaseID, named []core.WorkerID, allowed []AllowedWorker, valid time.Duration) {
+	s.now = now
+	p := s.phase(id)
+	if p == nil || p.tasksLeft == 0 || p.job.ended() {
 		return
 	}
-	a := &u.advice
-	n := Decision{Job: id.Job, Event: "advised", Task: id.String(), Reason: fmt.Sprintf("%d of %d workers allowed for %s", len(allowed), len(named), valid.Round(time.Millisecond))}
-	if !a.asked.IsZero() {
-		n.Wait = now.Sub(a.asked)
+	a := &p.advice
+	d := Decision{Job: id.Job, Event: "advice received", Task: id.String(), Reason: fmt.Sprintf("%d of %d workers allowed for %s", len(allowed), len(named), valid.Round(time.Millisecond))}
+	if !a.requestedAt.IsZero() {
+		d.Wait = now.Sub(a.requestedAt)
 	}
-	b.note(n)
-	a.asked, a.lost = time.Time{}, time.Time{}
-	a.known = true
+	s.logDecision(d)
+	a.requestedAt, a.lostAt = time.Time{}, time.Time{}
+	a.received = true
 	if a.allowed == nil {
 		a.allowed, a.named = map[core.WorkerID]ticket{}, core.NewSet[core.WorkerID]()
 	}
-	before := len(a.named)
+	namedBefore := len(a.named)
 	for _, w := range named {
 		a.named.Add(w)
 	}
-	if before == 0 {
-		b.learnShare(u.job.Spec.Queue, len(named), len(allowed))
+	if namedBefore == 0 {
+		s.learnAllowedShare(p.job.Spec.Queue, len(named), len(allowed))
 	}
 	for _, w := range allowed {
 		a.allowed[w.Worker] = ticket{w.Ticket, now.Add(valid)}
 	}
 	if len(allowed) > 0 {
-		a.fresh = now.Add(valid)
+		a.ticketsUntil = now.Add(valid)
 	}
-	b.changed = true
+	s.needsPlacement = true
 }
 
-// AdviceFailed follows a call for advice that has failed.
-func (b *Scheduler) AdviceFailed(now time.Time, id jobs.PhaseID) {
-	b.now = now
-	if u := b.unit(id); u != nil {
-		u.advice.asked, u.advice.lost = time.Time{}, time.Time{}
-		b.changed = true
+// AdviceFailed handles a failed advice request.
+func (s *Scheduler) AdviceFailed(now time.Time, id jobs.PhaseID) {
+	s.now = now
+	if p := s.phase(id); p != nil {
+		p.advice.requestedAt, p.advice.lostAt = time.Time{}, time.Time{}
+		s.needsPlacement = true
 	}
 }
 
-// AdvicePending tells that the VM that has accepted a job is asking for its phase. It
-// returns the expected length of the call, 0 if it is not waited for.
-func (b *Scheduler) AdvicePending(now time.Time, id jobs.PhaseID) time.Duration {
-	b.now = now
-	u := b.unit(id)
-	if u == nil || u.advice.known {
+// AdvicePending records that the VM that accepted a job has requested advice
+// for its phase itself. It returns the expected duration of the call, or 0 if
+// the scheduler does not wait for the answer.
+func (s *Scheduler) AdvicePending(now time.Time, id jobs.PhaseID) time.Duration {
+	s.now = now
+	p := s.phase(id)
+	if p == nil || p.advice.received {
 		return 0
 	}
-	p, ok := u.policy().Get()
+	advisor, ok := p.advisor().Get()
 	if !ok {
 		return 0
 	}
-	n := min(len(b.byName), earlyCount(p, u.phase.Count))
-	u.advice.wait(now, p, n)
-	return p.Cost(n)
+	n := min(len(s.sortedWorkers), earlyRequestSize(advisor, p.spec.Count))
+	p.advice.markRequested(now, advisor, n)
+	return advisor.Cost(n)
 }
 
-func (a *advice) wait(now time.Time, p policy.Advice, workers int) {
-	a.asked = now
-	a.lost = now.Add(askPatience*p.Cost(workers) + askGrace)
+// markRequested records that a request has been sent.
+func (a *advice) markRequested(now time.Time, advisor policy.Advice, workers int) {
+	a.requestedAt = now
+	a.lostAt = now.Add(lostFactor*advisor.Cost(workers) + lostGrace)
 }
 
-// expire follows the refusal of a ticket: those that came with it are no better.
-func (a *advice) expire(worker core.WorkerID) {
+// expireTickets handles a worker's refusal of its ticket: it expires that
+// ticket and all that were to expire no later.
+func (a *advice) expireTickets(worker core.WorkerID) {
 	until := a.allowed[worker].until
-	if !a.fresh.After(until) {
-		a.fresh = time.Time{}
+	if !a.ticketsUntil.After(until) {
+		a.ticketsUntil = time.Time{}
 	}
 	for id, t := range a.allowed {
 		if !t.until.After(until) {
@@ -149,78 +157,80 @@
 	}
 }
 
-func (b *Scheduler) unit(id jobs.PhaseID) *unit {
-	t := b.task(jobs.TaskID{PhaseID: id})
+func (s *Scheduler) phase(id jobs.PhaseID) *phase {
+	t := s.task(jobs.TaskID{PhaseID: id})
 	if t == nil {
 		return nil
 	}
-	return t.unit
+	return t.phase
 }
 
-// policy returns the placement policy of the unit's queue, if it has one.
-func (u *unit) policy() core.Option[policy.Advice] {
-	if q := u.job.board.policy.Queues[u.job.Spec.Queue]; q != nil {
+// advisor returns the policy of the queue's placement advisor, if it has one.
+func (p *phase) advisor() core.Option[policy.Advice] {
+	if q := p.job.scheduler.policy.Queues[p.job.Spec.Queue]; q != nil {
 		return q.Advice
 	}
 	return core.Option[policy.Advice]{}
 }
 
-// Turns are the VMs' turns at the placement policy.
+// Turns assigns advice requests to the VMs, each of which makes one call to the
+// placement advisor at a time.
 type Turns interface {
-	// Free reports whether a call of some length would begin soon.
+	// Free reports whether a VM could soon begin a call of the given duration.
 	Free(cost time.Duration) bool
-	// Spare reports whether more turns are free than calls are likely to come.
+	// Spare reports whether more VMs are idle than the expected calls need.
 	Spare() bool
-	// Take hands a call out.
+	// Take assigns a request to a VM.
 	Take(a AdviceRequest)
 }
 
-// AdviceRequests hands out the calls for advice that are worth their time now, the most
-// urgent first. A call that would only wait is not made: by the time it begins,
-// other work may be more urgent, and room elsewhere. Turns that are to spare, and
-// now and then others, go to calls that are less likely to let tasks start.
-func (b *Scheduler) AdviceRequests(now time.Time, turns Turns) {
-	b.now = now
+// AdviceRequests sends the advice requests that are worthwhile now, the most
+// urgent first. A request that would have to queue is not sent: by the time its
+// call begins, other work may be more urgent and other workers may have room.
+// Requests that are less likely to let tasks start are sent while Turns.Spare
+// reports idle VMs, and otherwise at most once per lowYieldInterval and phase.
+func (s *Scheduler) AdviceRequests(now time.Time, turns Turns) {
+	s.now = now
 	if !turns.Free(0) {
 		return
 	}
-	var later []*unit
-	for _, u := range b.ranked() {
-		p, ok := u.policy().Get()
-		asking := !u.advice.asked.IsZero() && now.Before(u.advice.lost)
-		if !ok || asking || now.Before(u.advice.idle) || !u.startable() || !turns.Free(p.Base) {
+	var lowYield []*phase
+	for _, p := range s.rankedPhases() {
+		advisor, ok := p.advisor().Get()
+		isPending := !p.advice.requestedAt.IsZero() && now.Before(p.advice.lostAt)
+		if !ok || isPending || now.Before(p.advice.recheckAt) || !p.startable() || !turns.Free(advisor.Base) {
 			continue
 		}
-		if names := u.worthAsking(p); len(names) > 0 {
-			b.handOut(turns, u, p, names)
+		if workers := p.workersToRequest(advisor); len(workers) > 0 {
+			s.requestAdvice(turns, p, advisor, workers)
 			continue
 		}
-		u.advice.idle = now.Add(askAgain)
-		later = append(later, u)
+		p.advice.recheckAt = now.Add(recheckDelay)
+		lowYield = append(lowYield, p)
 	}
-	for _, u := range later {
-		p, ok := u.policy().Get()
-		rested := now.Sub(u.since) > unlikelyPause && now.Sub(u.advice.unlikely) > unlikelyPause
-		if !ok || !turns.Free(p.Base) || !turns.Spare() && !rested {
+	for _, p := range lowYield {
+		advisor, ok := p.advisor().Get()
+		intervalOver := now.Sub(p.openedAt) > lowYieldInterval && now.Sub(p.advice.lowYieldAt) > lowYieldInterval
+		if !ok || !turns.Free(advisor.Base) || !turns.Spare() && !intervalOver {
 			continue
 		}
-		if names := u.unlikely(p); len(names) > 0 {
-			u.advice.unlikely = now
-			b.handOut(turns, u, p, names)
+		if workers := p.lowYieldWorkers(advisor); len(workers) > 0 {
+			p.advice.lowYieldAt = now
+			s.requestAdvice(turns, p, advisor, workers)
 		}
 	}
 }
 
-func (b *Scheduler) handOut(turns Turns, u *unit, p policy.Advice, names []core.WorkerID) {
-	u.advice.wait(b.now, p, len(names))
-	b.counts.Asks++
-	turns.Take(AdviceRequest{Phase: u.id, Workers: names, Cost: p.Cost(len(names))})
+func (s *Scheduler) requestAdvice(turns Turns, p *phase, advisor policy.Advice, workers []core.WorkerID) {
+	p.advice.markRequested(s.now, advisor, len(workers))
+	s.counts.Asks++
+	turns.Take(AdviceRequest{Phase: p.id, Workers: workers, Cost: advisor.Cost(len(workers))})
 }
 
-// least is how many tasks must start together.
-func (u *unit) least() int {
-	if u.phase.Gang {
-		return u.phase.Count
+// minStartCount returns how many tasks must start together.
+func (p *phase) minStartCount() int {
+	if p.spec.Gang {
+		return p.spec.Count
 	}
 	return 1
 }
--- a/core/fleet/job.go
+++ b/core/fleet/job.go
@@ -10,98 +10,102 @@
 	"chicoryturn/core/jobs"
 )
 
-// lateFactor times the time that a job is owed is the most for which ending
-// late is still worth something to its client.
-const lateFactor = 3
+// A job that ends later than usefulFactor times the time allowed to it is worth
+// nothing to its client.
+const usefulFactor = 3
 
-// Job is a job of the fleet.
+// Job is the scheduler's state of one job.
 type Job struct {
-	Spec  jobs.Spec
-	board *Scheduler
-	state chart.State
-	// units holds the phases of each occurrence in order of occurrence.
-	units []*unit
+	Spec      jobs.Spec
+	scheduler *Scheduler
+	state     chart.State
+	// phases holds the phases in order of occurrence and phase.
+	phases []*phase
 	// tasks holds the tasks in order of occurrence, phase and index.
 	tasks []*Task
-	// left counts the phases that are not complete, live the tasks that hold
-	// room on a worker.
-	left, live int
-	progress   jobs.Progress
-	// seq is the order of arrival.
-	seq     uint64
-	arrived time.Time
-	// onTime is when the job must end to be on time, late from when on its end is
-	// worth nothing more; both follow the policy.
-	onTime, late time.Time
-	// beyond is set for work that exceeds the team's share of a full fleet.
-	beyond bool
+	// phasesLeft counts the phases that are not complete, tasksPlaced the tasks
+	// that hold room on a worker.
+	phasesLeft, tasksPlaced int
+	progress                jobs.Progress
+	// seq numbers the jobs in order of arrival at this scheduler.
+	seq       uint64
+	arrivedAt time.Time
+	// A job that ends after onTimeUntil is late; one that ends after
+	// usefulUntil is worth nothing to its client. Both change with the policy.
+	onTimeUntil, usefulUntil time.Time
+	// exceedsShare is set if the team submitted the job in excess of its share
+	// of a full fleet.
+	exceedsShare bool
 }
 
-// unit is one phase of one occurrence.
-type unit struct {
-	id    jobs.PhaseID
-	job   *Job
-	phase *jobs.Phase
-	// order is a hash of the job's name.
-	order uint64
-	// base is the position of the first task within the job.
-	base  int
-	tasks []*Task
-	// left counts the tasks that have not ended well, live those that hold
-	// room, idle those that wait.
-	left, live, idle int
-	// opened is set once earlier phases have ended and the occurrence is due.
-	opened bool
-	since  time.Time
-	// rest is the expected time from the phase's start to the job's end, as worked
-	// out at restAt.
-	rest   time.Duration
-	restAt time.Time
-	// told is when the log last said what the phase waits for.
-	told time.Time
-	// won is set once a member of a gang has ended well: so has the gang.
-	won bool
-	// run is the newest run of a gang.
-	run    uint64
-	advice advice
-	// saved is the checkpoint that all tasks of a gang start from.
-	saved string
+// phase is the state of one phase of one occurrence of a job.
+type phase struct {
+	id   jobs.PhaseID
+	job  *Job
+	spec *jobs.Phase
+	// nameHash is a hash of the job's name.
+	nameHash uint64
+	// firstPosition is the position of the first task in the job's progress.
+	firstPosition int
+	tasks         []*Task
+	// tasksLeft counts the tasks that have not succeeded, tasksPlaced those
+	// that hold room on a worker, tasksWaiting those that wait for placement.
+	tasksLeft, tasksPlaced, tasksWaiting int
+	// isOpen is set once the earlier phases are complete and the occurrence is
+	// due.
+	isOpen   bool
+	openedAt time.Time
+	// timeLeft is the expected time from the phase's start to the job's end,
+	// computed at timeLeftAt.
+	timeLeft   time.Duration
+	timeLeftAt time.Time
+	// waitLoggedAt is when the reason for waiting was last logged.
+	waitLoggedAt time.Time
+	// gangDone is set once one member of a gang has succeeded, and with it the
+	// gang.
+	gangDone bool
+	// gangRun is the number of a gang's newest run.
+	gangRun uint64
+	advice  advice
+	// gangCheckpoint is the checkpoint that all tasks of a gang start from.
+	gangCheckpoint string
 }
 
-func (b *Scheduler) add(spec jobs.Spec) *Job {
-	b.seq++
-	j := &Job{Spec: spec, board: b, state: jobChart.Start(), seq: b.seq, arrived: spec.Accepted, progress: jobs.Progress{Job: spec.ID}}
-	if j.arrived.IsZero() || j.arrived.After(b.now) {
-		j.arrived = b.now
+func (s *Scheduler) add(spec jobs.Spec) *Job {
+	s.lastJobSeq++
+	j := &Job{Spec: spec, scheduler: s, state: jobChart.Start(), seq: s.lastJobSeq, arrivedAt: spec.Accepted, progress: jobs.Progress{Job: spec.ID}}
+	if j.arrivedAt.IsZero() || j.arrivedAt.After(s.now) {
+		j.arrivedAt = s.now
 	}
-	order := xxhash.Sum64String(string(spec.ID))
-	for occ := range spec.Occurrences() {
-		for p := range j.Spec.Phases {
-			phase := &j.Spec.Phases[p]
-			u := &unit{id: jobs.PhaseID{Job: spec.ID, Occurrence: occ, Phase: p}, job: j, phase: phase, order: order, base: len(j.tasks), left: phase.Count, idle: phase.Count}
-			for i := range phase.Count {
-				t := &Task{unit: u, index: i, state: taskChart.Start()}
-				u.tasks = append(u.tasks, t)
+	nameHash := xxhash.Sum64String(string(spec.ID))
+	for occurrence := range spec.Occurrences() {
+		for index := range j.Spec.Phases {
+			phaseSpec := &j.Spec.Phases[index]
+			p := &phase{id: jobs.PhaseID{Job: spec.ID, Occurrence: occurrence, Phase: index}, job: j, spec: phaseSpec, nameHash: nameHash, firstPosition: len(j.tasks), tasksLeft: phaseSpec.Count, tasksWaiting: phaseSpec.Count}
+			for i := range phaseSpec.Count {
+				t := &Task{phase: p, index: i, state: taskChart.Start()}
+				p.tasks = append(p.tasks, t)
 				j.tasks = append(j.tasks, t)
 			}
-			j.units = append(j.units, u)
+			j.phases = append(j.phases, p)
 		}
 	}
-	j.left = len(j.units)
-	j.beyond = b.beyond(spec.Team, j.arrived)
-	j.setDue()
-	b.jobs[spec.ID] = j
-	b.changed = true
+	j.phasesLeft = len(j.phases)
+	j.exceedsShare = s.exceedsShare(spec.Team, j.arrivedAt)
+	j.setDeadlines()
+	s.jobs[spec.ID] = j
+	s.needsPlacement = true
 	return j
 }
 
-func (j *Job) fire(ev chart.Event) { j.board.refuse(jobChart.Fire(&j.state, ev, j)) }
+func (j *Job) fire(ev chart.Event) { j.scheduler.addRefusal(jobChart.Fire(&j.state, ev, j)) }
 
 // ended reports whether the job's end has been decided.
 func (j *Job) ended() bool { return j.state == jobClosing || j.state == jobClosed }
 
-// shown returns the state that clients may be told.
-func (j *Job) shown() jobs.State {
+// clientState returns the state that clients see. A final state is visible only
+// once it is in the store.
+func (j *Job) clientState() jobs.State {
 	switch j.state {
 	case jobQueued:
 		return jobs.Queued
@@ -112,73 +116,74 @@
 	}
 }
 
-// touch has the job's progress recorded.
-func (j *Job) touch() {
-	j.board.changes++
-	j.board.dirty[j.Spec.ID] = j
+// markDirty queues the job's progress for the next batch.
+func (j *Job) markDirty() {
+	j.scheduler.changeSeq++
+	j.scheduler.dirty[j.Spec.ID] = j
 }
 
-// restore takes over recorded progress.
-func (j *Job) restore(p *jobs.Progress) {
-	if p.Job == "" {
+// restore applies stored progress to a new job.
+func (j *Job) restore(recorded *jobs.Progress) {
+	if recorded.Job == "" {
 		return
 	}
-	j.progress = p.Clone()
-	if p.State.Final() {
+	j.progress = recorded.Clone()
+	if recorded.State.Final() {
 		j.fire(jobRestore)
 		for _, t := range j.tasks {
 			t.fire(taskDrop)
 		}
 		return
 	}
-	for at, t := range j.tasks {
-		if p.IsDone(at) {
+	for position, t := range j.tasks {
+		if recorded.IsDone(position) {
 			t.fire(taskRestore)
-			t.unit.idle--
-			t.unit.left--
+			t.phase.tasksWaiting--
+			t.phase.tasksLeft--
 		}
 	}
-	for _, u := range j.units {
-		if u.left == 0 {
-			j.left--
-			u.won = u.phase.Gang
+	for _, p := range j.phases {
+		if p.tasksLeft == 0 {
+			j.phasesLeft--
+			p.gangDone = p.spec.Gang
 		}
 	}
 }
 
-// openUnits lets the phases start whose earlier phases have ended well.
-func (j *Job) openUnits() {
+// openPhases opens the phases whose predecessors are complete. Phases of
+// occurrences that are not due yet are queued in futurePhases.
+func (j *Job) openPhases() {
 	if j.ended() {
 		return
 	}
 	n := len(j.Spec.Phases)
-	for i, u := range j.units {
-		if u.opened || u.left == 0 || !j.ready(i/n, u.phase) {
+	for i, p := range j.phases {
+		if p.isOpen || p.tasksLeft == 0 || !j.predecessorsDone(i/n, p.spec) {
 			continue
 		}
-		if due := j.Spec.Due(u.id.Occurrence); due.After(j.board.now) {
-			j.board.timed[u] = struct{}{}
+		if due := j.Spec.Due(p.id.Occurrence); due.After(j.scheduler.now) {
+			j.scheduler.futurePhases[p] = struct{}{}
 			continue
 		}
-		u.open()
+		p.open()
 	}
 }
 
-func (j *Job) ready(occurrence int, p *jobs.Phase) bool {
-	for _, a := range p.After {
-		if j.units[occurrence*len(j.Spec.Phases)+a].left > 0 {
+func (j *Job) predecessorsDone(occurrence int, spec *jobs.Phase) bool {
+	for _, a := range spec.After {
+		if j.phases[occurrence*len(j.Spec.Phases)+a].tasksLeft > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// settle completes the job once all its phases have.
-func (j *Job) settle() {
-	if j.left == 0 && !j.ended() {
+// completeIfDone completes the job once all its phases are complete.
+func (j *Job) completeIfDone() {
+	if j.phasesLeft == 0 && !j.ended() {
 		j.progress.State = jobs.Completed
 		j.fire(jobComplete)
-		j.touch()
+		j.markDirty()
 	}
 }
 
@@ -187,91 +192,91 @@
 	if !j.ended() {
 		j.progress.State = jobs.Failed
 		j.fire(jobFail)
-		j.touch()
+		j.markDirty()
 	}
 }
 
-// drop ends all tasks of a job that has ended.
-func (j *Job) drop() {
+// dropTasks drops all tasks of a job that has ended.
+func (j *Job) dropTasks() {
 	for _, t := range j.tasks {
 		t.fire(taskDrop)
 	}
-	for _, u := range j.units {
-		delete(j.board.open, u)
-		delete(j.board.timed, u)
-		u.advice = advice{}
+	for _, p := range j.phases {
+		delete(j.scheduler.openPhases, p)
+		delete(j.scheduler.futurePhases, p)
+		p.advice = advice{}
 	}
 }
 
-// tellEnd logs how the job has ended, against what it was owed.
-func (j *Job) tellEnd() {
-	n := Decision{Job: j.Spec.ID, Event: "job " + string(j.progress.State), Wait: j.board.now.Sub(j.arrived)}
-	if late := j.board.now.Sub(j.onTime); late > 0 {
-		n.Reason = "late by " + late.Round(time.Millisecond).String()
+// logEnd logs the job's final state and by how much it missed its deadline.
+func (j *Job) logEnd() {
+	d := Decision{Job: j.Spec.ID, Event: "job " + string(j.progress.State), Wait: j.scheduler.now.Sub(j.arrivedAt)}
+	if overdue := j.scheduler.now.Sub(j.onTimeUntil); overdue > 0 {
+		d.Reason = "late by " + overdue.Round(time.Millisecond).String()
 	}
-	j.board.note(n)
+	j.scheduler.logDecision(d)
 }
 
-// setDue works out what the job is owed.
-func (j *Job) setDue() {
-	j.onTime, j.late = j.arrived, j.arrived
-	q := j.board.policy.Queues[j.Spec.Queue]
+// setDeadlines computes the job's deadlines from the policy of its queue.
+func (j *Job) setDeadlines() {
+	j.onTimeUntil, j.usefulUntil = j.arrivedAt, j.arrivedAt
+	q := j.scheduler.policy.Queues[j.Spec.Queue]
 	if q == nil {
 		return
 	}
-	extra := time.Duration(0)
+	adviceTime := time.Duration(0)
 	if a, ok := q.Advice.Get(); ok {
-		extra = a.Cost(adviceWorkers)
+		adviceTime = a.Cost(deadlineWorkers)
 	}
-	owed := time.Duration(q.Slowdown*float64(j.Spec.CriticalPath(extra))) + q.Latency
-	j.onTime, j.late = j.arrived.Add(owed), j.arrived.Add(lateFactor*owed)
+	allowed := time.Duration(q.Slowdown*float64(j.Spec.CriticalPath(adviceTime))) + q.Latency
+	j.onTimeUntil, j.usefulUntil = j.arrivedAt.Add(allowed), j.arrivedAt.Add(usefulFactor*allowed)
 }
 
-func (u *unit) open() {
-	u.opened, u.since = true, u.job.board.now
-	delete(u.job.board.timed, u)
-	u.job.board.open[u] = struct{}{}
-	u.job.board.changed = true
+func (p *phase) open() {
+	p.isOpen, p.openedAt = true, p.job.scheduler.now
+	delete(p.job.scheduler.futurePhases, p)
+	p.job.scheduler.openPhases[p] = struct{}{}
+	p.job.scheduler.needsPlacement = true
 }
 
-// complete follows the end of the last task of the phase.
-func (u *unit) complete() {
-	j := u.job
-	delete(j.board.open, u)
-	// Who may run the phase is the largest part of a job's memory.
-	u.advice = advice{}
-	j.left--
-	j.openUnits()
-	j.settle()
+// complete handles the end of the last task of the phase.
+func (p *phase) complete() {
+	j := p.job
+	delete(j.scheduler.openPhases, p)
+	// The advice is the largest part of a job's memory.
+	p.advice = advice{}
+	j.phasesLeft--
+	j.openPhases()
+	j.completeIfDone()
 }
 
-// need is what one task takes of a worker's room.
-func (u *unit) need() core.Resources {
-	n := u.phase.Need
-	if u.phase.Filler {
-		// Such tasks take only processor time that others leave unused.
+// need returns what one task takes of a worker's room.
+func (p *phase) need() core.Resources {
+	n := p.spec.Need
+	if p.spec.Filler {
+		// Filler tasks take only processor time that others leave unused.
 		n.Cores = 0
 	}
 	return n
 }
 
-// attempts is how often a task may fail.
-func (u *unit) attempts() int {
-	if q := u.job.board.policy.Queues[u.job.Spec.Queue]; q != nil {
+// maxAttempts returns how many failed runs of a task fail the job.
+func (p *phase) maxAttempts() int {
+	if q := p.job.scheduler.policy.Queues[p.job.Spec.Queue]; q != nil {
 		return max(q.Attempts, 1)
 	}
 	return 1
 }
 
 // nextRun returns the number of the next run of a task or gang.
-func (u *unit) nextRun(last uint64) uint64 {
-	return max(last+1, uint64(max(u.job.board.epoch, 1)-1)<<runShift+1)
+func (p *phase) nextRun(last uint64) uint64 {
+	return max(last+1, uint64(max(p.job.scheduler.epoch, 1)-1)<<runNumberBits+1)
 }
 
-// regroup stops what is left of a gang's run once a member has ended; the gang
-// starts again when none holds room any more.
-func (u *unit) regroup() {
-	for _, t := range u.tasks {
+// stopGang stops the remaining members of a gang's run after one has ended. The
+// gang starts again once no member holds room.
+func (p *phase) stopGang() {
+	for _, t := range p.tasks {
 		t.fire(taskStop)
 	}
 }
--- a/core/fleet/place.go
+++ b/core/fleet/place.go
@@ -12,139 +12,146 @@
 )
 
 const (
-	// slowWeight is what a worker's learned slowness counts against the share
-	// of its cores that a placement leaves free.
-	slowWeight = 0.5
-	// noBound stands for a phase without a bound on tasks per worker.
-	noBound = math.MaxInt
-	// marginPart of the expected time, and marginLeast more, is how much longer
-	// work may take and still count as on time: most run times are within an
-	// eighth, and an end takes some 100 ms to be heard of and recorded.
-	marginPart  = 8
-	marginLeast = 100 * time.Millisecond
-	// restFresh is how long an estimate of the remaining time is used again.
-	restFresh = 300 * time.Millisecond
-	// tellAfter is how long work waits before the log says why, tellPause the time
-	// between two such lines.
-	tellAfter = time.Second
-	tellPause = 2 * time.Second
-	// tick is the longest pause between two looks at leases and due times.
-	tick = 100 * time.Millisecond
+	// slownessWeight weighs a worker's learned slowness against the share of
+	// its cores that a placement leaves free.
+	slownessWeight = 0.5
+	// unbounded is the number of slots if nothing bounds the tasks on a worker.
+	unbounded = math.MaxInt
+	// Work counts as on time if it would meet its deadline even when it takes
+	// 1/marginDivisor plus minMargin longer than expected: most run times are
+	// within an eighth of the estimate, and it takes about 100 ms until the
+	// owner has learned of an end and recorded it.
+	marginDivisor = 8
+	minMargin     = 100 * time.Millisecond
+	// timeLeftTTL is how long a computed time left is reused; the estimates
+	// behind it change slowly.
+	timeLeftTTL = 300 * time.Millisecond
+	// waitLogDelay is how long a phase waits before the reason is logged,
+	// waitLogInterval the time between two such lines.
+	waitLogDelay    = time.Second
+	waitLogInterval = 2 * time.Second
+	// tickInterval is the longest interval between two checks of leases and due
+	// times.
+	tickInterval = 100 * time.Millisecond
 )
 
-// Tick follows the passing of time: it renews leases, repeats stops and places
-// what fits. It returns when to be called next.
-func (b *Scheduler) Tick(now time.Time) time.Time {
-	b.now = now
-	for u := range b.timed {
-		if !u.job.Spec.Due(u.id.Occurrence).After(now) {
-			u.open()
+// Tick makes the decisions that depend on time: it opens phases that are due,
+// orders heartbeats, repeats stops and starts the tasks that fit. It returns
+// when it must be called next.
+func (s *Scheduler) Tick(now time.Time) time.Time {
+	s.now = now
+	for p := range s.futurePhases {
+		if !p.job.Spec.Due(p.id.Occurrence).After(now) {
+			p.open()
 		}
 	}
-	if len(b.held) > 0 {
-		b.hidden = b.unheardRoom()
+	if len(s.unresolved) > 0 {
+		s.unreportedRoom = s.sumUnreportedRoom()
 	}
-	b.holds()
-	b.stops()
-	if b.changed {
-		b.changed = false
-		b.place()
+	s.orderHeartbeats()
+	s.repeatStops()
+	if s.needsPlacement {
+		s.needsPlacement = false
+		s.placeAll()
 	}
-	return now.Add(tick)
+	return now.Add(tickInterval)
 }
 
-// standing is the order in which work is served.
-type standing struct {
-	unit *unit
-	// tardy is 0 while the job can end on time, 1 while its end is worth
-	// something, 2 after that or if it exceeds its team's share.
-	tardy    int
+// rankedPhase is a phase with its sort keys for placement.
+type rankedPhase struct {
+	phase *phase
+	// lateness is 0 if the job can end on time, 1 if its end can still be
+	// useful, and 2 if not or if the job exceeds its team's share.
+	lateness int
 	priority int
-	latest   time.Time
+	// latestStart is the latest start that meets the job's deadline.
+	latestStart time.Time
 }
 
-// ranked returns the open phases, those to be served first in front: work that
-// can still be on time before work that is late, then by the queue's priority,
-// then by the latest start that keeps what is owed.
-func (b *Scheduler) ranked() []*unit {
-	list := make([]standing, 0, len(b.open))
-	for u := range b.open {
-		if u.idle == 0 {
+// rankedPhases returns the open phases with waiting tasks, the most urgent
+// first: work that can still be on time before late work, then by the queue's
+// priority, then by the latest start that meets the deadline.
+func (s *Scheduler) rankedPhases() []*phase {
+	ranked := make([]rankedPhase, 0, len(s.openPhases))
+	for p := range s.openPhases {
+		if p.tasksWaiting == 0 {
 			continue
 		}
-		s := standing{unit: u}
-		left := b.remaining(u)
-		left += left/marginPart + marginLeast
+		r := rankedPhase{phase: p}
+		left := s.expectedTimeLeft(p)
+		left += left/marginDivisor + minMargin
 		switch {
-		case u.job.beyond:
-			s.tardy = 2
-		case !b.now.Add(left).After(u.job.onTime):
-		case !b.now.Add(left).After(u.job.late):
-			s.tardy = 1
+		case p.job.exceedsShare:
+			r.lateness = 2
+		case !s.now.Add(left).After(p.job.onTimeUntil):
+		case !s.now.Add(left).After(p.job.usefulUntil):
+			r.lateness = 1
 		default:
-			s.tardy = 2
+			r.lateness = 2
 		}
-		s.latest = u.job.onTime.Add(-left)
-		if q := b.policy.Queues[u.job.Spec.Queue]; q != nil {
-			s.priority = q.Priority
+		r.latestStart = p.job.onTimeUntil.Add(-left)
+		if q := s.policy.Queues[p.job.Spec.Queue]; q != nil {
+			r.priority = q.Priority
 		}
-		list = append(list, s)
+		ranked = append(ranked, r)
 	}
-	slices.SortFunc(list, func(x, y standing) int {
-		return cmp.Or(cmp.Compare(x.tardy, y.tardy), cmp.Compare(x.priority, y.priority),
-			x.latest.Compare(y.latest), cmp.Compare(x.unit.job.seq, y.unit.job.seq), cmp.Compare(x.unit.base, y.unit.base))
+	slices.SortFunc(ranked, func(x, y rankedPhase) int {
+		return cmp.Or(cmp.Compare(x.lateness, y.lateness), cmp.Compare(x.priority, y.priority),
+			x.latestStart.Compare(y.latestStart), cmp.Compare(x.phase.job.seq, y.phase.job.seq), cmp.Compare(x.phase.firstPosition, y.phase.firstPosition))
 	})
-	out := make([]*unit, len(list))
-	for i, s := range list {
-		out[i] = s.unit
+	out := make([]*phase, len(ranked))
+	for i, r := range ranked {
+		out[i] = r.phase
 	}
 	return out
 }
 
-// remaining is the expected time from the start of a phase to the end of its
-// job, along the longest chain. What is learned moves it slowly.
-func (b *Scheduler) remaining(u *unit) time.Duration {
-	if !u.restAt.IsZero() && b.now.Sub(u.restAt) < restFresh {
-		return u.rest
-	}
-	phases := u.job.Spec.Phases
-	tail := make([]time.Duration, len(phases))
-	for i := len(phases) - 1; i >= u.id.Phase; i-- {
-		tail[i] += b.guess.Predict(u.job.Spec.Queue, phases[i].Estimate)
+// expectedTimeLeft returns the expected time from the start of a phase to the
+// end of its job, along the critical path.
+func (s *Scheduler) expectedTimeLeft(p *phase) time.Duration {
+	if !p.timeLeftAt.IsZero() && s.now.Sub(p.timeLeftAt) < timeLeftTTL {
+		return p.timeLeft
+	}
+	phases := p.job.Spec.Phases
+	timeLeft := make([]time.Duration, len(phases))
+	for i := len(phases) - 1; i >= p.id.Phase; i-- {
+		timeLeft[i] += s.estimator.Predict(p.job.Spec.Queue, phases[i].Estimate)
 		for _, a := range phases[i].After {
-			tail[a] = max(tail[a], tail[i])
+			timeLeft[a] = max(timeLeft[a], timeLeft[i])
 		}
 	}
-	u.rest, u.restAt = tail[u.id.Phase], b.now
-	return u.rest
+	p.timeLeft, p.timeLeftAt = timeLeft[p.id.Phase], s.now
+	return p.timeLeft
 }
 
-// startable reports whether the phase has tasks that may be placed now; a gang
-// waits until nothing is left of its last run.
-func (u *unit) startable() bool {
-	if u.phase.Gang {
-		return u.idle == u.phase.Count && u.live == 0
+// startable reports whether the phase has tasks that may be placed now. A gang
+// waits until no member of its last run holds room.
+func (p *phase) startable() bool {
+	if p.spec.Gang {
+		return p.tasksWaiting == p.spec.Count && p.tasksPlaced == 0
 	}
-	return u.idle > 0
+	return p.tasksWaiting > 0
 }
 
-// suits reports whether the phase may run on a worker at all.
-func (u *unit) suits(w *Worker) bool {
-	b := u.job.board
-	if !w.usable() || !u.need().Fits(w.host.Room) {
+// canRunOn reports whether the phase may run on the worker, whatever room is
+// free there.
+func (p *phase) canRunOn(w *Worker) bool {
+	s := p.job.scheduler
+	if !w.usable() || !p.need().Fits(w.info.Room) {
 		return false
 	}
-	if q := b.policy.Queues[u.job.Spec.Queue]; q == nil || q.Service != w.host.Service {
+	if q := s.policy.Queues[p.job.Spec.Queue]; q == nil || q.Service != w.info.Service {
 		return false
 	}
-	return u.phase.Label == "" || slices.Contains(w.host.Labels, u.phase.Label)
+	return p.spec.Label == "" || slices.Contains(w.info.Labels, p.spec.Label)
 }
 
-// slots returns how many tasks of the phase fit into what a worker has free.
-func (u *unit) slots(w *Worker, need, free core.Resources) int {
-	n := noBound
-	if u.phase.PerWorker > 0 {
-		n = u.phase.PerWorker - w.countOf(u)
+// slotsOn returns how many tasks of the phase fit into the free room of a
+// worker.
+func (p *phase) slotsOn(w *Worker, need, free core.Resources) int {
+	n := unbounded
+	if p.spec.PerWorker > 0 {
+		n = p.spec.PerWorker - w.countTasks(p)
 	}
 	for _, d := range [][2]int64{{need.Cores, free.Cores}, {need.Memory, free.Memory}, {need.Accel, free.Accel}} {
 		if d[0] > 0 {
@@ -154,31 +161,33 @@
 	return max(n, 0)
 }
 
-func (w *Worker) countOf(u *unit) int {
+// countTasks counts the runs of a phase on the worker, orphaned ones included.
+func (w *Worker) countTasks(p *phase) int {
 	n := 0
 	for _, t := range w.tasks {
-		if t.unit == u {
+		if t.phase == p {
 			n++
 		}
 	}
-	for _, s := range w.strays {
-		if s.task.PhaseID == u.id {
+	for _, o := range w.orphans {
+		if o.task.PhaseID == p.id {
 			n++
 		}
 	}
 	return n
 }
 
-// withinLimit reports whether a team may run n more tasks.
-func (b *Scheduler) withinLimit(u *unit, need core.Resources, n int) bool {
-	t := b.policy.Teams[u.job.Spec.Team]
-	if t == nil {
+// withinLimit reports whether the phase's team may run n more tasks.
+func (s *Scheduler) withinLimit(p *phase, need core.Resources, n int) bool {
+	team := s.policy.Teams[p.job.Spec.Team]
+	if team == nil {
 		return true
 	}
-	// What an earlier owner may have started fits on the workers not heard of.
-	after := b.used[u.job.Spec.Team].Add(b.awaited[u.job.Spec.Team].Min(b.hidden))
+	// Runs of an earlier owner that are not known yet cannot exceed the room of
+	// the workers that have not reported.
+	used := s.used[p.job.Spec.Team].Add(s.unresolvedNeed[p.job.Spec.Team].Min(s.unreportedRoom))
 	for _, d := range [][3]int64{
-		{need.Cores, after.Cores, t.Limit.Cores}, {need.Memory, after.Memory, t.Limit.Memory}, {need.Accel, after.Accel, t.Limit.Accel},
+		{need.Cores, used.Cores, team.Limit.Cores}, {need.Memory, used.Memory, team.Limit.Memory}, {need.Accel, used.Accel, team.Limit.Accel},
 	} {
 		if d[2] > 0 && d[0] > 0 && d[1]+int64(n)*d[0] > d[2] {
 			return false
@@ -187,254 +196,259 @@
 	return true
 }
 
-// seat is a worker that a phase may use now.
-type seat struct {
+// freeWorker is a worker with room for tasks of a phase.
+type freeWorker struct {
 	worker *Worker
 	ticket string
-	// slots is how many tasks still fit.
+	// slots is how many more tasks fit.
 	slots int
+	// score is lowest for the best worker.
 	score float64
 }
 
-// seats returns the workers with room for the phase, the best first.
-func (u *unit) seats() []seat {
-	b := u.job.board
-	need := u.need()
-	var out []seat
+// freeWorkers returns the workers with room for the phase, the best first.
+func (p *phase) freeWorkers() []freeWorker {
+	s := p.job.scheduler
+	need := p.need()
+	var out []freeWorker
 	add := func(w *Worker, ticket string) {
-		if !u.suits(w) {
+		if !p.canRunOn(w) {
 			return
 		}
-		if n := u.slots(w, need, w.free); n > 0 {
-			out = append(out, seat{w, ticket, n, u.score(w, need)})
+		if n := p.slotsOn(w, need, w.free); n > 0 {
+			out = append(out, freeWorker{w, ticket, n, p.score(w, need)})
 		}
 	}
-	if _, advised := u.policy().Get(); !advised {
-		for _, w := range b.byName {
+	if _, needsAdvice := p.advisor().Get(); !needsAdvice {
+		for _, w := range s.sortedWorkers {
 			add(w, "")
 		}
-	} else if good := b.now.Add(ticketSlack); good.Before(u.advice.fresh) {
-		for id, t := range u.advice.allowed {
-			if w := b.workers[id]; w != nil && good.Before(t.until) {
+	} else if minExpiry := s.now.Add(ticketSlack); minExpiry.Before(p.advice.ticketsUntil) {
+		for id, t := range p.advice.allowed {
+			if w := s.workers[id]; w != nil && minExpiry.Before(t.until) {
 				add(w, t.text)
 			}
 		}
 	}
-	slices.SortFunc(out, func(x, y seat) int {
+	slices.SortFunc(out, func(x, y freeWorker) int {
 		return cmp.Or(cmp.Compare(x.score, y.score), cmp.Compare(x.worker.id, y.worker.id))
 	})
 	return out
 }
 
-// score is lowest for the best worker: one that the task fills best, that is
-// fast, and that is near the data.
-func (u *unit) score(w *Worker, need core.Resources) float64 {
-	room := max(w.host.Room.Cores, 1)
-	s := float64(w.free.Cores-need.Cores)/float64(room) + slowWeight*w.slow
-	if u.phase.Rack != "" && u.phase.Rack != w.host.Rack {
-		s += u.job.board.limits.RemoteFactor
-	}
-	return s
+// score rates a worker for the phase. It is lowest for a worker that the task
+// would leave little free room on, that is fast, and that is in the rack of the
+// data.
+func (p *phase) score(w *Worker, need core.Resources) float64 {
+	room := max(w.info.Room.Cores, 1)
+	score := float64(w.free.Cores-need.Cores)/float64(room) + slownessWeight*w.slowness
+	if p.spec.Rack != "" && p.spec.Rack != w.info.Rack {
+		score += p.job.scheduler.limits.RemoteFactor
+	}
+	return score
 }
 
-// place starts what fits, and tells of work that has waited for a while what
-// it waits for.
-func (b *Scheduler) place() {
-	for _, u := range b.ranked() {
-		why := u.hindrance()
+// placeAll starts the tasks that fit, the most urgent first, and logs why other
+// phases wait.
+func (s *Scheduler) placeAll() {
+	for _, p := range s.rankedPhases() {
+		reason := p.blockReason()
 		switch {
-		case why != "":
-		case u.phase.Gang:
-			why = b.placeGang(u)
+		case reason != "":
+		case p.spec.Gang:
+			reason = s.placeGang(p)
 		default:
-			why = b.placeEach(u)
+			reason = s.placeTasks(p)
 		}
-		u.tellWait(why)
+		p.logWait(reason)
 	}
 }
 
-// hindrance says why no task of the phase may start, whatever room there is.
-func (u *unit) hindrance() string {
-	switch b := u.job.board; {
-	case !u.startable():
-		return "last run of the gang has not ended"
-	case !b.withinLimit(u, u.need(), u.least()):
+// blockReason returns why no task of the phase may start whatever room is free,
+// or "".
+func (p *phase) blockReason() string {
+	switch s := p.job.scheduler; {
+	case !p.startable():
+		return "previous run of the gang has not ended"
+	case !s.withinLimit(p, p.need(), p.minStartCount()):
 		return "team is at its limit"
 	}
 	return ""
 }
 
-// tellWait logs now and then why work that has waited for long still waits.
-func (u *unit) tellWait(why string) {
-	b := u.job.board
-	waited := b.now.Sub(u.since)
-	if why == "" || waited < tellAfter || b.now.Sub(u.told) < tellPause {
+// logWait logs why a phase waits, once it has waited for waitLogDelay, and
+// again after each waitLogInterval.
+func (p *phase) logWait(reason string) {
+	s := p.job.scheduler
+	waited := s.now.Sub(p.openedAt)
+	if reason == "" || waited < waitLogDelay || s.now.Sub(p.waitLoggedAt) < waitLogInterval {
 		return
 	}
-	u.told = b.now
-	b.note(Decision{Job: u.id.Job, Event: "waits", Task: u.id.String(), Wait: waited, Reason: why})
+	p.waitLoggedAt = s.now
+	s.logDecision(Decision{Job: p.id.Job, Event: "waits", Task: p.id.String(), Wait: waited, Reason: reason})
 }
 
-// placeEach starts as many waiting tasks as fit, and says why others do not.
-func (b *Scheduler) placeEach(u *unit) string {
-	seats := u.seats()
-	if len(seats) == 0 {
-		return u.noSeat()
-	}
-	for _, t := range u.tasks {
+// placeTasks starts as many waiting tasks as fit. It returns why others still
+// wait, or "".
+func (s *Scheduler) placeTasks(p *phase) string {
+	free := p.freeWorkers()
+	if len(free) == 0 {
+		return p.noFreeWorkerReason()
+	}
+	for _, t := range p.tasks {
 		if t.state != taskWaiting {
 			continue
 		}
-		i := slices.IndexFunc(seats, func(s seat) bool { return s.slots > 0 && !t.avoid.Has(s.worker.id) })
+		i := slices.IndexFunc(free, func(f freeWorker) bool { return f.slots > 0 && !t.avoid.Has(f.worker.id) })
 		if i < 0 {
-			// A task that has failed everywhere may run anywhere again.
-			i = slices.IndexFunc(seats, func(s seat) bool { return s.slots > 0 && len(t.avoid) >= len(seats) })
+			// A task that has failed on all these workers may run on any of
+			// them again.
+			i = slices.IndexFunc(free, func(f freeWorker) bool { return f.slots > 0 && len(t.avoid) >= len(free) })
 		}
 		if i < 0 {
 			continue
 		}
-		if !b.withinLimit(u, u.need(), 1) {
+		if !s.withinLimit(p, p.need(), 1) {
 			return "team is at its limit"
 		}
-		b.start(t, seats[i], u.nextRun(t.run), t.saved)
-		seats[i].slots--
+		s.startTask(t, free[i], p.nextRun(t.run), t.checkpoint)
+		free[i].slots--
 	}
-	if u.idle > 0 {
-		return u.noSeat()
+	if p.tasksWaiting > 0 {
+		return p.noFreeWorkerReason()
 	}
 	return ""
 }
 
-// noSeat says why no worker can take a task.
-func (u *unit) noSeat() string {
-	switch _, advised := u.policy().Get(); {
-	case advised && !u.advice.known:
-		return "placement policy has not answered"
-	case advised && u.job.board.now.Before(u.advice.lost):
-		return "placement policy is being asked again"
+// noFreeWorkerReason returns why no worker can take a task.
+func (p *phase) noFreeWorkerReason() string {
+	switch _, needsAdvice := p.advisor().Get(); {
+	case needsAdvice && !p.advice.received:
+		return "placement advisor has not answered"
+	case needsAdvice && p.job.scheduler.now.Before(p.advice.lostAt):
+		return "another advice request is in flight"
 	}
 	return "no worker that may run it has room"
 }
 
-// placeGang starts all tasks together, or none and says why.
-func (b *Scheduler) placeGang(u *unit) string {
-	seats := u.seats()
-	if u.phase.SameRack {
-		seats = oneRack(seats, u.phase.Count)
+// placeGang starts all tasks of a gang together, or none and returns why.
+func (s *Scheduler) placeGang(p *phase) string {
+	free := p.freeWorkers()
+	if p.spec.SameRack {
+		free = oneRack(free, p.spec.Count)
 	}
 	room := 0
-	for _, s := range seats {
-		room = min(room+s.slots, u.phase.Count)
+	for _, f := range free {
+		room = min(room+f.slots, p.spec.Count)
 	}
-	if room < u.phase.Count {
-		return fmt.Sprintf("%s for all %d tasks at once", u.noSeat(), u.phase.Count)
+	if room < p.spec.Count {
+		return fmt.Sprintf("%s (gang of %d tasks)", p.noFreeWorkerReason(), p.spec.Count)
 	}
-	run := u.nextRun(u.run)
-	for _, t := range u.tasks {
-		run = max(run, u.nextRun(t.run))
+	run := p.nextRun(p.gangRun)
+	for _, t := range p.tasks {
+		run = max(run, p.nextRun(t.run))
 	}
-	u.run = run
-	at := 0
-	for _, t := range u.tasks {
-		for seats[at].slots == 0 {
-			at++
+	p.gangRun = run
+	i := 0
+	for _, t := range p.tasks {
+		for free[i].slots == 0 {
+			i++
 		}
-		b.start(t, seats[at], run, u.saved)
-		seats[at].slots--
+		s.startTask(t, free[i], run, p.gangCheckpoint)
+		free[i].slots--
 	}
 	return ""
 }
 
-// oneRack returns the seats of the rack that holds the whole gang best, or all
-// seats if none does.
-func oneRack(seats []seat, count int) []seat {
-	racks := map[string][]seat{}
+// oneRack returns the workers of the best rack with room for the whole gang, or
+// all workers if no rack has it.
+func oneRack(workers []freeWorker, count int) []freeWorker {
+	racks := map[string][]freeWorker{}
 	var names []string
-	for _, s := range seats {
-		rack := s.worker.host.Rack
+	for _, f := range workers {
+		rack := f.worker.info.Rack
 		if racks[rack] == nil {
 			names = append(names, rack)
 		}
-		racks[rack] = append(racks[rack], s)
+		racks[rack] = append(racks[rack], f)
 	}
 	for _, name := range names {
 		room := 0
-		for _, s := range racks[name] {
-			room = min(room+s.slots, count)
+		for _, f := range racks[name] {
+			room = min(room+f.slots, count)
 		}
 		if room == count {
 			return racks[name]
 		}
 	}
-	return seats
+	return workers
 }
 
-// start places one task.
-func (b *Scheduler) start(t *Task, s seat, run uint64, saved string) {
-	t.run, t.next = run, s.worker
+// startTask starts a run of the task on the worker.
+func (s *Scheduler) startTask(t *Task, f freeWorker, run uint64, checkpoint string) {
+	t.run, t.eventWorker = run, f.worker
 	t.fire(taskPlace)
-	b.counts.Starts++
-	b.order(Order{
-		Kind: OrderStart, Worker: s.worker.id, Task: t.ID(), Run: run,
-		Payload: t.unit.job.Spec.Payload, Checkpoint: saved, Ticket: s.ticket,
+	s.counts.Starts++
+	s.addOrder(Order{
+		Kind: OrderStart, Worker: f.worker.id, Task: t.ID(), Run: run,
+		Payload: t.phase.job.Spec.Payload, Checkpoint: checkpoint, Ticket: f.ticket,
 	})
-	b.note(Decision{Job: t.unit.id.Job, Event: "placed", Worker: s.worker.id, Task: t.ID().String(), Run: run, Wait: b.now.Sub(t.unit.since)})
+	s.logDecision(Decision{Job: t.phase.id.Job, Event: "placed", Worker: f.worker.id, Task: t.ID().String(), Run: run, Wait: s.now.Sub(t.phase.openedAt)})
 }
 
-// StartAnswered follows the answer to a start.
-func (b *Scheduler) StartAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
-	b.now = now
-	t := b.task(id)
+// StartAnswered handles the outcome of a start.
+func (s *Scheduler) StartAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
+	s.now = now
+	t := s.task(id)
 	if t == nil || t.worker == nil || t.worker.id != worker || t.run != run {
 		return
 	}
 	w := t.worker
 	if r != ReplyOK {
-		b.note(Decision{Job: id.Job, Event: "start not confirmed", Worker: worker, Task: id.String(), Run: run, Reason: r.String()})
+		s.logDecision(Decision{Job: id.Job, Event: "start not confirmed", Worker: worker, Task: id.String(), Run: run, Reason: r.String()})
 	}
 	switch r {
 	case ReplyOK:
 		t.fire(taskAccepted)
 		return
 	case ReplyUnanswered:
-		b.counts.Unanswered++
+		s.counts.Unanswered++
 		t.fire(taskUnanswered)
 		return
 	case ReplyBadTicket:
-		t.unit.advice.expire(worker)
+		t.phase.advice.expireTickets(worker)
 	case ReplyUnhealthy:
 		w.setAside()
 	case ReplyOtherIncarnation:
-		b.IncarnationEnded(now, worker)
+		s.IncarnationEnded(now, worker)
 		return
 	case ReplyMalformed:
 		t.avoidWorker(worker)
 	}
-	b.counts.Refused++
+	s.counts.Refused++
 	t.fire(taskRefused)
 }
 
-// StopAnswered follows the answer to a stop.
-func (b *Scheduler) StopAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
-	b.now = now
+// StopAnswered handles the outcome of a stop.
+func (s *Scheduler) StopAnswered(now time.Time, worker core.WorkerID, id jobs.TaskID, run uint64, r Reply) {
+	s.now = now
 	if r == ReplyOtherIncarnation {
-		b.IncarnationEnded(now, worker)
+		s.IncarnationEnded(now, worker)
 		return
 	}
 	if r != ReplyOK && r != ReplyStaleRun {
 		return
 	}
-	if t := b.task(id); t != nil && t.worker != nil && t.worker.id == worker && t.run == run {
-		t.stopped = now
+	if t := s.task(id); t != nil && t.worker != nil && t.worker.id == worker && t.run == run {
+		t.stopAckedAt = now
 	}
-	if w := b.workers[worker]; w != nil {
-		for i := range w.strays {
-			if s := &w.strays[i]; s.task == id && s.run == run {
-				s.stopped = now
+	if w := s.workers[worker]; w != nil {
+		for i := range w.orphans {
+			if o := &w.orphans[i]; o.task == id && o.run == run {
+				o.stopAckedAt = now
 			}
 		}
 	}
 }
 
-// note adds a decision to the log.
-func (b *Scheduler) note(n Decision) { b.notes = append(b.notes, n) }
+func (s *Scheduler) logDecision(d Decision) { s.decisions = append(s.decisions, d) }
--- a/core/fleet/task.go
+++ b/core/fleet/task.go
@@ -10,253 +10,266 @@
 )
 
 const (
-	// slowGain is the weight of the newest run in the learned speed of a worker.
-	slowGain = 0.15
-	// paceGain is that of the progress of a run that goes on.
-	paceGain = 0.05
-	// paceLeast is how long a run must have worked before its progress tells the
-	// speed of its worker, pacePause the time between two readings of it.
-	paceLeast = 400 * time.Millisecond
-	pacePause = 250 * time.Millisecond
-	// stuckAfter is for how long a run may show no progress before it is stopped
-	// and started elsewhere; in long runs it is a tenth of their expected time.
-	// Workers described as slow take 6.5 times as long, and one percent of that
-	// is 6.5 % of it.
-	stuckAfter = 2500 * time.Millisecond
-	stuckPart  = 10
+	// slownessGain is the weight of the newest run in a worker's learned
+	// slowness, progressGain that of one progress report of an active run.
+	slownessGain = 0.15
+	progressGain = 0.05
+	// minProgressTime is how long a run must have been active before its
+	// progress is used to learn its worker's slowness, progressInterval the
+	// time between two such updates.
+	minProgressTime  = 400 * time.Millisecond
+	progressInterval = 250 * time.Millisecond
+	// stallTimeout is how long a run may report no progress before it is
+	// stopped and started on another worker; for long runs it is a tenth of
+	// their expected run time. Workers described as slow take 6.5 times as
+	// long, so even there one percent of a run takes only 6.5 % of the expected
+	// run time.
+	stallTimeout = 2500 * time.Millisecond
+	stallDivisor = 10
 )
 
-// Task is one task of a phase.
+// Task is the scheduler's state of one task of a phase.
 type Task struct {
-	unit  *unit
+	phase *phase
 	index int
 	state chart.State
-	// worker is set exactly while the task holds room there.
+	// worker is where the task holds room; nil if it holds none.
 	worker *Worker
-	// next is the worker that a place or found event is about.
-	next *Worker
-	// run numbers the newest run; runs of one task only grow.
+	// eventWorker is the worker to which the next place or found event refers.
+	// It is set before the event is fired.
+	eventWorker *Worker
+	// run is the number of the newest run. It only grows.
 	run uint64
-	// charge is what the task holds of its worker's room.
-	charge core.Resources
-	placed time.Time
-	// began is when the worker was first known to run the task.
-	began time.Time
-	// halted is when a stop was last ordered, stopped when the worker has
-	// answered one; zero if not.
-	halted, stopped time.Time
-	// saved is the newest checkpoint known.
-	saved string
-	// percent is the progress last reported, moved when it last changed.
-	percent int
-	moved   time.Time
-	// paced is when the progress was last taken as a sign of the worker's speed.
-	paced time.Time
-	// avoid are the workers on which the task has failed.
+	// reserved is the room that the task holds on its worker.
+	reserved core.Resources
+	// placedAt is when the task was last placed.
+	placedAt time.Time
+	// startedAt is when the worker was first known to run the task.
+	startedAt time.Time
+	// stopSentAt is when a stop was last ordered, stopAckedAt when the worker
+	// acknowledged it; zero if not.
+	stopSentAt, stopAckedAt time.Time
+	// checkpoint is the newest known checkpoint.
+	checkpoint string
+	// percent is the last reported progress, progressChangedAt when it last
+	// changed.
+	percent           int
+	progressChangedAt time.Time
+	// speedReadAt is when the progress was last used to learn the worker's
+	// slowness.
+	speedReadAt time.Time
+	// avoid holds the workers on which the task has failed or stalled.
 	avoid core.Set[core.WorkerID]
 }
 
 // ID returns the task's name.
-func (t *Task) ID() jobs.TaskID { return jobs.TaskID{PhaseID: t.unit.id, Index: t.index} }
+func (t *Task) ID() jobs.TaskID { return jobs.TaskID{PhaseID: t.phase.id, Index: t.index} }
 
-// position is the task's place in the job's progress.
-func (t *Task) position() int { return t.unit.base + t.index }
+// position returns the task's position in the job's progress.
+func (t *Task) position() int { return t.phase.firstPosition + t.index }
 
-func (t *Task) fire(ev chart.Event) { t.unit.job.board.refuse(taskChart.Fire(&t.state, ev, t)) }
+func (t *Task) fire(ev chart.Event) {
+	t.phase.job.scheduler.addRefusal(taskChart.Fire(&t.state, ev, t))
+}
 
-func (t *Task) hold() {
-	b := t.unit.job.board
-	b.held[t] = struct{}{}
-	t.charge = t.unit.need()
-	t.unit.idle--
-	team := t.unit.job.Spec.Team
-	b.awaited[team] = b.awaited[team].Add(t.charge)
+// addUnresolved marks a recovered task that may be running on a worker that has
+// not reported.
+func (t *Task) addUnresolved() {
+	s := t.phase.job.scheduler
+	s.unresolved[t] = struct{}{}
+	t.reserved = t.phase.need()
+	t.phase.tasksWaiting--
+	team := t.phase.job.Spec.Team
+	s.unresolvedNeed[team] = s.unresolvedNeed[team].Add(t.reserved)
 }
 
-func (t *Task) unhold() {
-	b := t.unit.job.board
-	delete(b.held, t)
-	t.unit.idle++
-	team := t.unit.job.Spec.Team
-	b.awaited[team] = b.awaited[team].Sub(t.charge)
-	b.changed = true
+func (t *Task) removeUnresolved() {
+	s := t.phase.job.scheduler
+	delete(s.unresolved, t)
+	t.phase.tasksWaiting++
+	team := t.phase.job.Spec.Team
+	s.unresolvedNeed[team] = s.unresolvedNeed[team].Sub(t.reserved)
+	s.needsPlacement = true
 }
 
-// reserve takes room on the chosen worker and of the team's limit.
+// reserve charges the task's need to eventWorker's free room and to the team.
 func (t *Task) reserve() {
-	b := t.unit.job.board
-	t.worker, t.placed, t.began = t.next, b.now, time.Time{}
-	t.halted, t.stopped = time.Time{}, time.Time{}
-	t.percent, t.moved, t.paced = 0, b.now, b.now
-	t.charge = t.unit.need()
+	s := t.phase.job.scheduler
+	t.worker, t.placedAt, t.startedAt = t.eventWorker, s.now, time.Time{}
+	t.stopSentAt, t.stopAckedAt = time.Time{}, time.Time{}
+	t.percent, t.progressChangedAt, t.speedReadAt = 0, s.now, s.now
+	t.reserved = t.phase.need()
 	t.worker.tasks[t.ID()] = t
-	t.worker.free = t.worker.free.Sub(t.charge)
-	t.unit.idle--
-	t.unit.live++
-	t.unit.job.live++
-	b.take(t.unit.job.Spec.Team, t.charge)
+	t.worker.free = t.worker.free.Sub(t.reserved)
+	t.phase.tasksWaiting--
+	t.phase.tasksPlaced++
+	t.phase.job.tasksPlaced++
+	s.chargeTeam(t.phase.job.Spec.Team, t.reserved)
 	if t.state == taskRunning {
-		t.begin()
+		t.markStarted()
 	}
 }
 
-// release gives the room back.
+// release returns the room to the worker and the team.
 func (t *Task) release() {
-	b, w := t.unit.job.board, t.worker
+	s, w := t.phase.job.scheduler, t.worker
 	delete(w.tasks, t.ID())
-	w.free = w.free.Add(t.charge)
+	w.free = w.free.Add(t.reserved)
 	t.worker = nil
-	t.unit.idle++
-	t.unit.live--
-	t.unit.job.live--
-	b.give(t.unit.job.Spec.Team, t.charge)
+	t.phase.tasksWaiting++
+	t.phase.tasksPlaced--
+	t.phase.job.tasksPlaced--
+	s.creditTeam(t.phase.job.Spec.Team, t.reserved)
 	switch {
-	case t.state != taskWaiting || !t.unit.phase.Gang:
-	case t.unit.won:
+	case t.state != taskWaiting || !t.phase.spec.Gang:
+	case t.phase.gangDone:
 		t.fire(taskEndDone)
-	case t.unit.live > 0:
-		t.unit.regroup()
+	case t.phase.tasksPlaced > 0:
+		t.phase.stopGang()
 	}
 }
 
-func (t *Task) begin() {
-	if t.began.IsZero() {
-		t.began = t.unit.job.board.now
-		t.moved = t.began
-		t.unit.job.fire(jobBegin)
+// markStarted records that the worker runs the task.
+func (t *Task) markStarted() {
+	if t.startedAt.IsZero() {
+		t.startedAt = t.phase.job.scheduler.now
+		t.progressChangedAt = t.startedAt
+		t.phase.job.fire(jobBegin)
 	}
 }
 
-// halt orders the worker to stop the run.
-func (t *Task) halt() {
-	b := t.unit.job.board
-	t.halted = b.now
-	b.counts.Stops++
-	b.order(Order{Kind: OrderStop, Worker: t.worker.id, Task: t.ID(), Run: t.run})
+// orderStop orders the worker to stop the run.
+func (t *Task) orderStop() {
+	s := t.phase.job.scheduler
+	t.stopSentAt = s.now
+	s.counts.Stops++
+	s.addOrder(Order{Kind: OrderStop, Worker: t.worker.id, Task: t.ID(), Run: t.run})
 }
 
-// finish marks the task as ended well.
-func (t *Task) finish() {
-	u := t.unit
-	u.idle--
-	if u.won {
+// markDone records that the task has succeeded.
+func (t *Task) markDone() {
+	p := t.phase
+	p.tasksWaiting--
+	if p.gangDone {
 		return
 	}
-	u.left--
-	u.job.progress.SetDone(t.position())
-	u.job.touch()
-	if u.left == 0 {
-		u.complete()
+	p.tasksLeft--
+	p.job.progress.SetDone(t.position())
+	p.job.markDirty()
+	if p.tasksLeft == 0 {
+		p.complete()
 	}
 }
 
-// win ends a gang well: the end of one member stands for all. Those that still
-// hold room give it back as their workers list their ends.
-func (u *unit) win() {
-	if u.won {
+// completeGang completes a gang: the success of one member counts for all.
+// Members that still hold room release it when their workers list their ends.
+func (p *phase) completeGang() {
+	if p.gangDone {
 		return
 	}
-	u.won, u.left = true, 0
-	for _, t := range u.tasks {
-		u.job.progress.SetDone(t.position())
+	p.gangDone, p.tasksLeft = true, 0
+	for _, t := range p.tasks {
+		p.job.progress.SetDone(t.position())
 	}
-	u.job.touch()
-	u.complete()
-	for _, t := range u.tasks {
+	p.job.markDirty()
+	p.complete()
+	for _, t := range p.tasks {
 		if t.state == taskWaiting || t.state == taskHeld {
 			t.fire(taskEndDone)
 		}
 	}
 }
 
-// count follows a run that has failed; the run was that of t.failed.
-func (t *Task) count() {
-	u := t.unit
-	at := t.position()
-	if u.phase.Gang {
-		at = u.base
+// countFailure counts the failed run t.run and fails the job after too many
+// failures. The failures of a gang are counted at its first task.
+func (t *Task) countFailure() {
+	p := t.phase
+	position := t.position()
+	if p.spec.Gang {
+		position = p.firstPosition
 	}
-	if !u.job.progress.AddFailedRun(at, t.run) {
+	if !p.job.progress.AddFailedRun(position, t.run) {
 		return
 	}
-	u.job.board.counts.Failures++
-	u.job.touch()
-	if !u.phase.LongRunning && len(u.job.progress.FailedRuns[at]) >= u.attempts() {
-		u.job.fail()
+	p.job.scheduler.counts.Failures++
+	p.job.markDirty()
+	if !p.spec.LongRunning && len(p.job.progress.FailedRuns[position]) >= p.maxAttempts() {
+		p.job.fail()
 	}
 }
 
-// detach leaves a run of the task to its worker as a stray, which holds its
-// room until the worker has listed its end.
-func (t *Task) detach() {
-	w, run, charge := t.worker, t.run, t.charge
+// detachRun turns the task's run into an orphaned run, which holds its room
+// until the worker has listed its end.
+func (t *Task) detachRun() {
+	w, run, reserved := t.worker, t.run, t.reserved
 	t.fire(taskCut)
 	if t.worker == nil {
-		w.addStray(stray{task: t.ID(), run: run, charge: charge, team: t.unit.job.Spec.Team})
+		w.addOrphan(orphanedRun{task: t.ID(), run: run, reserved: reserved, team: t.phase.job.Spec.Team})
 	}
 }
 
-// ended takes in the end of one run as its worker lists it.
-func (t *Task) ended(w *Worker, run uint64, how EndKind, saved string) {
-	u, b := t.unit, t.unit.job.board
-	mine := t.worker == w && t.run == run
-	if saved != "" {
-		t.keep(run, saved)
+// runEnded handles the end of one run as its worker lists it.
+func (t *Task) runEnded(w *Worker, run uint64, kind EndKind, checkpoint string) {
+	p, s := t.phase, t.phase.job.scheduler
+	isCurrent := t.worker == w && t.run == run
+	if checkpoint != "" {
+		t.keepCheckpoint(run, checkpoint)
 	}
 	switch {
-	case u.phase.LongRunning && (how == EndDone || how == EndFailed):
-		if mine {
+	case p.spec.LongRunning && (kind == EndDone || kind == EndFailed):
+		if isCurrent {
 			t.fire(taskCut)
 		}
-	case how == EndDone:
-		if mine {
-			t.learn()
+	case kind == EndDone:
+		if isCurrent {
+			t.learnRunTime()
 		} else if t.worker != nil {
-			t.detach()
+			t.detachRun()
 		}
-		if u.phase.Gang {
-			u.win()
+		if p.spec.Gang {
+			p.completeGang()
 		}
 		t.fire(taskEndDone)
-	case how == EndFailed && mine:
+	case kind == EndFailed && isCurrent:
 		t.avoidWorker(w.id)
 		t.fire(taskEndFailed)
-	case how == EndFailed && t.state != taskDone && t.state != taskDropped:
-		t.countOld(run)
-	case mine:
+	case kind == EndFailed && t.state != taskDone && t.state != taskDropped:
+		t.countOldFailure(run)
+	case isCurrent:
 		t.fire(taskCut)
 	}
-	b.counts.Ends++
+	s.counts.Ends++
 }
 
-// countOld counts a failed run that is not the task's present one.
-func (t *Task) countOld(run uint64) {
-	now := t.run
+// countOldFailure counts a failed run that is not the task's current one.
+func (t *Task) countOldFailure(run uint64) {
+	newest := t.run
 	t.run = run
-	t.count()
-	t.run = max(now, run)
+	t.countFailure()
+	t.run = max(newest, run)
 }
 
-// learn takes the run time into the estimates of the queue.
-func (t *Task) learn() {
-	if t.began.IsZero() || t.saved != "" {
+// learnRunTime updates the queue's estimates and the worker's slowness with the
+// run time.
+func (t *Task) learnRunTime() {
+	if t.startedAt.IsZero() || t.checkpoint != "" {
 		return
 	}
-	b := t.unit.job.board
-	took := max(b.now.Sub(t.began), time.Millisecond)
-	expected := max(b.guess.Predict(t.unit.job.Spec.Queue, t.unit.phase.Estimate), time.Millisecond)
-	t.worker.slow += slowGain * (math.Log(took.Seconds()/expected.Seconds()) - t.worker.slow)
-	b.guess.Learn(t.unit.job.Spec.Queue, t.unit.phase.Estimate, took)
+	s := t.phase.job.scheduler
+	runTime := max(s.now.Sub(t.startedAt), time.Millisecond)
+	expected := max(s.estimator.Predict(t.phase.job.Spec.Queue, t.phase.spec.Estimate), time.Millisecond)
+	t.worker.slowness += slownessGain * (math.Log(runTime.Seconds()/expected.Seconds()) - t.worker.slowness)
+	s.estimator.Learn(t.phase.job.Spec.Queue, t.phase.spec.Estimate, runTime)
 }
 
-// keep remembers the newest checkpoint of the task, or of its gang.
-func (t *Task) keep(run uint64, saved string) {
+// keepCheckpoint records the newest checkpoint of the task and of its gang.
+func (t *Task) keepCheckpoint(run uint64, checkpoint string) {
 	if run < t.run {
 		return
 	}
-	t.saved = saved
-	if t.unit.phase.Gang {
-		t.unit.saved = saved
+	t.checkpoint = checkpoint
+	if t.phase.spec.Gang {
+		t.phase.gangCheckpoint = checkpoint
 	}
 }
 
--- a/core/fleet/worker.go
+++ b/core/fleet/worker.go
@@ -13,272 +13,282 @@
 )
 
 const (
-	// slowestClock is the least rate of a worker's clock; the platform allows
+	// minClockRate is the lowest rate of a worker's clock; the platform allows
 	// clocks that are 2 % slow.
-	slowestClock = 0.98
-	// lapseSlack is added to a lease before it counts as ended, for rounding on
-	// both sides.
-	lapseSlack = 50 * time.Millisecond
-	// vanishWait is how long an entry must be missing from the platform's list
-	// before it counts as gone: entries that lapse while the store is away are
-	// back within 2 s of its return.
-	vanishWait = 2500 * time.Millisecond
-	// leftMargin is how much earlier than the platform's bound of silence an entry
-	// must have gone to show that its worker has left.
-	leftMargin = 1500 * time.Millisecond
-	// listGap is the longest pause between two readings of the list that still
-	// shows that an entry was missing all the while.
-	listGap = 1500 * time.Millisecond
-	// brokenRuns is how many runs must fail on a worker in a row before it is
-	// set aside.
-	brokenRuns = 3
-	// asideFirst and asideMost bound the time for which a worker that fails
-	// what it starts is set aside; the time doubles.
-	asideFirst = 1 * time.Second
-	asideMost  = 8 * time.Second
+	minClockRate = 0.98
+	// leaseSlack is added to a lease before it counts as expired, for rounding
+	// on both sides.
+	leaseSlack = 50 * time.Millisecond
+	// goneDelay is how long a worker must be missing from the platform's list
+	// before it counts as gone. Entries that lapse while the store is
+	// unavailable reappear within 2 s of its return.
+	goneDelay = 2500 * time.Millisecond
+	// An entry that is removed more than drainMargin before the platform's
+	// ListTimeout was removed because its worker drained.
+	drainMargin = 1500 * time.Millisecond
+	// maxListGap is the longest interval between two readings of the list over
+	// which a worker that is missing from both counts as continuously missing.
+	maxListGap = 1500 * time.Millisecond
+	// maxFailedInRow is how many consecutive runs must fail on a worker before
+	// it is set aside.
+	maxFailedInRow = 3
+	// minAside and maxAside bound the period for which a worker with failing
+	// runs is set aside; the period doubles each time.
+	minAside = 1 * time.Second
+	maxAside = 8 * time.Second
 )
 
 // WorkerInfo is a worker as the platform lists it.
 type WorkerInfo struct {
 	core.VM
 	Labels []string
-	// LeavesIn is the least time until a leaving worker is gone.
+	// LeavesIn is the shortest time until a leaving worker is gone.
 	LeavesIn time.Duration `json:"Left"`
-	// Incarnation marks the incarnation, as far as the list tells.
+	// Incarnation identifies the incarnation, as far as the list names it.
 	Incarnation time.Time `json:"Born"`
 	// Renewals changes whenever the worker renews its entry.
 	Renewals uint64 `json:"Beat"`
 }
 
 // ID returns the worker's name.
-func (h WorkerInfo) ID() core.WorkerID { return core.WorkerID(h.Name) }
+func (info WorkerInfo) ID() core.WorkerID { return core.WorkerID(info.Name) }
 
-// stray is a run that holds room on a worker but is not what the board wants
-// there.
-type stray struct {
-	task   jobs.TaskID
-	run    uint64
-	charge core.Resources
-	team   core.Team
-	// halted is when its stop was last ordered, stopped when the worker has
-	// answered one.
-	halted, stopped time.Time
+// orphanedRun is a run that holds room on a worker but is not wanted there and
+// is being stopped.
+type orphanedRun struct {
+	task     jobs.TaskID
+	run      uint64
+	reserved core.Resources
+	team     core.Team
+	// stopSentAt is when its stop was last ordered, stopAckedAt when the worker
+	// acknowledged it; zero if not.
+	stopSentAt, stopAckedAt time.Time
 }
 
-// Worker is a worker VM as the owner knows it.
+// Worker is the scheduler's state of one worker.
 type Worker struct {
-	id    core.WorkerID
-	board *Scheduler
-	// order is a hash of the name.
-	order uint64
-	state chart.State
-	host  WorkerInfo
-	// recorded is set once the worker is in the roster that a later owner reads.
-	recorded bool
-	// listed is set while the platform lists the worker, missing since when it
-	// does not.
-	listed  bool
-	missing time.Time
-	// renewed is when the entry was first seen as it was last listed.
-	renewed time.Time
-	// free is the room less what the tasks and strays hold.
-	free   core.Resources
-	tasks  map[jobs.TaskID]*Task
-	strays []stray
-	// foreign are runs of jobs that the board has not read yet; nothing is placed
-	// on the worker meanwhile.
-	foreign map[jobs.TaskID]uint64
-	// blocked is since when an end of an unknown job keeps later ends from being
-	// taken in; zero if none does.
-	blocked time.Time
+	id        core.WorkerID
+	scheduler *Scheduler
+	// nameHash is a hash of the worker's name.
+	nameHash uint64
+	state    chart.State
+	info     WorkerInfo
+	// inRoster is set once this incarnation is in the stored roster, which a
+	// later owner reads.
+	inRoster bool
+	// listed is set while the platform lists the worker. If it does not,
+	// missingSince is when that was first seen.
+	listed       bool
+	missingSince time.Time
+	// renewedAt is when the last renewal of the entry was seen.
+	renewedAt time.Time
+	// free is the room that neither tasks nor orphaned runs hold.
+	free    core.Resources
+	tasks   map[jobs.TaskID]*Task
+	orphans []orphanedRun
+	// unknownRuns holds the runs of jobs that the scheduler does not know.
+	// While there are any, nothing is placed on the worker.
+	unknownRuns map[jobs.TaskID]uint64
+	// blockedSince is since when the end of an unknown job's run has kept later
+	// ends from being handled; zero if none does.
+	blockedSince time.Time
 
-	// clock is the worker's clock as of its last answer, which came at heard.
-	clock time.Duration
-	heard time.Time
-	born  time.Time
-	// until is the latest lease ever sent, on the worker's clock.
-	until time.Duration
+	// clock is the worker's clock in its last answer, which arrived at
+	// answeredAt.
+	clock      time.Duration
+	answeredAt time.Time
+	// incarnation is the one that answered last; zero if none has.
+	incarnation time.Time
+	// leaseUntil is the end of the longest lease sent, on the worker's clock.
+	leaseUntil time.Duration
 
-	// holding is set while a hold is in flight, asked is when it was sent.
-	holding bool
-	asked   time.Time
-	// next is when a worker that has missed a contact is asked again.
-	next time.Time
-	// taken is the newest end taken in, seen the newest one acknowledged;
-	// those up to taken may be acknowledged once the change numbered after is
-	// in the store.
-	taken, seen uint64
-	after       uint64
+	// heartbeatInFlight is set while a heartbeat sent at heartbeatSentAt has no
+	// answer.
+	heartbeatInFlight bool
+	heartbeatSentAt   time.Time
+	// nextHeartbeat is the earliest time of the next heartbeat after a missed
+	// one.
+	nextHeartbeat time.Time
+	// handledEnd is the number of the newest end handled, ackedEnd that of the
+	// newest one acknowledged. The ends up to handledEnd may be acknowledged
+	// once the change numbered ackableSeq is in the store.
+	handledEnd, ackedEnd uint64
+	ackableSeq           uint64
 
-	// slow is the mean logarithm of the run times here over those predicted.
-	slow float64
-	// failed counts the runs that have failed since one ended well.
-	failed int
-	aside  time.Time
-	pause  time.Duration
+	// slowness is the mean logarithm of actual over predicted run time.
+	slowness float64
+	// failedInRow counts the failed runs since the last successful one.
+	failedInRow int
+	// The worker is set aside until asideUntil, the last time for asidePeriod.
+	asideUntil  time.Time
+	asidePeriod time.Duration
 }
 
-func (w *Worker) fire(ev chart.Event) { w.board.refuse(workerChart.Fire(&w.state, ev, w)) }
+func (w *Worker) fire(ev chart.Event) { w.scheduler.addRefusal(workerChart.Fire(&w.state, ev, w)) }
 
-// SetWorkers follows a new list of the platform.
-func (b *Scheduler) SetWorkers(now time.Time, hosts []WorkerInfo) {
-	b.now = now
+// SetWorkers updates the workers from a new list of the platform.
+func (s *Scheduler) SetWorkers(now time.Time, infos []WorkerInfo) {
+	s.now = now
 	listed := map[core.WorkerID]bool{}
-	for _, h := range hosts {
-		id := h.ID()
+	for _, info := range infos {
+		id := info.ID()
 		listed[id] = true
-		w := b.workers[id]
+		w := s.workers[id]
 		if w == nil {
-			w = b.addWorker(id, h)
+			w = s.addWorker(id, info)
 		}
-		w.follow(h)
+		w.updateInfo(info)
 	}
-	for _, w := range slices.Clone(b.byName) {
+	for _, w := range slices.Clone(s.sortedWorkers) {
 		if !listed[w.id] {
-			w.unlist()
+			w.handleUnlisted()
 		}
 	}
-	b.listedAt = now
-	b.dropGone()
-	b.settle()
-	b.changed = true
+	s.listedAt = now
+	s.removeGone()
+	s.resolveRecovered()
+	s.needsPlacement = true
 }
 
-// Recover adds the workers that an earlier owner may have used. Absent tells
-// since when the platform has not listed a worker, as far as this process has
-// seen.
-func (b *Scheduler) Recover(hosts []WorkerInfo, absent map[core.WorkerID]time.Time) {
-	for _, h := range hosts {
-		if b.workers[h.ID()] == nil {
-			b.addWorker(h.ID(), h).missing = absent[h.ID()]
+// Recover adds the workers of the stored roster, which earlier owners may have
+// used. For workers that this process has found missing from the platform's
+// list, absent holds since when.
+func (s *Scheduler) Recover(infos []WorkerInfo, absent map[core.WorkerID]time.Time) {
+	for _, info := range infos {
+		if s.workers[info.ID()] == nil {
+			s.addWorker(info.ID(), info).missingSince = absent[info.ID()]
 		}
 	}
 }
 
-// RosterVersion changes whenever the roster does.
-func (b *Scheduler) RosterVersion() uint64 { return b.roster }
+// RosterVersion returns a number that changes whenever the roster does.
+func (s *Scheduler) RosterVersion() uint64 { return s.rosterVersion }
 
-// Roster returns the workers that a later owner must hear of before it starts
-// older tasks.
-func (b *Scheduler) Roster() []WorkerInfo {
-	out := make([]WorkerInfo, 0, len(b.byName))
-	for _, w := range b.byName {
-		out = append(out, w.host)
+// Roster returns the workers that must report to a later owner before it starts
+// tasks that this owner may have started.
+func (s *Scheduler) Roster() []WorkerInfo {
+	out := make([]WorkerInfo, 0, len(s.sortedWorkers))
+	for _, w := range s.sortedWorkers {
+		out = append(out, w.info)
 	}
 	return out
 }
 
-// RosterStored tells which incarnations of workers are in the recorded roster. Tasks
-// are placed on no other: an owner that has been replaced unawares can record
-// nothing, and so uses no worker that its successor does not know.
-func (b *Scheduler) RosterStored(roster []WorkerInfo) {
-	known := make(map[core.WorkerID]time.Time, len(roster))
-	for _, h := range roster {
-		known[h.ID()] = h.Incarnation
+// RosterStored records which incarnations of workers are in the stored roster.
+// Tasks are placed on no others: an owner that does not know that it has been
+// replaced can store nothing, and so uses no worker that its successor does not
+// know.
+func (s *Scheduler) RosterStored(roster []WorkerInfo) {
+	stored := make(map[core.WorkerID]time.Time, len(roster))
+	for _, info := range roster {
+		stored[info.ID()] = info.Incarnation
 	}
-	for _, w := range b.byName {
-		born, ok := known[w.id]
-		w.recorded = ok && born.Equal(w.host.Incarnation)
+	for _, w := range s.sortedWorkers {
+		incarnation, ok := stored[w.id]
+		w.inRoster = ok && incarnation.Equal(w.info.Incarnation)
 	}
-	b.changed = true
+	s.needsPlacement = true
 }
 
-func (b *Scheduler) addWorker(id core.WorkerID, h WorkerInfo) *Worker {
-	w := &Worker{id: id, board: b, order: xxhash.Sum64String(string(id)), state: workerChart.Start(), host: h, free: h.Room, tasks: map[jobs.TaskID]*Task{}}
-	b.workers[id] = w
-	b.roster++
-	i, _ := slices.BinarySearchFunc(b.byName, id, func(o *Worker, id core.WorkerID) int { return cmp.Compare(o.id, id) })
-	b.byName = slices.Insert(b.byName, i, w)
-	// A port is bound by one process at a time: another worker at the same
-	// address is over.
-	for _, o := range b.byName {
-		if o != w && o.host.Addr == h.Addr && !o.listed {
+func (s *Scheduler) addWorker(id core.WorkerID, info WorkerInfo) *Worker {
+	w := &Worker{id: id, scheduler: s, nameHash: xxhash.Sum64String(string(id)), state: workerChart.Start(), info: info, free: info.Room, tasks: map[jobs.TaskID]*Task{}}
+	s.workers[id] = w
+	s.rosterVersion++
+	i, _ := slices.BinarySearchFunc(s.sortedWorkers, id, func(o *Worker, id core.WorkerID) int { return cmp.Compare(o.id, id) })
+	s.sortedWorkers = slices.Insert(s.sortedWorkers, i, w)
+	// A port is bound by one process at a time, so another worker at the same
+	// address that is no longer listed has ended.
+	for _, o := range s.sortedWorkers {
+		if o != w && o.info.Addr == info.Addr && !o.listed {
 			o.fire(workerVanish)
 		}
 	}
 	return w
 }
 
-func (w *Worker) follow(h WorkerInfo) {
-	if h.Renewals != w.host.Renewals {
-		w.renewed = w.board.now
+// updateInfo updates the worker from its entry in the platform's list.
+func (w *Worker) updateInfo(info WorkerInfo) {
+	if info.Renewals != w.info.Renewals {
+		w.renewedAt = w.scheduler.now
 	}
-	w.listed, w.missing = true, time.Time{}
-	if h.Room != w.host.Room {
-		w.free = w.free.Add(h.Room).Sub(w.host.Room)
+	w.listed, w.missingSince = true, time.Time{}
+	if info.Room != w.info.Room {
+		w.free = w.free.Add(info.Room).Sub(w.info.Room)
 	}
-	if w.born.IsZero() {
-		w.setBorn(h.Incarnation)
+	if w.incarnation.IsZero() {
+		w.setIncarnation(info.Incarnation)
 	}
-	// What the worker itself says of its incarnation is newer than the list.
-	h.Incarnation = w.host.Incarnation
-	w.host = h
+	// The incarnation that the worker itself reports is newer than the list.
+	info.Incarnation = w.info.Incarnation
+	w.info = info
 }
 
-// unlist follows a list that does not name the worker. One that still answers
-// runs on. One that does not is gone at once if it has left by plan or if
-// nothing ran there, else once its lease has surely ended. The platform drops an
-// entry after some silence, and that much of the lease of a worker that this
-// owner has never heard has passed.
-func (w *Worker) unlist() {
-	b := w.board
+// handleUnlisted handles a list without the worker. A worker that still answers
+// keeps its runs. One that does not is gone at once if it has drained, after
+// goneDelay if it has no runs, and otherwise once its lease has certainly
+// expired. The platform removes an entry only after ListTimeout without
+// contact, so that much of the lease of a worker that has never answered this
+// owner has already passed.
+func (w *Worker) handleUnlisted() {
+	s := w.scheduler
 	w.listed = false
-	if w.missing.IsZero() || !b.listedAt.IsZero() && b.now.Sub(b.listedAt) > listGap {
-		w.missing = b.now
+	if w.missingSince.IsZero() || !s.listedAt.IsZero() && s.now.Sub(s.listedAt) > maxListGap {
+		w.missingSince = s.now
 	}
-	gone := b.now.Sub(w.missing)
-	left := time.Duration(float64(b.limits.Lease)/slowestClock) - b.limits.ListTimeout
+	missing := s.now.Sub(w.missingSince)
+	remaining := time.Duration(float64(s.limits.Lease)/minClockRate) - s.limits.ListTimeout
 	switch {
-	case w.hasLeft():
-	case gone < vanishWait:
+	case w.hasDrained():
+	case missing < goneDelay:
 		return
-	case w.state == workerSilent && w.quiet():
+	case w.state == workerSilent && w.hasNoRuns():
 	case w.state == workerLapsed:
-	case w.state == workerFresh && gone >= left:
+	case w.state == workerFresh && missing >= remaining:
 	default:
 		return
 	}
 	w.fire(workerVanish)
 }
 
-// hasLeft reports whether the entry went because the worker has left: it was
-// leaving, and its entry was renewed too lately to have been dropped for
-// silence.
-func (w *Worker) hasLeft() bool {
-	b := w.board
-	return w.host.Leaving && !w.renewed.IsZero() && b.now.Sub(w.renewed) < b.limits.ListTimeout-leftMargin
+// hasDrained reports whether the worker's entry was removed because it drained:
+// it was leaving, and its last renewal is too recent for a removal by time-out.
+func (w *Worker) hasDrained() bool {
+	s := w.scheduler
+	return w.info.Leaving && !w.renewedAt.IsZero() && s.now.Sub(w.renewedAt) < s.limits.ListTimeout-drainMargin
 }
 
-// quiet reports whether nothing runs on the worker, nor may begin to.
-func (w *Worker) quiet() bool {
-	return len(w.tasks) == 0 && len(w.strays) == 0 && len(w.foreign) == 0 && w.blocked.IsZero() && w.seen == w.taken
+// hasNoRuns reports whether the worker has no runs and none can start there.
+func (w *Worker) hasNoRuns() bool {
+	return len(w.tasks) == 0 && len(w.orphans) == 0 && len(w.unknownRuns) == 0 && w.blockedSince.IsZero() && w.ackedEnd == w.handledEnd
 }
 
-func (b *Scheduler) dropGone() {
-	b.byName = slices.DeleteFunc(b.byName, func(w *Worker) bool {
+// removeGone removes the workers that are gone.
+func (s *Scheduler) removeGone() {
+	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(w *Worker) bool {
 		if w.state == workerGone {
-			delete(b.workers, w.id)
-			b.roster++
+			delete(s.workers, w.id)
+			s.rosterVersion++
 		}
 		return w.state == workerGone
 	})
 }
 
-// cut follows the end of all that ran on the worker.
-func (w *Worker) cut() {
-	w.board.counts.Lapses++
-	for _, t := range w.ownTasks() {
-		w.board.note(Decision{Job: t.unit.id.Job, Event: "lost with its worker", Worker: w.id, Task: t.ID().String(), Run: t.run, Reason: workerChart.Name(w.state)})
+// endRuns handles the end of all runs on a worker that is gone or whose lease
+// has lapsed.
+func (w *Worker) endRuns() {
+	w.scheduler.counts.Lapses++
+	for _, t := range w.sortedTasks() {
+		w.scheduler.logDecision(Decision{Job: t.phase.id.Job, Event: "run lost with its worker", Worker: w.id, Task: t.ID().String(), Run: t.run, Reason: workerChart.Name(w.state)})
 		t.fire(taskCut)
 	}
-	for _, s := range w.strays {
-		w.dropStray(s)
+	for _, o := range w.orphans {
+		w.releaseOrphan(o)
 	}
-	w.strays = nil
-	w.foreign, w.blocked = nil, time.Time{}
+	w.orphans = nil
+	w.unknownRuns, w.blockedSince = nil, time.Time{}
 }
 
-func (w *Worker) ownTasks() []*Task {
+func (w *Worker) sortedTasks() []*Task {
 	out := make([]*Task, 0, len(w.tasks))
 	for _, t := range w.tasks {
 		out = append(out, t)
@@ -287,47 +297,47 @@
 	return out
 }
 
-func (w *Worker) addStray(s stray) {
-	w.strays = append(w.strays, s)
-	w.free = w.free.Sub(s.charge)
-	w.board.take(s.team, s.charge)
-	w.stopStray(len(w.strays) - 1)
+func (w *Worker) addOrphan(o orphanedRun) {
+	w.orphans = append(w.orphans, o)
+	w.free = w.free.Sub(o.reserved)
+	w.scheduler.chargeTeam(o.team, o.reserved)
+	w.stopOrphan(len(w.orphans) - 1)
 }
 
-func (w *Worker) dropStray(s stray) {
-	w.free = w.free.Add(s.charge)
-	w.board.give(s.team, s.charge)
+func (w *Worker) releaseOrphan(o orphanedRun) {
+	w.free = w.free.Add(o.reserved)
+	w.scheduler.creditTeam(o.team, o.reserved)
 }
 
-func (w *Worker) stopStray(i int) {
-	s := &w.strays[i]
-	s.halted = w.board.now
-	w.board.counts.Stops++
-	w.board.order(Order{Kind: OrderStop, Worker: w.id, Task: s.task, Run: s.run})
+func (w *Worker) stopOrphan(i int) {
+	o := &w.orphans[i]
+	o.stopSentAt = w.scheduler.now
+	w.scheduler.counts.Stops++
+	w.scheduler.addOrder(Order{Kind: OrderStop, Worker: w.id, Task: o.task, Run: o.run})
 }
 
-// lease returns the end of a full lease from now on, on the worker's clock,
-// and remembers it as sent.
-func (w *Worker) lease() time.Duration {
-	if w.heard.IsZero() {
+// extendLease returns the end of a full lease that starts now, on the worker's
+// clock, and records it as sent.
+func (w *Worker) extendLease() time.Duration {
+	if w.answeredAt.IsZero() {
 		return 0
 	}
-	until := w.clock + w.board.now.Sub(w.heard) + w.board.limits.Lease
-	w.until = max(w.until, until)
-	return until
+	end := w.clock + w.scheduler.now.Sub(w.answeredAt) + w.scheduler.limits.Lease
+	w.leaseUntil = max(w.leaseUntil, end)
+	return end
 }
 
-// lapsed reports whether everything on the worker has surely ended, however
-// slow its clock is.
-func (w *Worker) lapsed(now time.Time) bool {
-	if w.heard.IsZero() {
+// leaseLapsed reports whether the lease of all runs on the worker has certainly
+// expired, even if its clock runs at minClockRate.
+func (w *Worker) leaseLapsed(now time.Time) bool {
+	if w.answeredAt.IsZero() {
 		return false
 	}
-	least := w.clock + time.Duration(float64(now.Sub(w.heard))*slowestClock)
-	return least > w.until+lapseSlack
+	clock := w.clock + time.Duration(float64(now.Sub(w.answeredAt))*minClockRate)
+	return clock > w.leaseUntil+leaseSlack
 }
 
 // usable reports whether tasks may be placed on the worker.
 func (w *Worker) usable() bool {
-	return w.state == workerLive && w.listed && w.recorded && !w.host.Leaving && len(w.foreign) == 0 && !w.board.now.Before(w.aside)
+	return w.state == workerLive && w.listed && w.inRoster && !w.info.Leaving && len(w.unknownRuns) == 0 && !w.scheduler.now.Before(w.asideUntil)
 }
