--- a/core/elect/election.go
+++ b/core/elect/election.go
@@ -1,6 +1,7 @@
-// Package elect decides which process owns the fleet's jobs and workers. One
-// row in the platform's table names the owner; every claim and renewal is a
-// write on the condition that the row has not changed.
+// Package elect implements leader election among the processes of the fleet:
+// the leader owns all jobs and workers. One row in the platform's table, the
+// ownership record, names the leader. Every claim and every renewal is a
+// conditional write that fails if the row has changed since it was read.
 package elect
 
 import (
@@ -13,53 +14,54 @@
 )
 
 const (
-	// TTL is how long an owner's row may stay unchanged, as its watchers see it,
-	// before they claim. Owners renew every Renewal, so that three renewals may
-	// be lost or slow.
+	// TTL is how long the ownership record must stay unchanged before other
+	// processes may claim it. The owner renews it every RenewInterval, so three
+	// renewals may be lost or slow.
 	TTL = 2500 * time.Millisecond
-	// SuspectTTL stands for TTL when the owner does not answer its peers either.
+	// SuspectTTL replaces TTL when the owner does not answer its peers either.
 	SuspectTTL = 1200 * time.Millisecond
-	// RenewInterval is the longest pause between two writes of an owner.
+	// RenewInterval is the longest time between two writes of an owner.
 	RenewInterval = 700 * time.Millisecond
-	// ReadInterval is the time between two looks at another owner's row.
+	// ReadInterval is the time between two reads of another owner's record.
 	ReadInterval = 700 * time.Millisecond
-	// blind is the longest pause between two successful looks that still counts
-	// as having watched the row all the while.
-	blind = 1500 * time.Millisecond
-	// dimmed is how long after a failed look the store's clock does not tell the
-	// age of the row: the owner may have been unable to write as well.
-	dimmed = 3 * time.Second
-	// thaw is by how much the clock that counts suspended time may run ahead of
-	// the one that does not before an owner must confirm its row.
-	thaw = 250 * time.Millisecond
+	// maxReadGap is the longest time between two successful reads after which an
+	// unchanged record counts as unchanged for the whole time between them.
+	maxReadGap = 1500 * time.Millisecond
+	// readFailureWindow is how long after a failed read the store's clock is not
+	// used for the age of the record: while the store is unavailable, the owner
+	// may be unable to renew the record too.
+	readFailureWindow = 3 * time.Second
+	// suspendTolerance is how much the clock that counts suspended time may gain
+	// on the clock that does not before the owner must confirm its record.
+	suspendTolerance = 250 * time.Millisecond
 )
 
 //go:embed election.toml
-var text []byte
+var chartText []byte
 
 var (
-	machine = chart.Must(chart.Load[*Election](text, nil, nil))
-
-	vacant = machine.Event("vacant")
-	won    = machine.Event("won")
-	lost   = machine.Event("lost")
-	loaded = machine.Event("loaded")
-	failed = machine.Event("failed")
-	leave  = machine.Event("leave")
-
-	watching = machine.State("watching")
-	claiming = machine.State("claiming")
-	loading  = machine.State("loading")
-	owning   = machine.State("owning")
+	machine = chart.Must(chart.Load[*Election](chartText, nil, nil))
+
+	eventVacant = machine.Event("vacant")
+	eventWon    = machine.Event("won")
+	eventLost   = machine.Event("lost")
+	eventLoaded = machine.Event("loaded")
+	eventFailed = machine.Event("failed")
+	eventLeave  = machine.Event("leave")
+
+	stateWatching = machine.State("watching")
+	stateClaiming = machine.State("claiming")
+	stateLoading  = machine.State("loading")
+	stateOwning   = machine.State("owning")
 )
 
 // Charts returns the name and drawing of this package's chart.
 func Charts() []string { return []string{"reign", machine.Draw()} }
 
-// Record is the row that names the owner.
+// Record is the ownership record: the row that names the owner.
 type Record struct {
-	// Holder names one incarnation of a process; it is empty if the last owner
-	// has left.
+	// Holder names one incarnation of a process; it is empty after the owner has
+	// resigned.
 	Holder core.SessionID
 	VM     string
 	// Addr is where the owner answers other processes.
@@ -67,12 +69,12 @@
 	// Epoch numbers the owners, Beat the writes of one owner.
 	Epoch core.Epoch
 	Beat  uint64
-	// Stamp is the store's clock when the row was written, as its writer
-	// estimates it; 0 if it does not know.
+	// Stamp is the writer's estimate of the store's clock at the time of the
+	// write; 0 if the writer has no estimate.
 	Stamp time.Duration
 }
 
-// Observation is the row as read from the store.
+// Observation is the result of one read of the ownership record.
 type Observation struct {
 	Record Record
 	// Version is 0 if there is no row; Clock is the store's clock.
@@ -80,229 +82,235 @@
 	Clock   time.Duration
 }
 
-// Election follows the seat as one process sees it.
+// Election is one process's view of the leader election.
 type Election struct {
-	me    Record
+	self  Record
 	state chart.State
-	// seat and version are the row as last read or written; version is 0 while
-	// there is none.
-	seat    Record
+	// record and version are the row as last read or written; version is 0
+	// while there is no row.
+	record  Record
 	version uint64
-	// changed is when the row was first seen as it is, looked when it was last
-	// read.
-	changed, looked time.Time
-	// failed is when a look last failed.
-	failed time.Time
-	// clock is the store's clock as last heard, at clockAt.
-	clock   time.Duration
-	clockAt time.Time
-	// patience is added to the time before a claim; the process best suited to
-	// own has the least.
-	patience time.Duration
-	// doubt is set while the outcome of a write is not known.
-	doubt bool
-	// skew is how far the two clocks were apart at the last check, checked what
-	// the counting one read then.
-	skew, checked time.Duration
-	// over names an incarnation that is known to have ended.
-	over core.SessionID
-	// suspect names an incarnation that does not answer this process.
-	suspect core.SessionID
-	// frozen is set after a suspension until the row has been confirmed.
-	frozen bool
+	// changedAt is when the present version was first seen, readAt when the row
+	// was last read.
+	changedAt, readAt time.Time
+	readFailedAt      time.Time
+	// storeClock is the store's clock as received at storeClockAt.
+	storeClock   time.Duration
+	storeClockAt time.Time
+	// claimDelay is added to the time before a claim; the process best suited
+	// to own the fleet has the shortest delay.
+	claimDelay time.Duration
+	// outcomeUnknown is set after a write without an answer until the row is read.
+	outcomeUnknown bool
+	// clockSkew is the difference between the two local clocks at the last call
+	// of CheckSuspension, checkedAt the boot time at that call.
+	clockSkew, checkedAt time.Duration
+	// endedHolder names an incarnation that is known to have ended.
+	endedHolder core.SessionID
+	// suspectHolder names an incarnation that does not answer this process.
+	suspectHolder core.SessionID
+	// suspended is set after a suspension until the record has been confirmed.
+	suspended bool
 }
 
-// New returns the view of a process that has not read the row yet. Patience
-// delays its claims.
-func New(me Record, patience time.Duration) *Election {
-	return &Election{me: me, state: machine.Start(), patience: patience}
+// New returns the view of a process that has not read the ownership record yet.
+// ClaimDelay is the time that it adds before each claim.
+func New(self Record, claimDelay time.Duration) *Election {
+	return &Election{self: self, state: machine.Start(), claimDelay: claimDelay}
 }
 
-func (r *Election) fire(ev chart.Event) {
-	// Every state of the chart decides every event without refusing any.
-	_ = machine.Fire(&r.state, ev, r)
+func (e *Election) fire(ev chart.Event) {
+	// The chart refuses no event in any state, so Fire returns no error.
+	_ = machine.Fire(&e.state, ev, e)
 }
 
-// Record returns the row as last seen, and its version.
-func (r *Election) Record() (Record, uint64) { return r.seat, r.version }
+// Record returns the ownership record as last seen, and its version.
+func (e *Election) Record() (Record, uint64) { return e.record, e.version }
 
 // State returns the name of the present state.
-func (r *Election) State() string { return machine.Name(r.state) }
+func (e *Election) State() string { return machine.Name(e.state) }
 
-// Owning reports whether the process decides.
-func (r *Election) Owning() bool { return r.state == owning }
+// Owning reports whether the process owns the fleet and has loaded its state.
+func (e *Election) Owning() bool { return e.state == stateOwning }
 
-// Loading reports whether the process has won and must read what is recorded.
-func (r *Election) Loading() bool { return r.state == loading }
+// Loading reports whether the process has won the election and must read the
+// stored jobs before it may make decisions.
+func (e *Election) Loading() bool { return e.state == stateLoading }
 
-// IsHolder reports whether the process holds the row.
-func (r *Election) IsHolder() bool { return r.state == owning || r.state == loading }
+// IsHolder reports whether the process is named in the ownership record.
+func (e *Election) IsHolder() bool { return e.state == stateOwning || e.state == stateLoading }
 
-// SetClaimDelay changes the delay of claims.
-func (r *Election) SetClaimDelay(p time.Duration) { r.patience = p }
+// SetClaimDelay sets the time that is added before each claim.
+func (e *Election) SetClaimDelay(d time.Duration) { e.claimDelay = d }
 
-// ReadFailed follows a look without result.
-func (r *Election) ReadFailed(now time.Time) { r.failed = now }
+// ReadFailed records that a read of the row has failed.
+func (e *Election) ReadFailed(now time.Time) { e.readFailedAt = now }
 
-// age returns how long the row has not changed, as far as is known.
-func (r *Election) age(now time.Time) time.Duration {
-	age := now.Sub(r.changed)
-	if r.seat.Stamp > 0 && now.Sub(r.failed) > dimmed {
-		age = max(age, r.clock-r.seat.Stamp)
+// recordAge returns the longest time for which the record is known to have been
+// unchanged.
+func (e *Election) recordAge(now time.Time) time.Duration {
+	age := now.Sub(e.changedAt)
+	if e.record.Stamp > 0 && now.Sub(e.readFailedAt) > readFailureWindow {
+		age = max(age, e.storeClock-e.record.Stamp)
 	}
 	return age
 }
 
-func (r *Election) setClock(now time.Time, clock time.Duration) {
+func (e *Election) setStoreClock(now time.Time, clock time.Duration) {
 	if clock > 0 {
-		r.clock, r.clockAt = clock, now
+		e.storeClock, e.storeClockAt = clock, now
 	}
 }
 
-// stamp estimates the store's clock.
-func (r *Election) stamp(now time.Time) time.Duration {
-	if r.clock == 0 {
+// estimateStoreClock returns 0 if the store's clock has not been read yet.
+func (e *Election) estimateStoreClock(now time.Time) time.Duration {
+	if e.storeClock == 0 {
 		return 0
 	}
-	return r.clock + now.Sub(r.clockAt)
+	return e.storeClock + now.Sub(e.storeClockAt)
 }
 
-// Observe takes in the row as read at a time. It reports whether the process
-// should claim now.
-func (r *Election) Observe(now time.Time, l Observation) bool {
-	s, version := l.Record, l.Version
-	if version < r.version {
+// Observe handles a successful read of the row. It reports whether the process
+// should write a claim now.
+func (e *Election) Observe(now time.Time, o Observation) bool {
+	rec, version := o.Record, o.Version
+	if version < e.version {
 		return false
 	}
-	r.setClock(now, l.Clock)
-	mine := s.Holder == r.me.Holder
-	// Whatever a write without an answer has done shows in the row.
-	r.doubt = false
-	if r.IsHolder() {
-		r.seat, r.version, r.looked = s, version, now
-		if !mine {
-			r.fire(lost)
-			r.changed = now
+	e.setStoreClock(now, o.Clock)
+	holdsRecord := rec.Holder == e.self.Holder
+	// The row shows whether a write without an answer has taken effect.
+	e.outcomeUnknown = false
+	if e.IsHolder() {
+		e.record, e.version, e.readAt = rec, version, now
+		if !holdsRecord {
+			e.fire(eventLost)
+			e.changedAt = now
 			return false
 		}
-		r.frozen = false
+		e.suspended = false
 		return false
 	}
-	if version != r.version || r.changed.IsZero() || now.Sub(r.looked) > blind {
-		r.changed = now
+	if version != e.version || e.changedAt.IsZero() || now.Sub(e.readAt) > maxReadGap {
+		e.changedAt = now
 	}
-	r.seat, r.version, r.looked = s, version, now
-	if mine && version > 0 {
+	e.record, e.version, e.readAt = rec, version, now
+	if holdsRecord && version > 0 {
 		// A claim without an answer has taken effect.
-		r.fire(won)
+		e.fire(eventWon)
 		return false
 	}
-	if r.state != watching {
+	if e.state != stateWatching {
 		return false
 	}
-	wait := r.patience
+	wait := e.claimDelay
 	switch {
-	case version == 0 || s.Holder == "":
-	case s.VM == r.me.VM || s.Holder == r.over:
-		// An address is bound by one process at a time: an earlier holder on
-		// this VM has ended.
-	case s.Holder == r.suspect:
+	case version == 0 || rec.Holder == "":
+	case rec.VM == e.self.VM || rec.Holder == e.endedHolder:
+		// Only one process at a time can bind the VM's address, so an earlier
+		// holder on this VM has ended.
+	case rec.Holder == e.suspectHolder:
 		wait += SuspectTTL
 	default:
 		wait += TTL
 	}
-	if r.age(now) < wait {
+	if e.recordAge(now) < wait {
 		return false
 	}
-	r.fire(vacant)
-	return r.state == claiming
+	e.fire(eventVacant)
+	return e.state == stateClaiming
 }
 
-// MarkEnded tells that an incarnation seems to have ended, so that its seat need not
-// be watched before a claim. A wrong hint does no harm but a change of owner:
-// workers obey the later one.
-func (r *Election) MarkEnded(holder core.SessionID) { r.over = holder }
+// MarkEnded records that an incarnation seems to have ended, so that its record
+// may be claimed without waiting for TTL. If it has not ended, the only effect
+// is a change of owner: workers obey the later epoch.
+func (e *Election) MarkEnded(holder core.SessionID) { e.endedHolder = holder }
 
-// MarkSuspect tells that an incarnation does not answer this process; an empty name
-// that the owner does.
-func (r *Election) MarkSuspect(holder core.SessionID) { r.suspect = holder }
+// MarkSuspect records that an incarnation does not answer this process. An empty
+// name means that the owner answers.
+func (e *Election) MarkSuspect(holder core.SessionID) { e.suspectHolder = holder }
 
 // HolderSuspect reports whether the holder seems to have ended or does not answer.
-func (r *Election) HolderSuspect() bool {
-	return r.seat.Holder != "" && (r.seat.Holder == r.over || r.seat.Holder == r.suspect)
+func (e *Election) HolderSuspect() bool {
+	return e.record.Holder != "" && (e.record.Holder == e.endedHolder || e.record.Holder == e.suspectHolder)
 }
 
-// Superseded follows the news of a later owner.
-func (r *Election) Superseded() {
-	if r.IsHolder() {
-		r.fire(lost)
-		r.changed = time.Time{}
+// Superseded gives up ownership, if held, because a later owner is known.
+func (e *Election) Superseded() {
+	if e.IsHolder() {
+		e.fire(eventLost)
+		e.changedAt = time.Time{}
 	}
 }
 
-// NextRecord returns the row to write next: a claim or a renewal.
-func (r *Election) NextRecord(now time.Time) (Record, uint64) {
-	s := r.me
-	s.Stamp = r.stamp(now)
-	s.Epoch, s.Beat = r.seat.Epoch, r.seat.Beat+1
-	if !r.IsHolder() {
-		s.Epoch, s.Beat = r.seat.Epoch+1, 1
+// NextRecord returns the record to write next, a claim or a renewal, and the
+// version that the row must still have.
+func (e *Election) NextRecord(now time.Time) (Record, uint64) {
+	rec := e.self
+	rec.Stamp = e.estimateStoreClock(now)
+	rec.Epoch, rec.Beat = e.record.Epoch, e.record.Beat+1
+	if !e.IsHolder() {
+		rec.Epoch, rec.Beat = e.record.Epoch+1, 1
 	}
-	return s, r.version
+	return rec, e.version
 }
 
-// ResignRecord returns the row that frees the seat for others.
-func (r *Election) ResignRecord() (Record, uint64) {
-	s := r.seat
-	s.Holder, s.Beat = "", r.seat.Beat+1
-	return s, r.version
+// ResignRecord returns the record that lets other processes claim at once, and
+// the version that the row must still have.
+func (e *Election) ResignRecord() (Record, uint64) {
+	rec := e.record
+	rec.Holder, rec.Beat = "", e.record.Beat+1
+	return rec, e.version
 }
 
-// WriteSucceeded follows a write that has taken effect; clock is the store's.
-func (r *Election) WriteSucceeded(now time.Time, s Record, version uint64, clock time.Duration) {
-	r.setClock(now, clock)
-	r.seat, r.version, r.looked, r.changed, r.doubt, r.frozen = s, version, now, now, false, false
-	r.fire(won)
+// WriteSucceeded handles a write that has taken effect. Version is the row's new
+// version, storeClock the store's clock.
+func (e *Election) WriteSucceeded(now time.Time, rec Record, version uint64, storeClock time.Duration) {
+	e.setStoreClock(now, storeClock)
+	e.record, e.version, e.readAt, e.changedAt, e.outcomeUnknown, e.suspended = rec, version, now, now, false, false
+	e.fire(eventWon)
 }
 
-// WriteConflicted follows a write whose condition failed.
-func (r *Election) WriteConflicted() {
-	r.fire(lost)
-	r.changed = time.Time{}
+// WriteConflicted handles a write that failed because the row had changed.
+func (e *Election) WriteConflicted() {
+	e.fire(eventLost)
+	e.changedAt = time.Time{}
 }
 
-// WriteUnknown follows a write without an answer; the row must be read before the
-// next one.
-func (r *Election) WriteUnknown() {
-	r.doubt = true
-	r.fire(failed)
+// WriteUnknown handles a write without an answer. The row must be read before the
+// next write.
+func (e *Election) WriteUnknown() {
+	e.outcomeUnknown = true
+	e.fire(eventFailed)
 }
 
-// WriteRefused follows a write that surely has not taken effect.
-func (r *Election) WriteRefused() { r.fire(failed) }
+// WriteRefused handles a write that is known not to have taken effect.
+func (e *Election) WriteRefused() { e.fire(eventFailed) }
 
-// MustRead reports whether the row must be read again before it is written.
-func (r *Election) MustRead() bool { return r.doubt }
+// MustRead reports whether the row must be read before the next write.
+func (e *Election) MustRead() bool { return e.outcomeUnknown }
 
-// StateLoaded follows the end of reading what is recorded.
-func (r *Election) StateLoaded() { r.fire(loaded) }
+// StateLoaded marks the stored jobs as read, so that a new owner may make
+// decisions.
+func (e *Election) StateLoaded() { e.fire(eventLoaded) }
 
-// Drain ends all claims of a process that is stopping.
-func (r *Election) Drain() { r.fire(leave) }
+// Drain ends the process's part in the election: it claims nothing from now on.
+func (e *Election) Drain() { e.fire(eventLeave) }
 
-// CheckSuspension compares the time since start on a clock that counts suspended time
-// with that on one that does not. It reports whether orders may be sent: after
-// a suspension, or when the process has been stopped for long enough that others
-// may have claimed, the row must be confirmed first.
-func (r *Election) CheckSuspension(counting, steady time.Duration) bool {
-	skew := counting - steady
-	stalled := r.checked > 0 && counting-r.checked > SuspectTTL
-	if (skew-r.skew > thaw || stalled) && r.IsHolder() {
-		r.frozen = true
+// CheckSuspension compares bootTime, which counts suspended time, with monotonic,
+// which does not. It reports whether orders may be sent. After a suspension, or if
+// the process was stopped for so long that others may have claimed, an owner must
+// confirm its record first.
+func (e *Election) CheckSuspension(bootTime, monotonic time.Duration) bool {
+	skew := bootTime - monotonic
+	stalled := e.checkedAt > 0 && bootTime-e.checkedAt > SuspectTTL
+	if (skew-e.clockSkew > suspendTolerance || stalled) && e.IsHolder() {
+		e.suspended = true
 	}
-	r.skew, r.checked = skew, counting
-	return !r.frozen
+	e.clockSkew, e.checkedAt = skew, bootTime
+	return !e.suspended
 }
 
-// Suspended reports whether the row must be confirmed after a suspension or a stop.
-func (r *Election) Suspended() bool { return r.frozen }
+// Suspended reports whether the owner must confirm its record after a suspension
+// or a stop.
+func (e *Election) Suspended() bool { return e.suspended }
--- a/core/elect/election_test.go
+++ b/core/elect/election_test.go
@@ -9,106 +9,112 @@
 	"chicoryturn/core/elect"
 )
 
-var dawn = time.Date(2026, 12, 4, 6, 0, 0, 0, time.UTC)
+var start = time.Date(2026, 12, 4, 6, 0, 0, 0, time.UTC)
 
-func at(ms int) time.Time { return dawn.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func newReign() *elect.Election {
+func newElection() *elect.Election {
 	return elect.New(elect.Record{Holder: "vm-a/1", VM: "vm-a"}, 0)
 }
 
-// newOwner is a process that owns the fleet since 10 ms, with its row, which has
-// version 7.
+// newOwner returns a process that has owned the fleet since 10 ms after start, and
+// its record, which has version 7.
 func newOwner() (*elect.Election, elect.Record) {
-	r := newReign()
-	r.Observe(at(0), elect.Observation{Record: elect.Record{}, Version: 0})
-	s, _ := r.NextRecord(dawn)
-	r.WriteSucceeded(at(10), s, 7, 0)
-	r.StateLoaded()
-	return r, s
+	e := newElection()
+	e.Observe(at(0), elect.Observation{Record: elect.Record{}, Version: 0})
+	rec, _ := e.NextRecord(start)
+	e.WriteSucceeded(at(10), rec, 7, 0)
+	e.StateLoaded()
+	return e, rec
 }
 
-// other is the seat of another process.
-func other(beat int) elect.Record {
+// otherRecord is the ownership record of another process.
+func otherRecord(beat int) elect.Record {
 	return elect.Record{Holder: "vm-b/1", VM: "vm-b", Epoch: 3, Beat: uint64(beat)}
 }
 
-func TestClaimOfEmptySeat(t *testing.T) {
+func TestClaimWithoutRecord(t *testing.T) {
 	is := is.New(t)
-	r := newReign()
-	is.True(r.Observe(at(0), elect.Observation{Record: elect.Record{}, Version: 0}))
-	s, version := r.NextRecord(dawn)
+	e := newElection()
+	is.True(e.Observe(at(0), elect.Observation{Record: elect.Record{}, Version: 0}))
+	rec, version := e.NextRecord(start)
 	is.Equal(version, uint64(0))
-	is.Equal(uint64(s.Epoch), uint64(1))
-	r.WriteSucceeded(at(10), s, 7, 0)
-	is.True(r.Loading())
-	r.StateLoaded()
-	is.True(r.Owning())
+	is.Equal(uint64(rec.Epoch), uint64(1))
+	e.WriteSucceeded(at(10), rec, 7, 0)
+	is.True(e.Loading())
+	e.StateLoaded()
+	is.True(e.Owning())
 }
 
-// TestWatch has rows: when the seat was looked at, its version, and whether the
-// process claims.
-func TestWatch(t *testing.T) {
-	type look struct {
+// TestClaimAfterTTL checks that a process claims only a record that it has seen
+// unchanged for TTL without a gap in its reads. The rows of each case are reads:
+// their time, the version read, and whether the process must claim.
+func TestClaimAfterTTL(t *testing.T) {
+	type read struct {
 		ms      int
 		version uint64
 		claim   bool
 	}
-	for name, looks := range map[string][]look{
-		"renewed":         {{0, 1, false}, {700, 2, false}, {1400, 3, false}, {2100, 4, false}, {2800, 5, false}},
-		"silent":          {{0, 1, false}, {700, 1, false}, {1400, 1, false}, {2100, 1, false}, {2600, 1, true}},
-		"not looked at":   {{0, 1, false}, {2600, 1, false}, {3300, 1, false}, {4000, 1, false}, {4700, 1, false}, {5200, 1, true}},
-		"renewed at last": {{0, 1, false}, {1400, 1, false}, {2400, 2, false}, {3000, 2, false}},
+	for name, reads := range map[string][]read{
+		"renewed":          {{0, 1, false}, {700, 2, false}, {1400, 3, false}, {2100, 4, false}, {2800, 5, false}},
+		"not renewed":      {{0, 1, false}, {700, 1, false}, {1400, 1, false}, {2100, 1, false}, {2600, 1, true}},
+		"gap in the reads": {{0, 1, false}, {2600, 1, false}, {3300, 1, false}, {4000, 1, false}, {4700, 1, false}, {5200, 1, true}},
+		"renewed late":     {{0, 1, false}, {1400, 1, false}, {2400, 2, false}, {3000, 2, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := newReign()
-			for _, l := range looks {
-				is.Equal(r.Observe(at(l.ms), elect.Observation{Record: other(int(l.version)), Version: l.version}), l.claim)
+			e := newElection()
+			for _, r := range reads {
+				is.Equal(e.Observe(at(r.ms), elect.Observation{Record: otherRecord(int(r.version)), Version: r.version}), r.claim)
 			}
 		})
 	}
 }
 
-func TestHints(t *testing.T) {
+// TestClaimBeforeTTL checks that a process claims sooner than after TTL if the holder
+// does not answer its peers, has ended, or ran on the same VM.
+func TestClaimBeforeTTL(t *testing.T) {
 	is := is.New(t)
-	r := newReign()
-	is.True(!r.Observe(at(0), elect.Observation{Record: other(1), Version: 1}))
-	r.MarkSuspect("vm-b/1")
-	is.True(!r.Observe(at(700), elect.Observation{Record: other(1), Version: 1}))
-	is.True(!r.Observe(at(1100), elect.Observation{Record: other(1), Version: 1}))
-	is.True(r.Observe(at(1300), elect.Observation{Record: other(1), Version: 1})) // it answers neither the store nor its peers
-
-	r = newReign()
-	is.True(!r.Observe(at(0), elect.Observation{Record: other(1), Version: 1}))
-	r.MarkEnded("vm-b/1")
-	is.True(r.Observe(at(100), elect.Observation{Record: other(1), Version: 1}))
-
-	r = newReign()
-	// An earlier incarnation on this VM cannot live.
-	is.True(r.Observe(at(0), elect.Observation{Record: elect.Record{Holder: "vm-a/0", VM: "vm-a", Epoch: 3}, Version: 1}))
+	e := newElection()
+	is.True(!e.Observe(at(0), elect.Observation{Record: otherRecord(1), Version: 1}))
+	e.MarkSuspect("vm-b/1")
+	is.True(!e.Observe(at(700), elect.Observation{Record: otherRecord(1), Version: 1}))
+	is.True(!e.Observe(at(1100), elect.Observation{Record: otherRecord(1), Version: 1}))
+	is.True(e.Observe(at(1300), elect.Observation{Record: otherRecord(1), Version: 1})) // the holder neither renews its record nor answers its peers
+
+	e = newElection()
+	is.True(!e.Observe(at(0), elect.Observation{Record: otherRecord(1), Version: 1}))
+	e.MarkEnded("vm-b/1")
+	is.True(e.Observe(at(100), elect.Observation{Record: otherRecord(1), Version: 1}))
+
+	e = newElection()
+	// An earlier incarnation on the same VM has ended.
+	is.True(e.Observe(at(0), elect.Observation{Record: elect.Record{Holder: "vm-a/0", VM: "vm-a", Epoch: 3}, Version: 1}))
 }
 
-func TestLostAnswer(t *testing.T) {
+// TestUnansweredWrite checks that a read shows whether a write without an answer has
+// taken effect.
+func TestUnansweredWrite(t *testing.T) {
 	is := is.New(t)
-	r := newReign()
-	is.True(r.Observe(at(0), elect.Observation{Record: elect.Record{}, Version: 0}))
-	s, _ := r.NextRecord(dawn)
-	r.WriteUnknown()
-	is.True(r.MustRead())
-	// The claim took effect after all.
-	is.True(!r.Observe(at(100), elect.Observation{Record: s, Version: 5}))
-	is.True(r.Loading())
-	r.StateLoaded()
-	// A renewal without answer; meanwhile another process has claimed.
-	r.WriteUnknown()
-	is.True(!r.Observe(at(200), elect.Observation{Record: other(1), Version: 9}))
-	is.True(!r.IsHolder())
+	e := newElection()
+	is.True(e.Observe(at(0), elect.Observation{Record: elect.Record{}, Version: 0}))
+	rec, _ := e.NextRecord(start)
+	e.WriteUnknown()
+	is.True(e.MustRead())
+	// The claim took effect although its answer was lost.
+	is.True(!e.Observe(at(100), elect.Observation{Record: rec, Version: 5}))
+	is.True(e.Loading())
+	e.StateLoaded()
+	// A renewal has no answer, and another process has claimed meanwhile.
+	e.WriteUnknown()
+	is.True(!e.Observe(at(200), elect.Observation{Record: otherRecord(1), Version: 9}))
+	is.True(!e.IsHolder())
 }
 
-// TestStamp has rows: the age of the row by the store's clock, whether a look
-// has failed lately, whether the owner is suspected, and whether one look is
-// enough for a claim.
+// TestStamp checks that one read is enough for a claim if the record is old by the
+// store's clock. Cases: the age of the record by that clock, whether a read has
+// failed within the last seconds, whether the holder is suspected, and whether the
+// process must claim.
 func TestStamp(t *testing.T) {
 	for name, c := range map[string]struct {
 		age             time.Duration
@@ -124,61 +130,63 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := newReign()
+			e := newElection()
 			if c.failed {
-				r.ReadFailed(at(9000))
+				e.ReadFailed(at(9000))
 			}
 			if c.suspect {
-				r.MarkSuspect("vm-b/1")
+				e.MarkSuspect("vm-b/1")
 			}
-			s := other(1)
-			s.Stamp = time.Minute
-			is.Equal(r.Observe(at(10000), elect.Observation{Record: s, Version: 5, Clock: s.Stamp + c.age}), c.claim)
+			rec := otherRecord(1)
+			rec.Stamp = time.Minute
+			is.Equal(e.Observe(at(10000), elect.Observation{Record: rec, Version: 5, Clock: rec.Stamp + c.age}), c.claim)
 		})
 	}
 }
 
-// TestStaleRead plays answers that overtake one another: an older row changes
-// nothing.
+// TestStaleRead checks that a read that arrives after a newer version of the row is
+// ignored.
 func TestStaleRead(t *testing.T) {
 	is := is.New(t)
-	r, _ := newOwner()
-	is.True(!r.Observe(at(20), elect.Observation{Record: other(1), Version: 6}))
-	is.True(r.Owning())
+	e, _ := newOwner()
+	is.True(!e.Observe(at(20), elect.Observation{Record: otherRecord(1), Version: 6}))
+	is.True(e.Owning())
 }
 
+// TestSuspension checks that a suspended owner may send no orders until it has
+// confirmed its record.
 func TestSuspension(t *testing.T) {
 	is := is.New(t)
-	r, s := newOwner()
-	is.True(r.CheckSuspension(time.Second, time.Second))
-	is.True(!r.CheckSuspension(5*time.Second, 2*time.Second))
-	is.True(!r.CheckSuspension(6*time.Second, 3*time.Second)) // until the row is confirmed
-	r.Observe(at(3000), elect.Observation{Record: s, Version: 7})
-	is.True(r.CheckSuspension(7*time.Second, 4*time.Second))
+	e, rec := newOwner()
+	is.True(e.CheckSuspension(time.Second, time.Second))
+	is.True(!e.CheckSuspension(5*time.Second, 2*time.Second))
+	is.True(!e.CheckSuspension(6*time.Second, 3*time.Second)) // the record has not been confirmed yet
+	e.Observe(at(3000), elect.Observation{Record: rec, Version: 7})
+	is.True(e.CheckSuspension(7*time.Second, 4*time.Second))
 }
 
-// TestStall plays an owner that was stopped while both clocks went on: others may
-// have claimed meanwhile.
+// TestStall checks an owner that was stopped while both clocks advanced: other
+// processes may have claimed meanwhile, so it must confirm its record.
 func TestStall(t *testing.T) {
 	is := is.New(t)
-	r, s := newOwner()
-	is.True(r.CheckSuspension(time.Hour, time.Hour))
-	is.True(r.CheckSuspension(time.Hour+700*time.Millisecond, time.Hour+700*time.Millisecond)) // its usual pause
-	is.True(!r.CheckSuspension(time.Hour+3*time.Second, time.Hour+3*time.Second))
-	r.WriteSucceeded(at(3100), s, 8, 0)
-	is.True(r.CheckSuspension(time.Hour+3100*time.Millisecond, time.Hour+3100*time.Millisecond))
+	e, rec := newOwner()
+	is.True(e.CheckSuspension(time.Hour, time.Hour))
+	is.True(e.CheckSuspension(time.Hour+700*time.Millisecond, time.Hour+700*time.Millisecond)) // the usual interval
+	is.True(!e.CheckSuspension(time.Hour+3*time.Second, time.Hour+3*time.Second))
+	e.WriteSucceeded(at(3100), rec, 8, 0)
+	is.True(e.CheckSuspension(time.Hour+3100*time.Millisecond, time.Hour+3100*time.Millisecond))
 }
 
-func TestResignedSeat(t *testing.T) {
+func TestClaimAfterResignation(t *testing.T) {
 	is := is.New(t)
-	r := newReign()
-	free := other(9)
+	e := newElection()
+	free := otherRecord(9)
 	free.Holder = ""
-	is.True(r.Observe(at(0), elect.Observation{Record: free, Version: 4}))
-	s, version := r.NextRecord(dawn)
+	is.True(e.Observe(at(0), elect.Observation{Record: free, Version: 4}))
+	rec, version := e.NextRecord(start)
 	is.Equal(version, uint64(4))
-	is.Equal(uint64(s.Epoch), uint64(4))
-	r.WriteConflicted()
-	r.Drain()
-	is.True(!r.Observe(at(100), elect.Observation{Record: free, Version: 5})) // a process that is stopping claims nothing
+	is.Equal(uint64(rec.Epoch), uint64(4))
+	e.WriteConflicted()
+	e.Drain()
+	is.True(!e.Observe(at(100), elect.Observation{Record: free, Version: 5})) // a draining process does not claim
 }
