--- a/core/jobs/jobs.go
+++ b/core/jobs/jobs.go
@@ -1,5 +1,5 @@
-// Package jobs describes jobs of phases: what a client asks for, the names of
-// its tasks, and the progress that is recorded.
+// Package jobs describes jobs and their phases: the specification that a client
+// submits, the names of the tasks, and the progress that is stored.
 package jobs
 
 import (
@@ -15,79 +15,84 @@
 const (
 	// maxTasks bounds the tasks of one job, over all its occurrences.
 	maxTasks = 100_000
-	// maxText bounds the text handed to each task, in bytes.
-	maxText = 4000
+	// maxPayload bounds the payload of a job, in bytes.
+	maxPayload = 4000
 )
 
-// SpecError reports a job that cannot be accepted.
+// SpecError says why a job cannot be accepted.
 type SpecError struct{ Reason string }
 
 // Error implements error.
 func (e *SpecError) Error() string { return "job: " + e.Reason }
 
-// Phase is a set of like tasks.
+// Phase is a set of identical tasks.
 type Phase struct {
-	// Count is at least 1.
+	// Count is the number of tasks; it is at least 1.
 	Count int
-	// Need is what each task takes of a worker's room.
+	// Need is the room that each task takes on a worker.
 	Need core.Resources
-	// Estimate is a rough run time; it may be far off.
+	// Estimate is the client's estimate of a task's run time; it may be far off.
 	Estimate time.Duration `json:",omitempty"`
-	// After lists earlier phases that must have ended well before.
+	// After lists the indexes of earlier phases that must complete before this one
+	// starts.
 	After []int `json:",omitempty"`
-	// Gang tasks start together and end together.
+	// Gang is set if all tasks must start together and end together.
 	Gang bool `json:",omitempty"`
-	// SameRack tasks run slower if spread over racks.
+	// SameRack is set if the tasks run slower when spread over several racks.
 	SameRack bool `json:",omitempty"`
-	// Checkpoints is set for tasks that write checkpoints.
+	// Checkpoints is set if the tasks write checkpoints.
 	Checkpoints bool `json:"Saves,omitempty"`
-	// Speculative may run side by side; the first that ends counts.
+	// Speculative is set if several runs of a task may be active at once; the first
+	// to end counts.
 	Speculative bool `json:"Copies,omitempty"`
-	// LongRunning is set for tasks that run until the job is cancelled.
+	// LongRunning is set if the tasks run until the job is cancelled.
 	LongRunning bool `json:"Lasts,omitempty"`
-	// Filler is set for tasks that take only what others leave unused.
+	// Filler is set if the tasks use only room that no other work needs.
 	Filler bool `json:"Fills,omitempty"`
-	// Label is one that the worker must have; empty means any worker.
+	// Label is a label that the worker must have; empty means any worker.
 	Label string `json:",omitempty"`
-	// Rack holds the data; tasks run slower elsewhere.
+	// Rack is the rack that holds the tasks' data; they run slower on other racks.
 	Rack string `json:",omitempty"`
-	// PerWorker bounds the tasks of the phase on one worker; 0 means no bound.
+	// PerWorker bounds the tasks of the phase on one worker; 0 means no limit.
 	PerWorker int `json:",omitempty"`
-	// Image names what the tasks run.
+	// Image names the program image that the tasks run.
 	Image string `json:",omitempty"`
-	// LatencyTarget is the latency bound of tasks that serve users.
+	// LatencyTarget bounds the latency of tasks that serve users.
 	LatencyTarget time.Duration `json:"Target,omitempty"`
-	// DisruptionBudget is how many lasting tasks the scheduler may take down at once; it
-	// is absent if the client has set no budget.
+	// DisruptionBudget is how many long-running tasks the scheduler may stop at once;
+	// it is nil if the client has set no budget.
 	DisruptionBudget *int `json:"MayMiss,omitempty"`
 }
 
-// Spec is an accepted job as it is recorded. It never changes.
+// Spec is an accepted job as it is stored. It is immutable.
 type Spec struct {
 	ID    core.JobID
 	Team  core.Team
 	Queue core.Queue
-	// Payload is handed to every task as it is.
+	// Payload is passed to every task unchanged.
 	Payload string `json:"Text"`
 	Phases  []Phase
-	// Repeat is how often the phases run; 0 means once, at once.
-	Repeat int           `json:",omitempty"`
-	First  time.Time     `json:",omitzero"`
-	Every  time.Duration `json:",omitempty"`
-	// Accepted is the wall clock of the VM that accepted the job.
+	// Repeat is the number of occurrences of a repeated job; 0 means that the phases
+	// run once and may start at once.
+	Repeat int `json:",omitempty"`
+	// First is when the first occurrence of a repeated job may start, Every the time
+	// between two occurrences.
+	First time.Time     `json:",omitzero"`
+	Every time.Duration `json:",omitempty"`
+	// Accepted is when the job was accepted, by the clock of the VM that accepted it.
 	Accepted time.Time `json:"Sent"`
-	// FirstEpoch is the epoch of the first owner that may start any of the job: the VM
-	// that accepted it knew of that owner before it recorded the job.
+	// FirstEpoch is the epoch of the first owner that may start tasks of the job: the
+	// VM that accepted the job knew that owner before it stored the job.
 	FirstEpoch core.Epoch `json:"From,omitempty"`
 }
 
 // Validate reports why a job cannot be accepted.
 func (s *Spec) Validate() error {
-	if len(s.Payload) > maxText {
-		return &SpecError{fmt.Sprintf("the text has %d bytes of at most %d", len(s.Payload), maxText)}
+	if len(s.Payload) > maxPayload {
+		return &SpecError{fmt.Sprintf("payload of %d bytes exceeds the limit of %d", len(s.Payload), maxPayload)}
 	}
 	if len(s.Phases) == 0 {
-		return &SpecError{"there is no phase"}
+		return &SpecError{"no phase is defined"}
 	}
 	if s.Repeat < 0 || s.Every < 0 {
 		return &SpecError{"the number of occurrences or their interval is negative"}
@@ -95,25 +100,25 @@
 	total := 0
 	for i, p := range s.Phases {
 		if p.Count < 1 || p.Count > maxTasks {
-			return &SpecError{fmt.Sprintf("phase %d has %d tasks", i, p.Count)}
+			return &SpecError{fmt.Sprintf("phase %d has an invalid number of tasks: %d", i, p.Count)}
 		}
 		if p.Need.Cores < 0 || p.Need.Memory < 0 || p.Need.Accel < 0 || p.PerWorker < 0 {
-			return &SpecError{fmt.Sprintf("phase %d asks for a negative amount", i)}
+			return &SpecError{fmt.Sprintf("phase %d has a negative resource amount or a negative number of tasks per worker", i)}
 		}
 		for _, a := range p.After {
 			if a < 0 || a >= i {
-				return &SpecError{fmt.Sprintf("phase %d waits for phase %d, which is not an earlier one", i, a)}
+				return &SpecError{fmt.Sprintf("phase %d depends on phase %d, which is not an earlier phase", i, a)}
 			}
 		}
 		total += p.Count
 	}
 	if n := total * s.Occurrences(); n > maxTasks {
-		return &SpecError{fmt.Sprintf("the job has %d tasks of at most %d", n, maxTasks)}
+		return &SpecError{fmt.Sprintf("%d tasks exceed the limit of %d", n, maxTasks)}
 	}
 	return nil
 }
 
-// Occurrences returns how often the phases run; it is at least 1.
+// Occurrences returns how often the phases run, which is at least once.
 func (s *Spec) Occurrences() int { return max(s.Repeat, 1) }
 
 // Due returns when an occurrence may start; zero means at once.
@@ -124,8 +129,8 @@
 	return s.First.Add(time.Duration(occurrence) * s.Every)
 }
 
-// CriticalPath returns the longest chain of estimated run times, with extra added for
-// each phase.
+// CriticalPath returns the estimated run time of the longest chain of dependent
+// phases, with extra added to each phase.
 func (s *Spec) CriticalPath(extra time.Duration) time.Duration {
 	ends := make([]time.Duration, len(s.Phases))
 	longest := time.Duration(0)
@@ -175,7 +180,7 @@
 	return TaskID{PhaseID{core.JobID(parts[0]), n[0], n[1]}, n[2]}, true
 }
 
-// State is how a job is shown to its client.
+// State is a job's state as clients see it.
 type State string
 
 // The states of a job.
@@ -187,50 +192,50 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether a job in this state never changes again.
+// Final reports whether the state is one in which a job stays.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// Progress is what is recorded of a job beside its spec.
+// Progress is the part of a job that changes and is stored next to its Spec.
 type Progress struct {
 	Job core.JobID
-	// State is set once it is final.
+	// State is empty until it is final.
 	State State `json:",omitempty"`
-	// Done holds a bit for each task that has ended well, in order of
-	// occurrence, phase and index.
+	// Done has one bit for each task, ordered by occurrence, phase and index. The
+	// bit is set once the task is done.
 	Done []byte `json:",omitempty"`
-	// FailedRuns holds the numbers of the failed runs of tasks by their position in
-	// Done; those of a gang are kept at its first task. A run is kept once,
-	// however often a worker reports its end.
+	// FailedRuns maps a task's position in Done to the numbers of its failed runs.
+	// The failed runs of a gang are kept at its first task. Each run is kept once,
+	// even if a worker reports its end several times.
 	FailedRuns map[int][]uint64 `json:"Fails,omitempty"`
 }
 
-// SetDone marks the task at a position.
-func (p *Progress) SetDone(at int) {
-	for len(p.Done) <= at/8 {
+// SetDone marks the task at a position in Done as done.
+func (p *Progress) SetDone(position int) {
+	for len(p.Done) <= position/8 {
 		p.Done = append(p.Done, 0)
 	}
-	p.Done[at/8] |= 1 << (at % 8)
+	p.Done[position/8] |= 1 << (position % 8)
 }
 
-// IsDone reports whether the task at a position has ended well.
-func (p *Progress) IsDone(at int) bool {
-	return at/8 < len(p.Done) && p.Done[at/8]&(1<<(at%8)) != 0
+// IsDone reports whether the task at a position in Done is done.
+func (p *Progress) IsDone(position int) bool {
+	return position/8 < len(p.Done) && p.Done[position/8]&(1<<(position%8)) != 0
 }
 
-// AddFailedRun keeps a failed run of the task at a position and reports whether it
-// was not known yet.
-func (p *Progress) AddFailedRun(at int, run uint64) bool {
-	if slices.Contains(p.FailedRuns[at], run) {
+// AddFailedRun adds a failed run of the task at a position in Done and reports
+// whether it is new.
+func (p *Progress) AddFailedRun(position int, run uint64) bool {
+	if slices.Contains(p.FailedRuns[position], run) {
 		return false
 	}
 	if p.FailedRuns == nil {
 		p.FailedRuns = map[int][]uint64{}
 	}
-	p.FailedRuns[at] = append(p.FailedRuns[at], run)
+	p.FailedRuns[position] = append(p.FailedRuns[position], run)
 	return true
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (p *Progress) Clone() Progress {
 	c := Progress{Job: p.Job, State: p.State, Done: append([]byte(nil), p.Done...)}
 	if len(p.FailedRuns) > 0 {
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease decides how long a right holds when only the holder's own
-// monotonic clock can be trusted.
+// Package lease decides how long the holder of a lease may rely on it when only
+// the holder's own monotonic clock can be trusted.
 package lease
 
 import "time"
@@ -9,52 +9,56 @@
 
 // Lease is a right that its holder must renew.
 type Lease struct {
-	// sent is when the newest successful renewal was sent, not answered.
-	sent time.Time
-	// until is never moved back except by Drop.
+	// renewedAt is when the newest successful renewal was sent, not when it was
+	// answered.
+	renewedAt time.Time
+	// until is moved back only by Release.
 	until time.Time
-	// looked is the last time the holder checked the lease.
-	looked time.Time
-	// gap is the longest time between two checks that is not a pause.
-	gap time.Duration
+	// checkedAt is the time of the last call of Valid.
+	checkedAt time.Time
+	// maxGap is the longest time between two calls of Valid for which the process
+	// does not count as suspended.
+	maxGap time.Duration
 }
 
-// New returns a lease that holds nothing yet.
-func New(gap time.Duration) *Lease { return &Lease{gap: gap} }
+// New returns a lease that has not been granted yet. A process that does not call
+// Valid for longer than maxGap loses the lease.
+func New(maxGap time.Duration) *Lease { return &Lease{maxGap: maxGap} }
 
-// Renew extends the lease from the time at which the renewal was sent.
+// Renew extends the lease to ttl after the time at which the renewal was sent.
 func (l *Lease) Renew(sent time.Time, ttl time.Duration) {
-	if sent.After(l.sent) {
-		l.sent = sent
+	if sent.After(l.renewedAt) {
+		l.renewedAt = sent
 	}
 	if until := sent.Add(ttl); until.After(l.until) {
 		l.until = until
 	}
 }
 
-// Release gives the right up at once.
+// Release ends the lease at once.
 func (l *Lease) Release() { l.until = time.Time{} }
 
 // Until returns when the lease ends unless renewed.
 func (l *Lease) Until() time.Time { return l.until }
 
-// Valid reports whether the right may be used now. A wall clock that moved
-// further than the monotonic one, or a gap between checks longer than allowed,
-// is a pause: the lease counts as lapsed.
+// Valid reports whether the lease holds now. It releases the lease if the process
+// seems to have been suspended since the last call: either more than maxGap has
+// passed, or the wall clock has advanced more than maxGap further than the
+// monotonic clock.
 func (l *Lease) Valid(now time.Time) bool {
-	if !l.looked.IsZero() {
-		mono := now.Sub(l.looked)
-		wall := now.Round(0).Sub(l.looked.Round(0))
-		if mono > l.gap || wall-mono > l.gap {
+	if !l.checkedAt.IsZero() {
+		monotonic := now.Sub(l.checkedAt)
+		wall := now.Round(0).Sub(l.checkedAt.Round(0))
+		if monotonic > l.maxGap || wall-monotonic > l.maxGap {
 			l.Release()
 		}
 	}
-	l.looked = now
+	l.checkedAt = now
 	return now.Before(l.until)
 }
 
 // Lapsed reports whether a lease of another holder, last seen renewed at seen,
-// has surely ended on the holder's clock.
+// has ended on the holder's clock even if that clock is slow by DriftPercent.
 func Lapsed(seen, now time.Time, ttl time.Duration) bool {
 	return now.Sub(seen) > ttl+ttl*DriftPercent/100
 }
--- a/core/place/index.go
+++ b/core/place/index.go
@@ -8,93 +8,96 @@
 )
 
 const (
-	// degree is that of the trees; 32 keeps a node within a few cache lines.
-	degree = 32
-	// looks bounds the workers examined for one task.
-	looks = 48
-	// deepLooks bounds them when none of the first ones has fitted.
-	deepLooks = 2048
+	// A treeDegree of 32 keeps a tree node within a few cache lines.
+	treeDegree = 32
+	// scanLimit bounds the workers examined for one task.
+	scanLimit = 48
+	// deepScanLimit replaces scanLimit while no examined worker fits.
+	deepScanLimit = 2048
 )
 
-type node struct {
-	cores int64
-	id    core.WorkerID
-	room  *room
+// entry is a worker in a tree, ordered by its free cores.
+type entry struct {
+	cores    int64
+	id       core.WorkerID
+	capacity *capacity
 }
 
-type room struct {
+type capacity struct {
 	free, total core.Resources
 }
 
-func less(a, b node) bool {
+func less(a, b entry) bool {
 	if a.cores != b.cores {
 		return a.cores < b.cores
 	}
 	return a.id < b.id
 }
 
-// Index orders workers by free cores. Workers with accelerators are kept
-// apart, so that plain tasks use them only when nothing else has room.
+// Index orders workers by free cores. Workers with accelerators are in a tree of
+// their own, so that tasks that need no accelerator use them only if no other
+// worker has room.
 type Index struct {
-	plain, accel *btree.BTreeG[node]
-	rooms        map[core.WorkerID]*room
+	plain, accel *btree.BTreeG[entry]
+	workers      map[core.WorkerID]*capacity
 	free, total  core.Resources
 }
 
 // New returns an empty index.
 func New() *Index {
 	return &Index{
-		plain: btree.NewG(degree, less),
-		accel: btree.NewG(degree, less),
-		rooms: map[core.WorkerID]*room{},
+		plain:   btree.NewG(treeDegree, less),
+		accel:   btree.NewG(treeDegree, less),
+		workers: map[core.WorkerID]*capacity{},
 	}
 }
 
-func (x *Index) tree(r *room) *btree.BTreeG[node] {
-	if r.total.Accel > 0 {
+func (x *Index) tree(c *capacity) *btree.BTreeG[entry] {
+	if c.total.Accel > 0 {
 		return x.accel
 	}
 	return x.plain
 }
 
-// Put sets a worker's free and total room.
+// Put adds a worker or updates its free and total room.
 func (x *Index) Put(id core.WorkerID, free, total core.Resources) {
-	if r, ok := x.rooms[id]; ok && r.total == total {
-		x.tree(r).Delete(node{r.free.Cores, id, r})
-		x.free = x.free.Sub(r.free).Add(free)
-		r.free = free
-		x.tree(r).ReplaceOrInsert(node{free.Cores, id, r})
+	if c, ok := x.workers[id]; ok && c.total == total {
+		x.tree(c).Delete(entry{c.free.Cores, id, c})
+		x.free = x.free.Sub(c.free).Add(free)
+		c.free = free
+		x.tree(c).ReplaceOrInsert(entry{free.Cores, id, c})
 		return
 	}
 	x.Drop(id)
-	r := &room{free, total}
-	x.rooms[id] = r
+	c := &capacity{free, total}
+	x.workers[id] = c
 	x.free, x.total = x.free.Add(free), x.total.Add(total)
-	x.tree(r).ReplaceOrInsert(node{free.Cores, id, r})
+	x.tree(c).ReplaceOrInsert(entry{free.Cores, id, c})
 }
 
-// Drop takes a worker out.
+// Drop removes a worker.
 func (x *Index) Drop(id core.WorkerID) {
-	r, ok := x.rooms[id]
+	c, ok := x.workers[id]
 	if !ok {
 		return
 	}
-	x.tree(r).Delete(node{r.free.Cores, id, r})
-	x.free, x.total = x.free.Sub(r.free), x.total.Sub(r.total)
-	delete(x.rooms, id)
+	x.tree(c).Delete(entry{c.free.Cores, id, c})
+	x.free, x.total = x.free.Sub(c.free), x.total.Sub(c.total)
+	delete(x.workers, id)
 }
 
-// Free returns the sum of free room.
+// Free returns the free room of all workers.
 func (x *Index) Free() core.Resources { return x.free }
 
-// Total returns the sum of all room.
+// Total returns the total room of all workers.
 func (x *Index) Total() core.Resources { return x.total }
 
 // Len returns the number of workers.
-func (x *Index) Len() int { return len(x.rooms) }
+func (x *Index) Len() int { return len(x.workers) }
 
-// Best returns the worker that need leaves with the least room over, among
-// those that allow accepts.
+// Best returns the worker with the least waste once need is placed on it, among
+// the workers that allow accepts. It compares only the first scanLimit workers with
+// enough free cores, and prefers workers without accelerators.
 func (x *Index) Best(need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
 	if need.Accel == 0 {
 		if id, ok := best(x.plain, need, allow); ok {
@@ -104,17 +107,18 @@
 	return best(x.accel, need, allow)
 }
 
-// First returns any worker with room, lowest in free cores; it is the
-// first-fit baseline.
+// First returns the worker with the most free cores among those that have room
+// for need and that allow accepts. It prefers workers without accelerators. It is
+// the baseline to which Best is compared.
 func (x *Index) First(need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
 	var found core.WorkerID
-	for _, tree := range []*btree.BTreeG[node]{x.plain, x.accel} {
-		tree.DescendLessOrEqual(node{cores: 1 << 62}, func(n node) bool {
-			if n.cores < need.Cores {
+	for _, tree := range []*btree.BTreeG[entry]{x.plain, x.accel} {
+		tree.DescendLessOrEqual(entry{cores: 1 << 62}, func(e entry) bool {
+			if e.cores < need.Cores {
 				return false
 			}
-			if need.Fits(n.room.free) && allow(n.id) {
-				found = n.id
+			if need.Fits(e.capacity.free) && allow(e.id) {
+				found = e.id
 			}
 			return found == ""
 		})
@@ -125,33 +129,34 @@
 	return "", false
 }
 
-func best(tree *btree.BTreeG[node], need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
+func best(tree *btree.BTreeG[entry], need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
 	var found core.WorkerID
-	least := 0.0
-	seen := 0
-	tree.AscendGreaterOrEqual(node{cores: need.Cores}, func(n node) bool {
-		seen++
-		if need.Fits(n.room.free) && allow(n.id) {
-			if over := waste(n.room, need); found == "" || over < least {
-				found, least = n.id, over
+	leastWaste := 0.0
+	examined := 0
+	tree.AscendGreaterOrEqual(entry{cores: need.Cores}, func(e entry) bool {
+		examined++
+		if need.Fits(e.capacity.free) && allow(e.id) {
+			if w := waste(e.capacity, need); found == "" || w < leastWaste {
+				found, leastWaste = e.id, w
 			}
 		}
-		return seen < looks || (found == "" && seen < deepLooks)
+		return examined < scanLimit || (found == "" && examined < deepScanLimit)
 	})
 	return found, found != ""
 }
 
-// waste is the room left over, with an uneven rest counting as more: a worker
-// out of one resource cannot use what it has of the others.
-func waste(r *room, need core.Resources) float64 {
-	left := r.free.Sub(need)
-	cores, memory := part(left.Cores, r.total.Cores), part(left.Memory, r.total.Memory)
-	return cores + memory + max(cores-memory, memory-cores) + part(left.Accel, r.total.Accel)
+// waste scores the room that would be left on a worker. A remainder with cores and
+// memory out of proportion scores higher, because a worker that has run out of one
+// resource cannot use the rest of the others.
+func waste(c *capacity, need core.Resources) float64 {
+	left := c.free.Sub(need)
+	cores, memory := fraction(left.Cores, c.total.Cores), fraction(left.Memory, c.total.Memory)
+	return cores + memory + max(cores-memory, memory-cores) + fraction(left.Accel, c.total.Accel)
 }
 
-func part(n, of int64) float64 {
-	if of == 0 {
+func fraction(n, total int64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return float64(n) / float64(of)
+	return float64(n) / float64(total)
 }
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy holds one version of the desired configuration: the queues,
-// the teams with their keys, shares and limits, and the services.
+// Package policy holds one version of the platform's configuration: the queues, the
+// teams with their keys, weights and limits, and the services.
 package policy
 
 import (
@@ -11,16 +11,18 @@
 	"chicoryturn/core"
 )
 
-// Advice describes the external placement policy of a queue.
+// Advice describes the calls to the external placement advisor of a queue. The
+// advisor issues the tickets that its tasks need to start.
 type Advice struct {
-	// Base is the time of one call, PerWorker is added for each worker named.
+	// Base is the duration of a call that names no worker; each worker named adds
+	// PerWorker.
 	Base      time.Duration
 	PerWorker time.Duration
-	// Valid is how long a ticket may be used.
+	// Valid is how long a ticket may be used after it was issued.
 	Valid time.Duration
 }
 
-// Cost returns the expected length of a call that names n workers.
+// Cost returns the expected duration of a call that names n workers.
 func (a Advice) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.PerWorker }
 
 // Queue is the rule for one kind of work.
@@ -29,20 +31,21 @@
 	// Host and Prefix select the queue; the longest prefix wins.
 	Host, Prefix string
 	Service      core.Service
-	// Priority 0 comes first.
+	// Priority 0 is the highest.
 	Priority int
 	// Attempts is how often a task may fail before its job has failed; it is at
 	// least 1.
 	Attempts int
-	// A job is on time if it ends within Slowdown times its longest chain of
-	// work, and Latency more.
+	// A job is on time if it ends within Slowdown times the run time of its critical
+	// path, plus Latency.
 	Slowdown float64
 	Latency  time.Duration
-	// Timeout bounds one call of a client.
+	// Timeout bounds one client request.
 	Timeout time.Duration
-	// Public queues need no key.
+	// Public queues accept requests without a key.
 	Public bool
-	// Advice is absent for queues that any worker of the service may run.
+	// Advice is absent if the tasks may run on any worker of the service without a
+	// ticket.
 	Advice core.Option[Advice]
 }
 
@@ -50,24 +53,26 @@
 type Team struct {
 	Name core.Team
 	Keys []string
-	// Weight is the share of a full fleet.
+	// Weight determines the team's share of a full fleet.
 	Weight float64
-	// Limit bounds what the team runs in the whole fleet; 0 means no limit.
+	// Limit bounds the resources of the team's running tasks in the whole fleet; 0
+	// means no limit.
 	Limit core.Resources
 }
 
 // Service is a pool of interchangeable workers.
 type Service struct {
 	Name core.Service
-	// RefusesOverload is set when the workers themselves refuse what does not fit.
+	// RefusesOverload is set if the workers themselves refuse work that does not fit.
 	RefusesOverload bool
-	// Standby pools are switched off.
+	// Standby is set if the pool is switched off.
 	Standby bool
-	// Health is the path that a worker answers with 200 while it is healthy.
+	// Health is the URL path that a worker answers with status 200 while it is
+	// healthy.
 	Health string
 }
 
-// Policy is one version. It never changes once it has been built.
+// Policy is one version of the configuration. It is immutable.
 type Policy struct {
 	Version  core.Version
 	Queues   map[core.Queue]*Queue
@@ -108,7 +113,8 @@
 	return p
 }
 
-// Route returns the queue of a host and path, and the rest of the path.
+// Route returns the queue for a host and path, and the part of the path after the
+// queue's prefix.
 func (p *Policy) Route(host, path string) (*Queue, string, bool) {
 	for _, q := range p.byHost[host] {
 		if rest, ok := strings.CutPrefix(path, q.Prefix); ok {
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -1,4 +1,5 @@
-// Package share orders teams by how far each is below the share it is owed.
+// Package share ranks teams by how far each one's use is below its share of the
+// fleet.
 package share
 
 import (
@@ -6,20 +7,22 @@
 	"chicoryturn/core/rules"
 )
 
-// leastShare is the share, in percent, of a team without one: it borrows idle
-// room but comes after every team that is owed some.
-const leastShare = 0.01
+// minShare is the share, in percent, of a team without one: it may use idle room
+// but ranks after every team that has a share.
+const minShare = 0.01
 
-// Table holds what each team uses and is owed.
+// Table holds the share and the use of each team.
 type Table struct {
+	// total is the room of this cell.
 	total  core.Resources
 	shares map[core.Team]float64
-	used   map[core.Team]core.Resources
-	// afar is the use of each team in other cells, in thousandths of a core,
+	// used is the use of each team in this cell.
+	used map[core.Team]core.Resources
+	// remote is the use of each team in other cells, in thousandths of a core,
 	// as last read from the store.
-	afar map[core.Team]int64
-	// fleet is the room of the whole fleet in thousandths of a core.
-	fleet int64
+	remote map[core.Team]int64
+	// fleetCores is the room of the whole fleet in thousandths of a core.
+	fleetCores int64
 }
 
 // New returns an empty table.
@@ -27,7 +30,7 @@
 	return &Table{
 		shares: map[core.Team]float64{},
 		used:   map[core.Team]core.Resources{},
-		afar:   map[core.Team]int64{},
+		remote: map[core.Team]int64{},
 	}
 }
 
@@ -35,43 +38,45 @@
 func (t *Table) SetRules(set *rules.Set) {
 	t.shares = make(map[core.Team]float64, len(set.Teams))
 	for name, team := range set.Teams {
-		t.shares[name] = max(team.Share, leastShare)
+		t.shares[name] = max(team.Share, minShare)
 	}
 }
 
 // SetShare sets one team's share in percent.
-func (t *Table) SetShare(team core.Team, percent float64) { t.shares[team] = max(percent, leastShare) }
+func (t *Table) SetShare(team core.Team, percent float64) { t.shares[team] = max(percent, minShare) }
 
-// SetTotal sets the room over which shares are reckoned.
+// SetTotal sets the room of this cell.
 func (t *Table) SetTotal(total core.Resources) { t.total = total }
 
-// SetAfar sets what a team uses in other cells and the room of the fleet.
-func (t *Table) SetAfar(team core.Team, cores, fleet int64) {
-	t.afar[team] = cores
-	t.fleet = fleet
+// SetAfar sets what a team uses in other cells and the room of the whole fleet,
+// both in thousandths of a core.
+func (t *Table) SetAfar(team core.Team, cores, fleetCores int64) {
+	t.remote[team] = cores
+	t.fleetCores = fleetCores
 }
 
-// Use adds to what a team uses; amounts may be negative.
+// Use adds to what a team uses in this cell; negative amounts reduce it.
 func (t *Table) Use(team core.Team, r core.Resources) { t.used[team] = t.used[team].Add(r) }
 
 // Used returns what a team uses in this cell.
 func (t *Table) Used(team core.Team) core.Resources { return t.used[team] }
 
-// Got returns a team's dominant share of the whole fleet: its use of this
-// cell's scarcest resource, scaled to the fleet, and its cores elsewhere.
-func (t *Table) Got(team core.Team) float64 {
-	here := t.used[team].Dominant(t.total)
-	if t.fleet <= 0 {
-		return here
+// DominantShare returns the part of the whole fleet that a team uses: its use of
+// this cell's scarcest resource, scaled to the fleet, plus its cores in other cells.
+func (t *Table) DominantShare(team core.Team) float64 {
+	local := t.used[team].Dominant(t.total)
+	if t.fleetCores <= 0 {
+		return local
 	}
-	fleet := float64(t.fleet)
-	return here*float64(t.total.Cores)/fleet + float64(t.afar[team])/fleet
+	fleet := float64(t.fleetCores)
+	return local*float64(t.total.Cores)/fleet + float64(t.remote[team])/fleet
 }
 
-// Owed returns a team's share as a fraction.
-func (t *Table) Owed(team core.Team) float64 {
-	return max(t.shares[team], leastShare) / 100
+// Share returns a team's share as a fraction.
+func (t *Table) Share(team core.Team) float64 {
+	return max(t.shares[team], minShare) / 100
 }
 
-// Rank is lowest for the team that is furthest below its share.
-func (t *Table) Rank(team core.Team) float64 { return t.Got(team) / t.Owed(team) }
+// Rank returns a team's use divided by its share. The team with the lowest rank is
+// the furthest below its share.
+func (t *Table) Rank(team core.Team) float64 { return t.DominantShare(team) / t.Share(team) }
