--- a/core/fleet/model_test.go
+++ b/core/fleet/model_test.go
@@ -232,7 +232,7 @@
 	w := f.worker(fl.order.Worker)
 	reply, lists := fleet.ReplyUnanswered, fleet.RunLists{}
 	// An order on its way to an incarnation ends with it.
-	if w.Up && !w.Cut && !w.Info.Incarnation.After(fl.sent) {
+	if w.Up && !w.Unreachable && !w.Info.Incarnation.After(fl.sent) {
 		switch fl.order.Kind {
 		case fleet.OrderStart:
 			reply = w.Start(fl.order)
@@ -269,7 +269,7 @@
 		for _, e := range l.Ended {
 			if _, known := f.read[e.Task]; !known && e.Kind == fleet.EndDone {
 				w := f.worker(fl.order.Worker)
-				f.read[e.Task] = reading{f.now, w, w.Info.Incarnation, w.Lapsed.After(endOf(w, e))}
+				f.read[e.Task] = reading{f.now, w, w.Info.Incarnation, w.LastLapse.After(endOf(w, e))}
 			}
 		}
 		o.board.HeartbeatAnswered(f.now, fl.order.Worker, fl.sent, l)
@@ -325,7 +325,7 @@
 	}
 	for _, s := range starts {
 		// Ends are lost with the worker that lists them, unless recorded.
-		if r, ok := f.read[s.Task]; ok && !r.void && s.At.After(r.at) && r.worker.Up && !r.worker.Cut && r.worker.Info.Incarnation.Equal(r.born) {
+		if r, ok := f.read[s.Task]; ok && !r.void && s.At.After(r.at) && r.worker.Up && !r.worker.Unreachable && r.worker.Info.Incarnation.Equal(r.born) {
 			f.t.Fatalf("an owner has read at %s that %s is done; run %d started at %s", r.at.Sub(dawn), s.Task, s.Run, s.At.Sub(dawn))
 		}
 		if !s.End.IsZero() {
@@ -415,9 +415,9 @@
 			w.Restart(f.now)
 		}
 	case 2:
-		w.Cut = true
+		w.Unreachable = true
 	case 3, 4:
-		w.Cut = false
+		w.Unreachable = false
 	case 5:
 		// The owner is replaced and knows nothing of it.
 		f.succeed()
@@ -430,7 +430,7 @@
 func (f *harness) heal() {
 	f.loss = 0
 	for _, w := range f.workers {
-		w.Cut = false
+		w.Unreachable = false
 		if !w.Up {
 			w.Restart(f.now)
 		}
--- a/core/model/worker.go
+++ b/core/model/worker.go
@@ -1,5 +1,5 @@
-// Package model is a model of the platform's workers for tests: it obeys
-// orders as they do, and records what a test must be able to check.
+// Package model simulates the platform's workers for tests. A simulated worker
+// obeys orders as a real one does and logs every run for the checks of a test.
 package model
 
 import (
@@ -11,24 +11,26 @@
 	"chicoryturn/core/jobs"
 )
 
-// GangTime is how long a task of a gang waits for the others.
-const GangTime = 3 * time.Second
+// GangWait is how long a task of a gang waits for the other tasks to start.
+const GangWait = 3 * time.Second
 
-// TaskSpec is what a test says of the tasks of a phase.
+// TaskSpec describes the tasks of a phase.
 type TaskSpec struct {
 	Need core.Resources
-	// Work is how long a run takes.
+	// Work is how long a run must work to end.
 	Work time.Duration
-	// Gang is how many tasks must be present to work; 0 or 1 for single tasks.
+	// Gang is how many tasks must be present for any of them to work; 0 or 1 for
+	// tasks that are not in a gang.
 	Gang int
-	// Fails has the run end failed.
+	// Fails makes each run end as failed.
 	Fails bool
 }
 
-// Tasks tells a worker what it is asked to run.
+// Tasks describes the tasks that a worker is ordered to run.
 type Tasks interface {
+	// Task returns the description of a task.
 	Task(id jobs.TaskID) TaskSpec
-	// Present returns how many members of a gang's run are on any worker.
+	// Present returns how many tasks of a gang's run are active on all workers.
 	Present(id jobs.PhaseID, run uint64) int
 }
 
@@ -37,82 +39,92 @@
 	run  uint64
 }
 
-// run is what is on a worker.
+// run is an active run on a worker.
 type run struct {
-	key    runKey
-	worked time.Duration
-	began  time.Time
-	// together is set once all members of the gang have been present.
-	together bool
-	// stopAt is when an ordered stop takes effect; zero if there is none.
+	key runKey
+	// worked is how long the run has worked.
+	worked    time.Duration
+	startedAt time.Time
+	// assembled is set once all tasks of the gang have been present.
+	assembled bool
+	// stopAt is when an ordered stop takes effect; zero if no stop was ordered.
 	stopAt time.Time
 }
 
-// Start is a start that has been carried out, with the worker's state.
+// Start is the log entry of a run that a worker has started.
 type Start struct {
 	At     time.Time
 	Worker core.WorkerID
 	Task   jobs.TaskID
 	Run    uint64
-	// End is zero while the run goes on.
+	// End is zero while the run is active.
 	End time.Time
 	How fleet.EndKind
-	// Lost is set if the worker crashed before the end was acknowledged: nobody
-	// can learn of it any more.
+	// Lost is set if the worker's incarnation ended before the end of the run was
+	// acknowledged, so that no owner can learn of that end.
 	Lost bool
 }
 
-// Worker is one worker.
+// Worker is a simulated worker.
 type Worker struct {
 	Info  fleet.WorkerInfo
 	tasks Tasks
-	// rate is that of its clock; born is when the incarnation began.
-	rate float64
-	born time.Time
-	now  time.Time
-	// Up is false while the worker is down, Cut while nothing reaches it.
-	Up, Cut bool
+	// clockRate is the rate of the worker's clock.
+	clockRate float64
+	// incarnation is when the present incarnation started.
+	incarnation time.Time
+	now         time.Time
+	// Up is false while the worker is down. While Unreachable is set, the test
+	// delivers no orders to the worker.
+	Up, Unreachable bool
 
-	fence  core.Epoch
-	until  time.Duration
-	active []*run
-	ended  []fleet.EndedRun
-	number uint64
-	// barred holds the highest run stopped or ended of each task.
-	barred map[jobs.TaskID]uint64
-	// Log holds all starts of all incarnations.
+	// maxEpoch is the highest epoch received; orders of lower epochs are fenced.
+	maxEpoch core.Epoch
+	// leaseUntil is the end of the lease on the worker's clock.
+	leaseUntil time.Duration
+	active     []*run
+	// ended are the ends that have not been acknowledged, lastEnd is the number of
+	// the newest end.
+	ended   []fleet.EndedRun
+	lastEnd uint64
+	// barredRuns holds each task's highest run that was stopped or has ended; it and
+	// lower runs cannot be started.
+	barredRuns map[jobs.TaskID]uint64
+	// Log holds the runs of all incarnations.
 	Log []*Start
-	// Most is the longest lease.
-	Most time.Duration
-	// Lapsed is when the worker was last without a lease.
-	Lapsed time.Time
+	// MaxLease is the longest lease that the worker accepts.
+	MaxLease time.Duration
+	// LastLapse is the last time at which the worker had no lease.
+	LastLapse time.Time
 }
 
-// New returns a worker that starts at a time; rate is that of its clock.
-func New(h fleet.WorkerInfo, t Tasks, at time.Time, rate float64, lease time.Duration) *Worker {
-	w := &Worker{Info: h, tasks: t, rate: rate, Up: true, Most: lease}
+// New returns a worker that starts at a time. Its clock runs at clockRate, and it
+// accepts leases of at most maxLease.
+func New(info fleet.WorkerInfo, t Tasks, at time.Time, clockRate float64, maxLease time.Duration) *Worker {
+	w := &Worker{Info: info, tasks: t, clockRate: clockRate, Up: true, MaxLease: maxLease}
 	w.Restart(at)
 	return w
 }
 
-// Restart starts a new incarnation, which knows nothing.
+// Restart starts a new incarnation, which has no runs, ends or lease.
 func (w *Worker) Restart(at time.Time) {
-	w.end(at)
-	w.born, w.now, w.Up = at, at, true
+	w.dropAll(at)
+	w.incarnation, w.now, w.Up = at, at, true
 	w.Info.Incarnation = at
-	w.fence, w.until, w.number = 0, 0, 0
-	w.ended, w.barred = nil, map[jobs.TaskID]uint64{}
+	w.maxEpoch, w.leaseUntil, w.lastEnd = 0, 0, 0
+	w.ended, w.barredRuns = nil, map[jobs.TaskID]uint64{}
 }
 
-// Crash ends all that runs without a trace.
+// Crash ends all active runs. Their ends are never listed.
 func (w *Worker) Crash(at time.Time) {
-	w.end(at)
+	w.dropAll(at)
 	w.Up = false
 }
 
-func (w *Worker) end(at time.Time) {
+// dropAll ends all active runs and loses the ends that were not acknowledged.
+func (w *Worker) dropAll(at time.Time) {
 	for _, r := range w.active {
-		w.close(r, at, fleet.EndOther)
+		w.logEnd(r, at, fleet.EndOther)
 	}
 	w.active = nil
 	for _, e := range w.ended {
@@ -125,55 +137,57 @@
 	w.ended = nil
 }
 
-func (w *Worker) close(r *run, at time.Time, how fleet.EndKind) {
+func (w *Worker) logEnd(r *run, at time.Time, kind fleet.EndKind) {
 	for _, s := range w.Log {
 		if s.Task == r.key.task && s.Run == r.key.run && s.End.IsZero() {
-			s.End, s.How = at, how
+			s.End, s.How = at, kind
 		}
 	}
 }
 
-// Clock returns the worker's own clock.
+// Clock returns the time on the worker's own clock since the incarnation started.
 func (w *Worker) Clock() time.Duration {
-	return time.Duration(float64(w.now.Sub(w.born)) * w.rate)
+	return time.Duration(float64(w.now.Sub(w.incarnation)) * w.clockRate)
 }
 
-// Advance lets time pass for what runs; Settle then ends what is over. All workers
-// work before any settles, so that the members of a gang end together.
+// Advance moves the time forward and adds it to the work of the active runs. A test
+// advances all workers before it calls EndFinished on any of them, so that the tasks
+// of a gang end together.
 func (w *Worker) Advance(now time.Time) {
-	passed := now.Sub(w.now)
+	elapsed := now.Sub(w.now)
 	w.now = now
 	for _, r := range w.active {
 		s := w.tasks.Task(r.key.task)
 		if w.tasks.Present(r.key.task.PhaseID, r.key.run) >= s.Gang {
-			r.together = true
-			r.worked += passed
+			r.assembled = true
+			r.worked += elapsed
 		}
 	}
 }
 
-// EndFinished ends the runs that are over.
+// EndFinished ends the runs that have finished, failed, been stopped or lost their
+// lease or gang.
 func (w *Worker) EndFinished() {
-	if w.Clock() > w.until {
-		w.Lapsed = w.now
+	if w.Clock() > w.leaseUntil {
+		w.LastLapse = w.now
 	}
-	var left []*run
+	var active []*run
 	for _, r := range w.active {
 		s := w.tasks.Task(r.key.task)
-		how, word := r.over(w, s)
-		if word == "" {
-			left = append(left, r)
+		kind, reason := r.outcome(w, s)
+		if reason == "" {
+			active = append(active, r)
 			continue
 		}
-		w.finish(r, how, word)
+		w.listEnd(r, kind, reason)
 	}
-	w.active = left
+	w.active = active
 }
 
-// over returns how a run ends now; word is empty if it goes on.
-func (r *run) over(w *Worker, s TaskSpec) (how fleet.EndKind, word string) {
+// outcome returns how a run ends now; reason is empty if it does not end.
+func (r *run) outcome(w *Worker, s TaskSpec) (kind fleet.EndKind, reason string) {
 	switch {
-	case w.Clock() > w.until:
+	case w.Clock() > w.leaseUntil:
 		return fleet.EndOther, "lapsed"
 	case !r.stopAt.IsZero() && !w.now.Before(r.stopAt):
 		return fleet.EndOther, "stopped"
@@ -181,55 +195,56 @@
 		return fleet.EndFailed, "failed"
 	case r.worked >= s.Work:
 		return fleet.EndDone, "done"
-	case r.together && w.tasks.Present(r.key.task.PhaseID, r.key.run) < s.Gang:
+	case r.assembled && w.tasks.Present(r.key.task.PhaseID, r.key.run) < s.Gang:
 		return fleet.EndOther, "broken"
-	case !r.together && w.now.Sub(r.began) > GangTime:
+	case !r.assembled && w.now.Sub(r.startedAt) > GangWait:
 		return fleet.EndOther, "alone"
 	}
 	return "", ""
 }
 
-func (w *Worker) finish(r *run, how fleet.EndKind, word string) {
-	w.number++
-	w.ended = append(w.ended, fleet.EndedRun{Number: w.number, Task: r.key.task, Run: r.key.run, Kind: how, Reason: word})
-	w.barred[r.key.task] = max(w.barred[r.key.task], r.key.run)
-	w.close(r, w.now, how)
+// listEnd adds the end of a run to the list that heartbeats return.
+func (w *Worker) listEnd(r *run, kind fleet.EndKind, reason string) {
+	w.lastEnd++
+	w.ended = append(w.ended, fleet.EndedRun{Number: w.lastEnd, Task: r.key.task, Run: r.key.run, Kind: kind, Reason: reason})
+	w.barredRuns[r.key.task] = max(w.barredRuns[r.key.task], r.key.run)
+	w.logEnd(r, w.now, kind)
 }
 
-// allow checks the fence and extends the lease.
-func (w *Worker) allow(o fleet.Order) bool {
-	if o.Epoch < w.fence {
+// acceptOrder reports whether the order is not fenced, and extends the lease if so.
+func (w *Worker) acceptOrder(o fleet.Order) bool {
+	if o.Epoch < w.maxEpoch {
 		return false
 	}
-	w.fence = o.Epoch
-	w.until = max(w.until, min(o.LeaseUntil, w.Clock()+w.Most))
+	w.maxEpoch = o.Epoch
+	w.leaseUntil = max(w.leaseUntil, min(o.LeaseUntil, w.Clock()+w.MaxLease))
 	return true
 }
 
-// Start carries out an order to start.
+// Start executes an order to start a run.
 func (w *Worker) Start(o fleet.Order) fleet.Reply {
 	switch {
-	case !w.allow(o):
+	case !w.acceptOrder(o):
 		return fleet.ReplyFenced
 	case slices.ContainsFunc(w.active, func(r *run) bool { return r.key == runKey{o.Task, o.Run} }):
 		return fleet.ReplyOK
-	case o.Run <= w.barred[o.Task]:
+	case o.Run <= w.barredRuns[o.Task]:
 		return fleet.ReplyStaleRun
 	case o.LeaseUntil < w.Clock():
 		return fleet.ReplyLeaseExpired
 	}
-	w.active = append(w.active, &run{key: runKey{o.Task, o.Run}, began: w.now})
+	w.active = append(w.active, &run{key: runKey{o.Task, o.Run}, startedAt: w.now})
 	w.Log = append(w.Log, &Start{At: w.now, Worker: w.Info.ID(), Task: o.Task, Run: o.Run})
 	return fleet.ReplyOK
 }
 
-// Stop carries out an order to stop; it takes effect after a delay.
+// Stop executes an order to stop a run; the run ends after the delay.
 func (w *Worker) Stop(o fleet.Order, delay time.Duration) fleet.Reply {
-	if o.Epoch < w.fence {
+	if o.Epoch < w.maxEpoch {
 		return fleet.ReplyFenced
 	}
-	w.fence = o.Epoch
-	w.barred[o.Task] = max(w.barred[o.Task], o.Run)
+	w.maxEpoch = o.Epoch
+	w.barredRuns[o.Task] = max(w.barredRuns[o.Task], o.Run)
 	for _, r := range w.active {
 		if r.key == (runKey{o.Task, o.Run}) && r.stopAt.IsZero() {
 			r.stopAt = w.now.Add(delay)
@@ -238,21 +253,22 @@
 	return fleet.ReplyOK
 }
 
-// Heartbeat renews the lease and returns the lists.
+// Heartbeat renews the lease, drops the ends that the order acknowledges, and
+// returns the active runs and the remaining ends.
 func (w *Worker) Heartbeat(o fleet.Order) (fleet.RunLists, fleet.Reply) {
-	if !w.allow(o) {
+	if !w.acceptOrder(o) {
 		return fleet.RunLists{}, fleet.ReplyFenced
 	}
 	w.ended = slices.DeleteFunc(w.ended, func(e fleet.EndedRun) bool { return e.Number <= o.AckedEnd })
-	l := fleet.RunLists{Clock: w.Clock(), Incarnation: w.born, Ended: slices.Clone(w.ended)}
+	l := fleet.RunLists{Clock: w.Clock(), Incarnation: w.incarnation, Ended: slices.Clone(w.ended)}
 	for _, r := range w.active {
-		done := 100 * r.worked / max(w.tasks.Task(r.key.task).Work, 1)
-		l.Active = append(l.Active, fleet.ActiveRun{Task: r.key.task, Run: r.key.run, Percent: int(done)})
+		percent := 100 * r.worked / max(w.tasks.Task(r.key.task).Work, 1)
+		l.Active = append(l.Active, fleet.ActiveRun{Task: r.key.task, Run: r.key.run, Percent: int(percent)})
 	}
 	return l, fleet.ReplyOK
 }
 
-// Running returns what runs on the worker.
+// Running returns the resources that the active runs use.
 func (w *Worker) Running() core.Resources {
 	var sum core.Resources
 	for _, r := range w.active {
@@ -261,11 +277,11 @@
 	return sum
 }
 
-// GangSize returns how many members of a gang's run are on the worker.
-func (w *Worker) GangSize(id jobs.PhaseID, number uint64) int {
+// GangSize returns how many tasks of a gang's run are active on the worker.
+func (w *Worker) GangSize(id jobs.PhaseID, run uint64) int {
 	n := 0
 	for _, r := range w.active {
-		if r.key.task.PhaseID == id && r.key.run == number {
+		if r.key.task.PhaseID == id && r.key.run == run {
 			n++
 		}
 	}
