--- a/core/fleet/advice_test.go
+++ b/core/fleet/advice_test.go
@@ -14,179 +14,181 @@
 	"chicoryturn/core/policy"
 )
 
-// largeDesk returns an owner of many free workers that it has heard of.
-func largeDesk(workers int, p *policy.Policy) *desk {
-	d := &desk{now: dawn, Scheduler: fleet.New(dawn, 1, fleet.Limits{Lease: lease, RemoteFactor: 1}, p)}
+// newLargeFixture returns a scheduler of many free workers that have answered a heartbeat.
+func newLargeFixture(workers int, p *policy.Policy) *fixture {
+	f := &fixture{now: startTime, Scheduler: fleet.New(startTime, 1, fleet.Limits{Lease: leaseDuration, RemoteFactor: 1}, p)}
 	for i := range workers {
-		h := host(i)
-		h.Name, h.Incarnation = fmt.Sprintf("w%03d", i), dawn.Add(-time.Hour)
-		h.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i % 250)}), 80)
-		d.hosts = append(d.hosts, h)
+		w := newWorkerInfo(i)
+		w.Name, w.Incarnation = fmt.Sprintf("w%03d", i), startTime.Add(-time.Hour)
+		w.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 250), byte(i % 250)}), 80)
+		f.workers = append(f.workers, w)
 	}
-	d.open()
-	return d
+	f.registerWorkers()
+	return f
 }
 
-// wide is a fleet of many workers whose queue has a placement policy. The
+// newHalfFullFixture returns a scheduler of many workers whose queue q needs advice. The
 // first half of the workers by name is full.
-func wide(is *is.I, workers int) *desk {
+func newHalfFullFixture(is *is.I, workers int) *fixture {
 	p := policy.New(1, []policy.Queue{{
 		Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 4, Latency: time.Second,
 		Advice: core.Some(policy.Advice{Base: 20 * time.Millisecond, PerWorker: time.Millisecond, Valid: time.Second}),
 	}, {
 		Name: "any", Host: "h", Prefix: "/any/", Service: "s", Attempts: 3, Slowdown: 4, Latency: time.Second,
 	}}, []policy.Team{{Name: "t", Weight: 1000}}, []policy.Service{{Name: "s"}}, 0)
-	d := largeDesk(workers, p)
-	filler := plain("filler", workers/2, false)
+	f := newLargeFixture(workers, p)
+	filler := newJob("filler", workers/2, false)
 	filler.Queue, filler.Phases[0].Need.Cores = "any", 4000
-	d.Accept(d.now, filler)
-	for _, s := range d.plan(fleet.OrderStart) {
+	f.Accept(f.now, filler)
+	for _, s := range f.nextOrders(fleet.OrderStart) {
 		is.True(s.Worker < "w150")
-		d.begin([]fleet.Order{s})
+		f.confirmStarts([]fleet.Order{s})
 	}
-	return d
+	return f
 }
 
-// TestAskWhereRoomIs plays a large fleet, half of it full. A call names workers
-// that have room, no more of them than are likely to be needed, and calls of
-// several jobs do not all name the same ones.
-func TestAskWhereRoomIs(t *testing.T) {
+// TestAdviceNamesWorkersWithRoom checks advice requests on a large fleet that is half full.
+// A request names only workers with room and no more than are likely to be needed, and
+// the requests of two jobs do not name the same workers.
+func TestAdviceNamesWorkersWithRoom(t *testing.T) {
 	is := is.New(t)
-	d := wide(is, 300)
-	named := func(id string, count int, gang bool) []core.WorkerID {
-		d.Accept(d.now, plain(id, count, gang))
-		d.plan(fleet.OrderStart)
-		ts := &turns{}
-		d.AdviceRequests(d.now, ts)
-		is.Equal(len(ts.asks), 1)
-		is.Equal(ts.asks[0].Phase.Job, core.JobID(id))
-		for _, w := range ts.asks[0].Workers {
-			is.True(w >= "w150") // it has room
+	f := newHalfFullFixture(is, 300)
+	namedWorkers := func(id string, count int, gang bool) []core.WorkerID {
+		f.Accept(f.now, newJob(id, count, gang))
+		f.nextOrders(fleet.OrderStart)
+		turns := &fakeTurns{}
+		f.AdviceRequests(f.now, turns)
+		is.Equal(len(turns.requests), 1)
+		is.Equal(turns.requests[0].Phase.Job, core.JobID(id))
+		for _, w := range turns.requests[0].Workers {
+			is.True(w >= "w150") // in the half with room
 		}
-		return ts.asks[0].Workers
+		return turns.requests[0].Workers
 	}
-	first, second := named("a", 3, false), named("b", 3, false)
+	first, second := namedWorkers("a", 3, false), namedWorkers("b", 3, false)
 	is.True(len(first) <= 20)
 	is.True(fmt.Sprint(first) != fmt.Sprint(second))
-	is.True(len(named("g", 60, true)) <= 100)
+	is.True(len(namedWorkers("g", 60, true)) <= 100)
 }
 
-// TestAskAgainWhereKnown plays a gang whose first call has allowed too few
-// workers: the next one names those with the others that may be allowed, and no
-// call is made while room is short.
-func TestAskAgainWhereKnown(t *testing.T) {
+// TestSecondAdviceRequest checks a gang whose first request has allowed too few workers.
+// The second request names only other workers, and with those that it allows the gang
+// starts.
+func TestSecondAdviceRequest(t *testing.T) {
 	is := is.New(t)
-	d := wide(is, 300)
-	d.Accept(d.now, plain("g", 40, true))
-	d.plan(fleet.OrderStart)
-	ts := &turns{}
-	d.AdviceRequests(d.now, ts)
-	first := ts.asks[0]
-	d.AdviceReceived(d.now, first.Phase, first.Workers, []fleet.AllowedWorker{{Worker: first.Workers[0], Ticket: "a"}}, time.Second)
-	is.Equal(len(d.plan(fleet.OrderStart)), 0) // 4 of 40 fit
-	ts.busy = false
-	d.AdviceRequests(d.now, ts)
-	is.Equal(len(ts.asks), 2)
-	for _, w := range ts.asks[1].Workers {
+	f := newHalfFullFixture(is, 300)
+	f.Accept(f.now, newJob("g", 40, true))
+	f.nextOrders(fleet.OrderStart)
+	turns := &fakeTurns{}
+	f.AdviceRequests(f.now, turns)
+	first := turns.requests[0]
+	f.AdviceReceived(f.now, first.Phase, first.Workers, []fleet.AllowedWorker{{Worker: first.Workers[0], Ticket: "a"}}, time.Second)
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0) // the allowed worker has room for 4 of 40 tasks
+	turns.busy = false
+	f.AdviceRequests(f.now, turns)
+	is.Equal(len(turns.requests), 2)
+	for _, w := range turns.requests[1].Workers {
 		for _, old := range first.Workers {
-			is.True(w != old) // its ticket is good, or it is not allowed
+			is.True(w != old) // its ticket is still valid, or it is not allowed
 		}
 	}
 	var allowed []fleet.AllowedWorker
-	for _, w := range ts.asks[1].Workers {
+	for _, w := range turns.requests[1].Workers {
 		allowed = append(allowed, fleet.AllowedWorker{Worker: w, Ticket: "b"})
 	}
-	d.AdviceReceived(d.now, first.Phase, ts.asks[1].Workers, allowed, time.Second)
-	is.Equal(len(d.plan(fleet.OrderStart)), 40)
+	f.AdviceReceived(f.now, first.Phase, turns.requests[1].Workers, allowed, time.Second)
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 40)
 }
 
-// row is a fleet of free workers whose queue has a placement policy.
-func row(workers int, a policy.Advice) *desk {
+// newAdvisedFixture returns a scheduler of many free workers whose queue needs advice.
+func newAdvisedFixture(workers int, a policy.Advice) *fixture {
 	p := policy.New(1, []policy.Queue{{
 		Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 4, Latency: time.Second, Advice: core.Some(a),
 	}}, []policy.Team{{Name: "t", Weight: 1000}}, []policy.Service{{Name: "s"}}, 0)
-	return largeDesk(workers, p)
+	return newLargeFixture(workers, p)
 }
 
-// started answers calls for advice, each after its length, until a number of
-// tasks start together; it gives up after 10 s.
-func (d *desk) started(tasks int, valid time.Duration, may func(core.WorkerID) bool) bool {
-	ts := &turns{}
-	var answer time.Time
-	for begin := d.now; d.now.Sub(begin) < 10*time.Second; d.pass(20 * time.Millisecond) {
-		for _, h := range d.hosts {
-			d.held(h, nil, nil)
+// startsTogether answers advice requests, each after its expected duration, with tickets
+// for the workers that allows accepts. It reports whether, within 10 s, the given number of
+// tasks start in one tick.
+func (f *fixture) startsTogether(tasks int, ticketTTL time.Duration, allows func(core.WorkerID) bool) bool {
+	turns := &fakeTurns{}
+	var answerAt time.Time
+	for began := f.now; f.now.Sub(began) < 10*time.Second; f.advance(20 * time.Millisecond) {
+		for _, w := range f.workers {
+			f.heartbeat(w, nil, nil)
 		}
-		if ts.busy && !d.now.Before(answer) {
-			ask := ts.asks[len(ts.asks)-1]
+		if turns.busy && !f.now.Before(answerAt) {
+			request := turns.requests[len(turns.requests)-1]
 			var allowed []fleet.AllowedWorker
-			for _, w := range ask.Workers {
-				if may(w) {
+			for _, w := range request.Workers {
+				if allows(w) {
 					allowed = append(allowed, fleet.AllowedWorker{Worker: w, Ticket: "t"})
 				}
 			}
-			d.AdviceReceived(d.now, ask.Phase, ask.Workers, allowed, valid)
-			ts.busy = false
+			f.AdviceReceived(f.now, request.Phase, request.Workers, allowed, ticketTTL)
+			turns.busy = false
 		}
-		if len(d.plan(fleet.OrderStart)) == tasks {
+		if len(f.nextOrders(fleet.OrderStart)) == tasks {
 			return true
 		}
-		if !ts.busy {
-			d.AdviceRequests(d.now, ts)
-			if ts.busy {
-				answer = d.now.Add(ts.asks[len(ts.asks)-1].Cost)
+		if !turns.busy {
+			f.AdviceRequests(f.now, turns)
+			if turns.busy {
+				answerAt = f.now.Add(turns.requests[len(turns.requests)-1].Cost)
 			}
 		}
 	}
 	return false
 }
 
-// TestGangOfManyCalls plays a gang for which no single call finds enough
-// workers, on a fleet with room for it.
-func TestGangOfManyCalls(t *testing.T) {
+// TestGangNeedsManyAdviceRequests checks that a gang starts although no single advice
+// request can find enough workers for it.
+func TestGangNeedsManyAdviceRequests(t *testing.T) {
 	is := is.New(t)
-	d := row(300, policy.Advice{Base: 400 * time.Millisecond, PerWorker: 4 * time.Millisecond, Valid: 800 * time.Millisecond})
-	g := plain("g", 55, true)
-	g.Phases[0].PerWorker = 1
-	d.Accept(d.now, g)
-	is.True(d.started(55, 800*time.Millisecond, func(w core.WorkerID) bool { return w[len(w)-1]%4 == 0 }))
+	f := newAdvisedFixture(300, policy.Advice{Base: 400 * time.Millisecond, PerWorker: 4 * time.Millisecond, Valid: 800 * time.Millisecond})
+	gang := newJob("g", 55, true)
+	gang.Phases[0].PerWorker = 1
+	f.Accept(f.now, gang)
+	is.True(f.startsTogether(55, 800*time.Millisecond, func(w core.WorkerID) bool { return w[len(w)-1]%4 == 0 }))
 }
 
-// TestStaggeredTickets plays a gang whose tickets are of different age: those
-// that would be too old when a call is answered are asked for again with it, so
-// that at last all are good at once.
+// TestStaggeredTickets checks a gang whose tickets expire at different times. A request
+// also names the workers whose tickets would expire before it is answered, so that in the
+// end all tickets are valid at once.
 func TestStaggeredTickets(t *testing.T) {
 	is := is.New(t)
-	d := row(60, policy.Advice{Base: 400 * time.Millisecond, PerWorker: 8 * time.Millisecond, Valid: 1500 * time.Millisecond})
-	g := plain("g", 40, true)
-	g.Phases[0].PerWorker = 1
-	d.Accept(d.now, g)
+	f := newAdvisedFixture(60, policy.Advice{Base: 400 * time.Millisecond, PerWorker: 8 * time.Millisecond, Valid: 1500 * time.Millisecond})
+	gang := newJob("g", 40, true)
+	gang.Phases[0].PerWorker = 1
+	f.Accept(f.now, gang)
 	phase := jobs.PhaseID{Job: "g"}
 	for _, part := range []struct{ from, to int }{{39, 60}, {0, 0}, {0, 0}, {0, 15}, {15, 30}, {30, 39}} {
-		d.pass(500 * time.Millisecond)
+		f.advance(500 * time.Millisecond)
 		var named []core.WorkerID
 		var allowed []fleet.AllowedWorker
-		for _, h := range d.hosts[part.from:part.to] {
-			named = append(named, h.ID())
-			allowed = append(allowed, fleet.AllowedWorker{Worker: h.ID(), Ticket: "t"})
+		for _, w := range f.workers[part.from:part.to] {
+			named = append(named, w.ID())
+			allowed = append(allowed, fleet.AllowedWorker{Worker: w.ID(), Ticket: "t"})
 		}
-		d.AdviceReceived(d.now, phase, named, allowed, 1500*time.Millisecond)
+		f.AdviceReceived(f.now, phase, named, allowed, 1500*time.Millisecond)
 	}
-	is.True(d.started(40, 1500*time.Millisecond, func(core.WorkerID) bool { return true }))
+	is.True(f.startsTogether(40, 1500*time.Millisecond, func(core.WorkerID) bool { return true }))
 }
 
-// TestAskAgainstOdds plays a gang after answers that have allowed nobody: while
-// other workers have room for it, they are asked for, however unlikely.
-func TestAskAgainstOdds(t *testing.T) {
+// TestUnlikelyAdviceRequest checks a gang after answers that have allowed no worker. The
+// workers that have not been named for it are still requested while they have room, even
+// though they are unlikely to be allowed.
+func TestUnlikelyAdviceRequest(t *testing.T) {
 	is := is.New(t)
-	d := row(6, policy.Advice{Base: 5 * time.Millisecond, PerWorker: 100 * time.Microsecond, Valid: time.Second})
-	d.Accept(d.now, plain("g", 3, true))
-	d.Accept(d.now, plain("other", 1, false))
+	f := newAdvisedFixture(6, policy.Advice{Base: 5 * time.Millisecond, PerWorker: 100 * time.Microsecond, Valid: time.Second})
+	f.Accept(f.now, newJob("g", 3, true))
+	f.Accept(f.now, newJob("other", 1, false))
 	var named []core.WorkerID
-	for _, h := range d.hosts {
-		named = append(named, h.ID())
+	for _, w := range f.workers {
+		named = append(named, w.ID())
 	}
-	d.AdviceReceived(d.now, jobs.PhaseID{Job: "other"}, named, nil, time.Second)
-	d.AdviceReceived(d.now, jobs.PhaseID{Job: "g"}, named[:3], nil, time.Second)
-	is.True(d.started(3, time.Second, func(w core.WorkerID) bool { return w >= "w003" }))
+	f.AdviceReceived(f.now, jobs.PhaseID{Job: "other"}, named, nil, time.Second)
+	f.AdviceReceived(f.now, jobs.PhaseID{Job: "g"}, named[:3], nil, time.Second)
+	is.True(f.startsTogether(3, time.Second, func(w core.WorkerID) bool { return w >= "w003" }))
 }
--- a/core/fleet/model_test.go
+++ b/core/fleet/model_test.go
@@ -20,93 +20,98 @@
 )
 
 const (
-	lease    = 6 * time.Second
-	stopTime = 200 * time.Millisecond
-	step     = 20 * time.Millisecond
+	leaseDuration = 6 * time.Second
+	stopDelay     = 200 * time.Millisecond
+	tickInterval  = 20 * time.Millisecond
 )
 
-var dawn = time.Date(2026, 12, 4, 6, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 4, 6, 0, 0, 0, time.UTC)
 
-// rules returns a policy with one queue and one team.
-func rules(limit core.Resources) *policy.Policy {
+// newPolicy returns a policy with one queue and one team.
+func newPolicy(limit core.Resources) *policy.Policy {
 	return policy.New(1,
 		[]policy.Queue{{Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 2, Latency: time.Second}},
 		[]policy.Team{{Name: "t", Weight: 1000, Limit: limit}}, []policy.Service{{Name: "s"}}, 0)
 }
 
-func host(i int) fleet.WorkerInfo {
+func newWorkerInfo(i int) fleet.WorkerInfo {
 	return fleet.WorkerInfo{VM: core.VM{
 		Name: fmt.Sprintf("w%d", i), Kind: "worker", Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), Room: core.Resources{Cores: 4000, Memory: 4000}, Service: "s", Rack: "r",
 	}}
 }
 
-// owner is one board with the orders and records that are on their way.
-type owner struct {
-	board *fleet.Scheduler
-	// dead owners decide nothing more, but their orders may still arrive.
-	dead    bool
-	orders  []flight
-	written time.Time
-	writing []jobs.Progress
-	roster  []fleet.WorkerInfo
+// simOwner is one owner with its orders and its write in flight.
+type simOwner struct {
+	scheduler *fleet.Scheduler
+	// stopped owners make no further decisions, but their orders in flight may still
+	// arrive.
+	stopped  bool
+	inFlight []sentOrder
+	// writtenAt is when the write in flight takes effect; zero if there is none.
+	// The write holds batch and roster.
+	writtenAt time.Time
+	batch     []jobs.Progress
+	roster    []fleet.WorkerInfo
 }
 
-// flight is an order on its way.
-type flight struct {
-	order  fleet.Order
-	sent   time.Time
-	arrive time.Time
-	// lost orders are carried out but not answered.
-	lost bool
+// sentOrder is an order in flight.
+type sentOrder struct {
+	order     fleet.Order
+	sentAt    time.Time
+	arrivesAt time.Time
+	// unanswered orders are executed, but their answers are lost.
+	unanswered bool
 }
 
-// reading is an end that an owner was told of by one incarnation of a worker.
-type reading struct {
-	at     time.Time
-	worker *model.Worker
-	born   time.Time
-	// void is set if the worker's lease lapsed between the end and the reading:
-	// the task may have been started elsewhere meanwhile.
-	void bool
+// endReport is the end of a run that an owner has read from an incarnation of a
+// worker.
+type endReport struct {
+	readAt      time.Time
+	worker      *model.Worker
+	incarnation time.Time
+	// leaseLapsed is set if the worker's lease lapsed between the end and its report,
+	// because the task may have been started on another worker by then.
+	leaseLapsed bool
 }
 
-// harness plays owners and workers under random trouble and checks what must
-// always hold.
+// harness simulates owners and workers with random faults and checks the invariants
+// after each tick.
 type harness struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     time.Time
-	policy  *policy.Policy
-	workers []*model.Worker
-	owners  []*owner
-	specs   map[core.JobID]jobs.Spec
-	stored  []jobs.Spec
-	kept    map[core.JobID]jobs.Progress
-	roster  []fleet.WorkerInfo
-	// read holds the ends of done tasks that an owner was told of.
-	read map[jobs.TaskID]reading
-	// news are jobs that the owner has not been told of yet.
-	news []jobs.Spec
-	// loss and late are the shares of orders without answer and of those that
-	// are also carried out seconds later.
-	loss, late float64
+	t              *testing.T
+	rng            *rand.Rand
+	now            time.Time
+	policy         *policy.Policy
+	workers        []*model.Worker
+	owners         []*simOwner
+	specs          map[core.JobID]jobs.Spec
+	storedSpecs    []jobs.Spec
+	storedProgress map[core.JobID]jobs.Progress
+	storedRoster   []fleet.WorkerInfo
+	// reportedEnds holds the ends of done tasks that an owner has read.
+	reportedEnds map[jobs.TaskID]endReport
+	// unannounced are stored jobs that the current owner reads at its next read of
+	// the store.
+	unannounced []jobs.Spec
+	// lossRate is the share of orders whose answer is lost, delayRate the share of
+	// those orders that are also executed seconds late.
+	lossRate, delayRate float64
 }
 
-func newFleet(t *testing.T, seed uint64, workers int, limit core.Resources) *harness {
-	f := &harness{
-		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: dawn, policy: rules(limit),
-		specs: map[core.JobID]jobs.Spec{}, kept: map[core.JobID]jobs.Progress{}, read: map[jobs.TaskID]reading{},
+func newHarness(t *testing.T, seed uint64, workers int, limit core.Resources) *harness {
+	h := &harness{
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: startTime, policy: newPolicy(limit),
+		specs: map[core.JobID]jobs.Spec{}, storedProgress: map[core.JobID]jobs.Progress{}, reportedEnds: map[jobs.TaskID]endReport{},
 	}
 	for i := range workers {
-		f.workers = append(f.workers, model.New(host(i), f, dawn, 0.98+0.02*f.random.Float64(), lease))
+		h.workers = append(h.workers, model.New(newWorkerInfo(i), h, startTime, 0.98+0.02*h.rng.Float64(), leaseDuration))
 	}
-	f.succeed()
-	return f
+	h.addOwner()
+	return h
 }
 
-// Task implements mimic.Tasks.
-func (f *harness) Task(id jobs.TaskID) model.TaskSpec {
-	p := f.specs[id.Job].Phases[id.Phase]
+// Task implements model.Tasks.
+func (h *harness) Task(id jobs.TaskID) model.TaskSpec {
+	p := h.specs[id.Job].Phases[id.Phase]
 	s := model.TaskSpec{Need: p.Need, Work: p.Estimate, Gang: 1}
 	if p.Gang {
 		s.Gang = p.Count
@@ -114,337 +119,340 @@
 	return s
 }
 
-// Present implements mimic.Tasks.
-func (f *harness) Present(id jobs.PhaseID, run uint64) int {
+// Present implements model.Tasks.
+func (h *harness) Present(id jobs.PhaseID, run uint64) int {
 	n := 0
-	for _, w := range f.workers {
+	for _, w := range h.workers {
 		n += w.GangSize(id, run)
 	}
 	return n
 }
 
-// succeed lets a new owner take over from what is recorded; earlier ones may
-// live on, unaware.
-func (f *harness) succeed() {
-	o := &owner{board: fleet.New(f.now, core.Epoch(len(f.owners)+1), fleet.Limits{Lease: lease, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, f.policy)}
-	o.board.Recover(f.roster, nil)
-	o.board.Load(f.now, slices.Clone(f.stored), maps.Clone(f.kept))
-	f.owners = append(f.owners, o)
-	f.list(o)
+// addOwner lets a new owner take over from the stored state. Earlier owners go on
+// without knowing that they have been replaced, unless they are stopped.
+func (h *harness) addOwner() {
+	o := &simOwner{scheduler: fleet.New(h.now, core.Epoch(len(h.owners)+1), fleet.Limits{Lease: leaseDuration, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, h.policy)}
+	o.scheduler.Recover(h.storedRoster, nil)
+	o.scheduler.Load(h.now, slices.Clone(h.storedSpecs), maps.Clone(h.storedProgress))
+	h.owners = append(h.owners, o)
+	h.listWorkers(o)
 }
 
-func (f *harness) current() *owner { return f.owners[len(f.owners)-1] }
+func (h *harness) currentOwner() *simOwner { return h.owners[len(h.owners)-1] }
 
-func (f *harness) list(o *owner) {
-	var hosts []fleet.WorkerInfo
-	for _, w := range f.workers {
+func (h *harness) listWorkers(o *simOwner) {
+	var listed []fleet.WorkerInfo
+	for _, w := range h.workers {
 		if w.Up {
-			hosts = append(hosts, w.Info)
+			listed = append(listed, w.Info)
 		}
 	}
-	o.board.SetWorkers(f.now, hosts)
+	o.scheduler.SetWorkers(h.now, listed)
 }
 
-func (f *harness) submit(spec jobs.Spec) {
-	spec.Accepted, spec.Team, spec.Queue = f.now, "t", "q"
-	// VMs hear of a new owner now or later.
-	spec.FirstEpoch = core.Epoch(len(f.owners) - f.random.IntN(2))
-	f.specs[spec.ID] = spec
-	f.stored = append(f.stored, spec)
-	// Any owner that lives may hear of it, also one that has been replaced.
-	for _, o := range f.owners {
-		if !o.dead && f.random.IntN(3) > 0 {
-			o.board.Accept(f.now, spec)
-			o.dead = o.board.LaterEpoch() > 0
+func (h *harness) submit(spec jobs.Spec) {
+	spec.Accepted, spec.Team, spec.Queue = h.now, "t", "q"
+	// The VM that accepts the job may not know the current owner yet.
+	spec.FirstEpoch = core.Epoch(len(h.owners) - h.rng.IntN(2))
+	h.specs[spec.ID] = spec
+	h.storedSpecs = append(h.storedSpecs, spec)
+	// Any running owner may receive the job, even one that has been replaced.
+	for _, o := range h.owners {
+		if !o.stopped && h.rng.IntN(3) > 0 {
+			o.scheduler.Accept(h.now, spec)
+			o.stopped = o.scheduler.LaterEpoch() > 0
 		}
 	}
-	f.news = append(f.news, spec)
+	h.unannounced = append(h.unannounced, spec)
 }
 
-// tick lets a moment pass.
-func (f *harness) tick() {
-	f.now = f.now.Add(step)
-	for _, w := range f.workers {
-		w.Advance(f.now)
+// tick advances the simulation by tickInterval.
+func (h *harness) tick() {
+	h.now = h.now.Add(tickInterval)
+	for _, w := range h.workers {
+		w.Advance(h.now)
 	}
-	for _, w := range f.workers {
+	for _, w := range h.workers {
 		w.EndFinished()
 	}
-	if f.now.UnixMilli()%500 < step.Milliseconds() {
-		for _, o := range f.owners {
-			if !o.dead {
-				f.list(o)
+	if h.now.UnixMilli()%500 < tickInterval.Milliseconds() {
+		for _, o := range h.owners {
+			if !o.stopped {
+				h.listWorkers(o)
 			}
 		}
-		for _, s := range f.news {
-			f.current().board.Accept(f.now, s)
+		for _, s := range h.unannounced {
+			h.currentOwner().scheduler.Accept(h.now, s)
 		}
-		f.news = nil
+		h.unannounced = nil
 	}
-	for _, o := range f.owners {
-		f.deliver(o)
-		if !o.dead {
-			f.record(o)
-			o.board.Tick(f.now)
-			f.send(o)
+	for _, o := range h.owners {
+		h.deliverOrders(o)
+		if !o.stopped {
+			h.writeBatch(o)
+			o.scheduler.Tick(h.now)
+			h.sendOrders(o)
 		}
 	}
-	f.check()
+	h.checkInvariants()
 }
 
-func (f *harness) send(o *owner) {
-	for _, ord := range o.board.Orders() {
-		fl := flight{order: ord, sent: f.now, arrive: f.now.Add(time.Duration(1+f.random.IntN(60)) * time.Millisecond)}
-		if f.random.Float64() < f.loss {
-			fl.lost = true
-			if f.random.Float64() < f.late {
-				fl.arrive = f.now.Add(time.Duration(1000+f.random.IntN(9000)) * time.Millisecond)
+func (h *harness) sendOrders(o *simOwner) {
+	for _, ord := range o.scheduler.Orders() {
+		sent := sentOrder{order: ord, sentAt: h.now, arrivesAt: h.now.Add(time.Duration(1+h.rng.IntN(60)) * time.Millisecond)}
+		if h.rng.Float64() < h.lossRate {
+			sent.unanswered = true
+			if h.rng.Float64() < h.delayRate {
+				sent.arrivesAt = h.now.Add(time.Duration(1000+h.rng.IntN(9000)) * time.Millisecond)
 			}
 		}
-		o.orders = append(o.orders, fl)
+		o.inFlight = append(o.inFlight, sent)
 	}
 }
 
-// deliver carries out what has arrived.
-func (f *harness) deliver(o *owner) {
-	var rest []flight
-	due := o.orders
-	o.orders = nil
-	for _, fl := range due {
+// deliverOrders executes the orders that have arrived.
+func (h *harness) deliverOrders(o *simOwner) {
+	var remaining []sentOrder
+	orders := o.inFlight
+	o.inFlight = nil
+	for _, sent := range orders {
 		switch {
-		case fl.arrive.After(f.now):
-			rest = append(rest, fl)
+		case sent.arrivesAt.After(h.now):
+			remaining = append(remaining, sent)
 		default:
-			f.carryOut(o, fl)
+			h.execute(o, sent)
 		}
 	}
-	// Unanswered calls time out at their sender.
-	for i, fl := range rest {
-		if fl.lost && f.now.Sub(fl.sent) > 700*time.Millisecond && !o.dead {
-			f.answer(o, fl, fleet.RunLists{}, fleet.ReplyUnanswered)
-			rest[i].order.Wait = -1
+	// Unanswered calls time out at the owner.
+	for i, sent := range remaining {
+		if sent.unanswered && h.now.Sub(sent.sentAt) > 700*time.Millisecond && !o.stopped {
+			h.answer(o, sent, fleet.RunLists{}, fleet.ReplyUnanswered)
+			remaining[i].order.Wait = -1 // its outcome has been reported
 		}
 	}
-	o.orders = append(o.orders, rest...)
+	o.inFlight = append(o.inFlight, remaining...)
 }
 
-func (f *harness) carryOut(o *owner, fl flight) {
-	w := f.worker(fl.order.Worker)
+func (h *harness) execute(o *simOwner, sent sentOrder) {
+	w := h.worker(sent.order.Worker)
 	reply, lists := fleet.ReplyUnanswered, fleet.RunLists{}
-	// An order on its way to an incarnation ends with it.
-	if w.Up && !w.Unreachable && !w.Info.Incarnation.After(fl.sent) {
-		switch fl.order.Kind {
+	// Orders sent to an earlier incarnation of the worker are lost.
+	if w.Up && !w.Unreachable && !w.Info.Incarnation.After(sent.sentAt) {
+		switch sent.order.Kind {
 		case fleet.OrderStart:
-			reply = w.Start(fl.order)
+			reply = w.Start(sent.order)
 		case fleet.OrderStop:
-			reply = w.Stop(fl.order, stopTime)
+			reply = w.Stop(sent.order, stopDelay)
 		case fleet.OrderHeartbeat:
-			lists, reply = w.Heartbeat(fl.order)
+			lists, reply = w.Heartbeat(sent.order)
 		}
 	}
-	if fl.lost {
+	if sent.unanswered {
 		reply = fleet.ReplyUnanswered
 	}
-	if fl.order.Wait >= 0 && !o.dead {
-		f.answer(o, fl, lists, reply)
+	if sent.order.Wait >= 0 && !o.stopped {
+		h.answer(o, sent, lists, reply)
 	}
 }
 
-func (f *harness) worker(id core.WorkerID) *model.Worker {
-	return f.workers[slices.IndexFunc(f.workers, func(w *model.Worker) bool { return w.Info.ID() == id })]
+func (h *harness) worker(id core.WorkerID) *model.Worker {
+	return h.workers[slices.IndexFunc(h.workers, func(w *model.Worker) bool { return w.Info.ID() == id })]
 }
 
-func (f *harness) answer(o *owner, fl flight, l fleet.RunLists, r fleet.Reply) {
-	if fl.order.Wait < 0 {
+func (h *harness) answer(o *simOwner, sent sentOrder, l fleet.RunLists, r fleet.Reply) {
+	if sent.order.Wait < 0 {
 		return
 	}
 	switch {
 	case r == fleet.ReplyFenced:
-		o.dead = true
-	case fl.order.Kind == fleet.OrderStart:
-		o.board.StartAnswered(f.now, fl.order.Worker, fl.order.Task, fl.order.Run, r)
-	case fl.order.Kind == fleet.OrderStop:
-		o.board.StopAnswered(f.now, fl.order.Worker, fl.order.Task, fl.order.Run, r)
+		o.stopped = true
+	case sent.order.Kind == fleet.OrderStart:
+		o.scheduler.StartAnswered(h.now, sent.order.Worker, sent.order.Task, sent.order.Run, r)
+	case sent.order.Kind == fleet.OrderStop:
+		o.scheduler.StopAnswered(h.now, sent.order.Worker, sent.order.Task, sent.order.Run, r)
 	case r == fleet.ReplyOK:
 		for _, e := range l.Ended {
-			if _, known := f.read[e.Task]; !known && e.Kind == fleet.EndDone {
-				w := f.worker(fl.order.Worker)
-				f.read[e.Task] = reading{f.now, w, w.Info.Incarnation, w.LastLapse.After(endOf(w, e))}
+			if _, known := h.reportedEnds[e.Task]; !known && e.Kind == fleet.EndDone {
+				w := h.worker(sent.order.Worker)
+				h.reportedEnds[e.Task] = endReport{h.now, w, w.Info.Incarnation, w.LastLapse.After(endTime(w, e))}
 			}
 		}
-		o.board.HeartbeatAnswered(f.now, fl.order.Worker, fl.sent, l)
+		o.scheduler.HeartbeatAnswered(h.now, sent.order.Worker, sent.sentAt, l)
 	default:
-		o.board.HeartbeatFailed(f.now, fl.order.Worker)
+		o.scheduler.HeartbeatFailed(h.now, sent.order.Worker)
 	}
 }
 
-// endOf returns when a run that a worker lists has ended.
-func endOf(w *model.Worker, e fleet.EndedRun) time.Time {
+// endTime returns when a run that a worker lists as ended has ended.
+func endTime(w *model.Worker, e fleet.EndedRun) time.Time {
 	i := slices.IndexFunc(w.Log, func(s *model.Start) bool { return s.Task == e.Task && s.Run == e.Run })
 	return w.Log[i].End
 }
 
-// record writes for the owner that holds the seat; for one that has been
-// replaced the write has no effect.
-func (f *harness) record(o *owner) {
-	if !o.written.IsZero() {
-		if f.now.Before(o.written) {
+// writeBatch completes the owner's write in flight once it is due and sends the next
+// one. A write by an owner that has been replaced has no effect and stops the owner.
+func (h *harness) writeBatch(o *simOwner) {
+	if !o.writtenAt.IsZero() {
+		if h.now.Before(o.writtenAt) {
 			return
 		}
-		o.written = time.Time{}
-		if o != f.current() {
-			o.dead = true
+		o.writtenAt = time.Time{}
+		if o != h.currentOwner() {
+			o.stopped = true
 			return
 		}
-		for _, p := range o.writing {
-			f.kept[p.Job] = p
+		for _, p := range o.batch {
+			h.storedProgress[p.Job] = p
 		}
-		f.roster = o.roster
-		o.board.BatchStored(f.now)
-		o.board.RosterStored(o.roster)
+		h.storedRoster = o.roster
+		o.scheduler.BatchStored(h.now)
+		o.scheduler.RosterStored(o.roster)
 	}
-	o.writing, o.roster = o.board.Batch(), o.board.Roster()
-	o.written = f.now.Add(time.Duration(10+f.random.IntN(400)) * time.Millisecond)
+	o.batch, o.roster = o.scheduler.Batch(), o.scheduler.Roster()
+	o.writtenAt = h.now.Add(time.Duration(10+h.rng.IntN(400)) * time.Millisecond)
 }
 
-// check finds what must never be.
-func (f *harness) check() {
-	f.t.Helper()
-	for i, o := range f.owners {
-		for _, n := range o.board.Decisions() {
-			f.t.Logf("%s owner %d: %s %s run %d on %s %s", f.now.Sub(dawn), i+1, n.Event, n.Task, n.Run, n.Worker, n.Reason)
+// checkInvariants logs the decisions and fails the test if a worker is overcommitted, a
+// task is active twice, or a task starts after an owner has read that it is done.
+func (h *harness) checkInvariants() {
+	h.t.Helper()
+	for i, o := range h.owners {
+		for _, d := range o.scheduler.Decisions() {
+			h.t.Logf("%s owner %d: %s %s run %d on %s %s", h.now.Sub(startTime), i+1, d.Event, d.Task, d.Run, d.Worker, d.Reason)
 		}
 	}
-	open := map[jobs.TaskID]*model.Start{}
+	active := map[jobs.TaskID]*model.Start{}
 	var starts []*model.Start
-	for _, w := range f.workers {
+	for _, w := range h.workers {
 		if !w.Running().Fits(w.Info.Room) {
-			f.t.Fatalf("%s holds %+v of %+v", w.Info.Name, w.Running(), w.Info.Room)
+			h.t.Fatalf("worker %s runs tasks of %+v with room for %+v", w.Info.Name, w.Running(), w.Info.Room)
 		}
 		starts = append(starts, w.Log...)
 	}
 	for _, s := range starts {
-		// Ends are lost with the worker that lists them, unless recorded.
-		if r, ok := f.read[s.Task]; ok && !r.void && s.At.After(r.at) && r.worker.Up && !r.worker.Unreachable && r.worker.Info.Incarnation.Equal(r.born) {
-			f.t.Fatalf("an owner has read at %s that %s is done; run %d started at %s", r.at.Sub(dawn), s.Task, s.Run, s.At.Sub(dawn))
+		// An end that has not been stored is lost with the incarnation that lists it.
+		if r, ok := h.reportedEnds[s.Task]; ok && !r.leaseLapsed && s.At.After(r.readAt) && r.worker.Up && !r.worker.Unreachable && r.worker.Info.Incarnation.Equal(r.incarnation) {
+			h.t.Fatalf("an owner has read at %s that task %s is done, but run %d started at %s", r.readAt.Sub(startTime), s.Task, s.Run, s.At.Sub(startTime))
 		}
 		if !s.End.IsZero() {
 			continue
 		}
-		if other := open[s.Task]; other != nil {
-			f.t.Fatalf("at %s: %s runs on %s (run %d) and %s (run %d)", f.now.Sub(dawn), s.Task, other.Worker, other.Run, s.Worker, s.Run)
+		if other := active[s.Task]; other != nil {
+			h.t.Fatalf("at %s: task %s is active on %s (run %d) and on %s (run %d)", h.now.Sub(startTime), s.Task, other.Worker, other.Run, s.Worker, s.Run)
 		}
-		open[s.Task] = s
+		active[s.Task] = s
 	}
 }
 
-func (f *harness) finished() int {
+func (h *harness) completedJobs() int {
 	n := 0
-	for id := range f.specs {
-		if f.kept[id].State == jobs.Completed {
+	for id := range h.specs {
+		if h.storedProgress[id].State == jobs.Completed {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *harness) job(i int) jobs.Spec {
+func (h *harness) randomJob(i int) jobs.Spec {
 	spec := jobs.Spec{ID: core.JobID(fmt.Sprintf("j%d", i)), Payload: "x"}
-	for p := range 1 + f.random.IntN(2) {
-		ph := jobs.Phase{
-			Count: 1 + f.random.IntN(4), Need: core.Resources{Cores: 500 + f.random.Int64N(1500), Memory: 100},
-			Estimate: time.Duration(200+f.random.IntN(2500)) * time.Millisecond, Gang: f.random.IntN(3) == 0,
+	for p := range 1 + h.rng.IntN(2) {
+		phase := jobs.Phase{
+			Count: 1 + h.rng.IntN(4), Need: core.Resources{Cores: 500 + h.rng.Int64N(1500), Memory: 100},
+			Estimate: time.Duration(200+h.rng.IntN(2500)) * time.Millisecond, Gang: h.rng.IntN(3) == 0,
 		}
 		if p > 0 {
-			ph.After = []int{p - 1}
+			phase.After = []int{p - 1}
 		}
-		spec.Phases = append(spec.Phases, ph)
+		spec.Phases = append(spec.Phases, phase)
 	}
 	return spec
 }
 
-func TestCalmFleet(t *testing.T) {
+// TestNoFaults checks that all jobs complete without faults.
+func TestNoFaults(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(t, 1, 4, core.Resources{})
+	h := newHarness(t, 1, 4, core.Resources{})
 	for i := range 20 {
-		f.submit(f.job(i))
+		h.submit(h.randomJob(i))
 	}
 	for range 3000 {
-		f.tick()
+		h.tick()
 	}
-	is.Equal(f.finished(), 20)
-	is.Equal(f.current().board.Refusals(), nil)
+	is.Equal(h.completedJobs(), 20)
+	is.Equal(h.currentOwner().scheduler.Refusals(), nil)
 }
 
-// TestTroubledFleet plays seeds with lost and late orders, crashes, cuts and
-// owners that are replaced while they live on.
-func TestTroubledFleet(t *testing.T) {
+// TestRandomFaults simulates lost and late orders, crashes, unreachable workers, and
+// owners that go on after they have been replaced. Each case has its own random seed.
+func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(120) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			is := is.New(t)
-			f := newFleet(t, seed, 4, core.Resources{})
-			f.loss, f.late = 0.05*f.random.Float64(), f.random.Float64()
-			const jobsTotal, trouble, calm = 25, 700, 3500
-			for i := range trouble {
-				if i%28 == 0 && i/28 < jobsTotal {
-					f.submit(f.job(i / 28))
+			h := newHarness(t, seed, 4, core.Resources{})
+			h.lossRate, h.delayRate = 0.05*h.rng.Float64(), h.rng.Float64()
+			const jobCount, faultyTicks, calmTicks = 25, 700, 3500
+			for i := range faultyTicks {
+				if i%28 == 0 && i/28 < jobCount {
+					h.submit(h.randomJob(i / 28))
 				}
-				f.disturb()
-				f.tick()
+				h.injectFault()
+				h.tick()
 			}
-			f.heal()
-			for range calm {
-				f.tick()
+			h.endFaults()
+			for range calmTicks {
+				h.tick()
 			}
-			if f.finished() != jobsTotal {
-				f.explain()
+			if h.completedJobs() != jobCount {
+				h.logState()
 			}
-			is.Equal(f.finished(), jobsTotal)
-			is.Equal(f.current().board.Refusals(), nil)
+			is.Equal(h.completedJobs(), jobCount)
+			is.Equal(h.currentOwner().scheduler.Refusals(), nil)
 		})
 	}
 }
 
-func (f *harness) disturb() {
-	w := f.workers[f.random.IntN(len(f.workers))]
-	switch f.random.IntN(400) {
+func (h *harness) injectFault() {
+	w := h.workers[h.rng.IntN(len(h.workers))]
+	switch h.rng.IntN(400) {
 	case 0:
-		w.Crash(f.now)
+		w.Crash(h.now)
 	case 1:
 		if !w.Up {
-			w.Restart(f.now)
+			w.Restart(h.now)
 		}
 	case 2:
 		w.Unreachable = true
 	case 3, 4:
 		w.Unreachable = false
 	case 5:
-		// The owner is replaced and knows nothing of it.
-		f.succeed()
+		// The owner is replaced and does not know it.
+		h.addOwner()
 	case 6:
-		f.current().dead = true
-		f.succeed()
+		// The owner stops and is replaced.
+		h.currentOwner().stopped = true
+		h.addOwner()
 	}
 }
 
-func (f *harness) heal() {
-	f.loss = 0
-	for _, w := range f.workers {
+func (h *harness) endFaults() {
+	h.lossRate = 0
+	for _, w := range h.workers {
 		w.Unreachable = false
 		if !w.Up {
-			w.Restart(f.now)
+			w.Restart(h.now)
 		}
 	}
-	if f.current().dead {
-		f.succeed()
+	if h.currentOwner().stopped {
+		h.addOwner()
 	}
 }
 
-// explain logs what keeps jobs from ending.
-func (f *harness) explain() {
-	text, err := json.MarshalIndent(f.current().board.Dump(), "", " ")
+// logState logs the state of the current owner, to show why jobs have not ended.
+func (h *harness) logState() {
+	text, err := json.MarshalIndent(h.currentOwner().scheduler.Dump(), "", " ")
 	if err != nil {
-		f.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	f.t.Logf("%s", text)
+	h.t.Logf("%s", text)
 }
--- a/core/fleet/restart_test.go
+++ b/core/fleet/restart_test.go
@@ -9,134 +9,147 @@
 	"chicoryturn/core/fleet"
 )
 
-func TestRebornWorker(t *testing.T) {
+// TestNewIncarnation checks that an owner uses a restarted worker only once its new
+// incarnation is in the stored roster.
+func TestNewIncarnation(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, 1)
-	d.open()
-	old := d.Roster()
-	reborn := d.hosts[0]
-	reborn.Incarnation = d.now
-	d.pass(time.Second)
-	d.held(reborn, nil, nil)
-	d.Accept(d.now, plain("j", 1, false))
-	is.Equal(len(d.plan(fleet.OrderStart)), 0)
-	d.RosterStored(old) // a record that was on its way
-	is.Equal(len(d.plan(fleet.OrderStart)), 0)
-	d.RosterStored(d.Roster())
-	is.Equal(len(d.plan(fleet.OrderStart)), 1)
+	f := newFixture(1, 1)
+	f.registerWorkers()
+	oldRoster := f.Roster()
+	restarted := f.workers[0]
+	restarted.Incarnation = f.now
+	f.advance(time.Second)
+	f.heartbeat(restarted, nil, nil)
+	f.Accept(f.now, newJob("j", 1, false))
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
+	f.RosterStored(oldRoster) // this write was in flight during the restart
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
+	f.RosterStored(f.Roster())
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 1)
 }
 
-func TestRebornBeforeFirstAnswer(t *testing.T) {
-	for name, listed := range map[string]bool{"told by its answer": false, "told by the list": true} {
+// TestNewIncarnationBeforeFirstAnswer checks a worker that restarts after it was listed
+// and stored in the roster, and before it has answered this owner. The owner learns of
+// the new incarnation from the worker's answer or from the list, and uses it only once
+// it is in the stored roster.
+func TestNewIncarnationBeforeFirstAnswer(t *testing.T) {
+	for name, listed := range map[string]bool{"in its answer": false, "in the list": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(1, 1)
-			d.SetWorkers(d.now, d.hosts)
-			d.RosterStored(d.Roster())
-			reborn := d.hosts[0]
-			reborn.Incarnation = d.now
-			d.pass(time.Second)
+			f := newFixture(1, 1)
+			f.SetWorkers(f.now, f.workers)
+			f.RosterStored(f.Roster())
+			restarted := f.workers[0]
+			restarted.Incarnation = f.now
+			f.advance(time.Second)
 			if listed {
-				d.SetWorkers(d.now, []fleet.WorkerInfo{reborn})
+				f.SetWorkers(f.now, []fleet.WorkerInfo{restarted})
 			}
-			d.held(reborn, nil, nil)
-			d.Accept(d.now, plain("j", 1, false))
-			is.Equal(len(d.plan(fleet.OrderStart)), 0)
-			is.Equal(d.Roster()[0].Incarnation, reborn.Incarnation)
-			d.RosterStored(d.Roster())
-			is.Equal(len(d.plan(fleet.OrderStart)), 1)
+			f.heartbeat(restarted, nil, nil)
+			f.Accept(f.now, newJob("j", 1, false))
+			is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
+			is.Equal(f.Roster()[0].Incarnation, restarted.Incarnation)
+			f.RosterStored(f.Roster())
+			is.Equal(len(f.nextOrders(fleet.OrderStart)), 1)
 		})
 	}
 }
 
-func TestStartOnRebornWorker(t *testing.T) {
-	for name, there := range map[string]bool{"on the new incarnation": true, "on the old one": false} {
+// TestStartOnNewIncarnation checks a worker that restarts, unknown to the owner, around
+// the time of a start order. A run that the new incarnation reports is not started
+// elsewhere; a run that only the old incarnation had is.
+func TestStartOnNewIncarnation(t *testing.T) {
+	for name, onNewIncarnation := range map[string]bool{"on the new incarnation": true, "on the old incarnation": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(1, 2)
-			d.open()
-			d.Accept(d.now, plain("j", 1, false))
-			s := d.plan(fleet.OrderStart)[0]
-			d.begin([]fleet.Order{s})
-			d.pass(100 * time.Millisecond)
-			h := s.Info
-			h.Incarnation = d.now
+			f := newFixture(1, 2)
+			f.registerWorkers()
+			f.Accept(f.now, newJob("j", 1, false))
+			s := f.nextOrders(fleet.OrderStart)[0]
+			f.confirmStarts([]fleet.Order{s})
+			f.advance(100 * time.Millisecond)
+			w := s.Info
+			w.Incarnation = f.now
 			var active []fleet.ActiveRun
-			if there {
+			if onNewIncarnation {
 				active = []fleet.ActiveRun{{Task: s.Task, Run: s.Run, Percent: 10}}
 			}
-			d.held(h, active, nil)
-			for _, other := range d.hosts {
+			f.heartbeat(w, active, nil)
+			for _, other := range f.workers {
 				if other.ID() != s.Worker {
-					d.held(other, nil, nil)
+					f.heartbeat(other, nil, nil)
 				}
 			}
-			is.Equal(len(d.plan(fleet.OrderStart)) == 0, there)
-			if there {
-				d.pass(time.Second)
-				d.held(h, nil, done(1, s))
-				is.Equal(len(d.plan(fleet.OrderStart)), 0)
-				is.Equal(len(d.Batch()), 1) // the job's end
+			is.Equal(len(f.nextOrders(fleet.OrderStart)) == 0, onNewIncarnation)
+			if onNewIncarnation {
+				f.advance(time.Second)
+				f.heartbeat(w, nil, doneEnd(1, s))
+				is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
+				is.Equal(len(f.Batch()), 1) // the job's end
 			}
 		})
 	}
 }
 
-func TestUnansweredStartOnRebornWorker(t *testing.T) {
+// TestUnansweredStartOnNewIncarnation checks a start order without an answer to a worker
+// that has restarted since. The new incarnation may still execute the order, so the task
+// waits until that incarnation has answered a stop.
+func TestUnansweredStartOnNewIncarnation(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, 2)
-	d.open()
-	d.Accept(d.now, plain("j", 1, false))
-	s := d.plan(fleet.OrderStart)[0]
-	d.StartAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyUnanswered)
-	is.Equal(len(d.Orders()), 1)                                  // a stop
-	d.StopAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK) // by the old one
-	d.pass(100 * time.Millisecond)
-	h := s.Info
-	h.Incarnation = d.now
-	answer := func() {
-		for _, other := range d.hosts {
+	f := newFixture(1, 2)
+	f.registerWorkers()
+	f.Accept(f.now, newJob("j", 1, false))
+	s := f.nextOrders(fleet.OrderStart)[0]
+	f.StartAnswered(f.now, s.Worker, s.Task, s.Run, fleet.ReplyUnanswered)
+	is.Equal(len(f.Orders()), 1)                                  // a stop
+	f.StopAnswered(f.now, s.Worker, s.Task, s.Run, fleet.ReplyOK) // answered by the old incarnation
+	f.advance(100 * time.Millisecond)
+	w := s.Info
+	w.Incarnation = f.now
+	answerHeartbeats := func() {
+		for _, other := range f.workers {
 			if other.ID() != s.Worker {
-				d.held(other, nil, nil)
+				f.heartbeat(other, nil, nil)
 			}
 		}
-		d.held(h, nil, nil)
+		f.heartbeat(w, nil, nil)
 	}
-	answer()
-	d.Tick(d.now)
+	answerHeartbeats()
+	f.Tick(f.now)
 	stops := 0
-	for _, o := range d.Orders() {
+	for _, o := range f.Orders() {
 		is.True(o.Kind != fleet.OrderStart)
 		if o.Kind == fleet.OrderStop {
 			stops++
 		}
 	}
 	is.Equal(stops, 1)
-	d.StopAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
-	d.pass(100 * time.Millisecond)
-	answer()
-	is.Equal(len(d.plan(fleet.OrderStart)), 1)
+	f.StopAnswered(f.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
+	f.advance(100 * time.Millisecond)
+	answerHeartbeats()
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 1)
 }
 
-// TestStaleAcknowledgement plays ends that are recorded a while after they were
-// listed: the worker may have started again meanwhile, and numbers its ends anew.
-// It must not be told to forget ends by the old numbers.
+// TestStaleAcknowledgement checks ends that are stored a second after the worker has
+// listed them. The worker may have restarted by then, and a new incarnation numbers its
+// ends from 1 again, so the ends must not be acknowledged by the old numbers before the
+// worker has answered another heartbeat.
 func TestStaleAcknowledgement(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, 1)
-	d.open()
-	d.Accept(d.now, plain("j", 1, false))
-	s := d.plan(fleet.OrderStart)[0]
-	d.begin([]fleet.Order{s})
-	d.pass(time.Second)
-	d.held(d.hosts[0], nil, done(1, s))
-	is.Equal(len(d.Batch()), 1)
-	is.Equal(len(d.plan(fleet.OrderHeartbeat)), 0)
-	d.pass(time.Second)
-	d.BatchStored(d.now)
-	holds := d.plan(fleet.OrderHeartbeat)
-	is.Equal(len(holds), 1)
-	is.Equal(holds[0].AckedEnd, uint64(0)) // it has not been heard of for a second
-	d.held(d.hosts[0], nil, done(1, s))
-	is.Equal(d.plan(fleet.OrderHeartbeat)[0].AckedEnd, uint64(1))
+	f := newFixture(1, 1)
+	f.registerWorkers()
+	f.Accept(f.now, newJob("j", 1, false))
+	s := f.nextOrders(fleet.OrderStart)[0]
+	f.confirmStarts([]fleet.Order{s})
+	f.advance(time.Second)
+	f.heartbeat(f.workers[0], nil, doneEnd(1, s))
+	is.Equal(len(f.Batch()), 1)
+	is.Equal(len(f.nextOrders(fleet.OrderHeartbeat)), 0)
+	f.advance(time.Second)
+	f.BatchStored(f.now)
+	heartbeats := f.nextOrders(fleet.OrderHeartbeat)
+	is.Equal(len(heartbeats), 1)
+	is.Equal(heartbeats[0].AckedEnd, uint64(0)) // it has answered no heartbeat for a second
+	f.heartbeat(f.workers[0], nil, doneEnd(1, s))
+	is.Equal(f.nextOrders(fleet.OrderHeartbeat)[0].AckedEnd, uint64(1))
 }
--- a/core/fleet/takeover_test.go
+++ b/core/fleet/takeover_test.go
@@ -11,46 +11,49 @@
 	"chicoryturn/core/jobs"
 )
 
-// desk is a board with workers that the test answers for.
-type desk struct {
+// fixture is a scheduler whose workers are played by the test.
+type fixture struct {
 	*fleet.Scheduler
-	now   time.Time
-	hosts []fleet.WorkerInfo
+	now     time.Time
+	workers []fleet.WorkerInfo
 }
 
-func newDesk(epoch core.Epoch, workers int) *desk {
-	d := &desk{now: dawn, Scheduler: fleet.New(dawn, epoch, fleet.Limits{Lease: lease, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, rules(core.Resources{}))}
+func newFixture(epoch core.Epoch, workers int) *fixture {
+	f := &fixture{now: startTime, Scheduler: fleet.New(startTime, epoch, fleet.Limits{Lease: leaseDuration, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, newPolicy(core.Resources{}))}
 	for i := range workers {
-		h := host(i)
-		h.Incarnation = dawn.Add(-time.Hour)
-		d.hosts = append(d.hosts, h)
+		w := newWorkerInfo(i)
+		w.Incarnation = startTime.Add(-time.Hour)
+		f.workers = append(f.workers, w)
 	}
-	return d
+	return f
 }
 
-// open makes all workers known and heard.
-func (d *desk) open() {
-	d.SetWorkers(d.now, d.hosts)
-	d.RosterStored(d.Roster())
-	for _, h := range d.hosts {
-		d.held(h, nil, nil)
+// registerWorkers lists all workers, stores the roster, and has each worker answer a
+// heartbeat.
+func (f *fixture) registerWorkers() {
+	f.SetWorkers(f.now, f.workers)
+	f.RosterStored(f.Roster())
+	for _, w := range f.workers {
+		f.heartbeat(w, nil, nil)
 	}
 }
 
-func (d *desk) held(h fleet.WorkerInfo, active []fleet.ActiveRun, ended []fleet.EndedRun) {
-	d.HeartbeatAnswered(d.now, h.ID(), d.now, fleet.RunLists{Clock: d.now.Sub(dawn), Incarnation: h.Incarnation, Active: active, Ended: ended})
+// heartbeat answers a heartbeat for a worker with its active and ended runs.
+func (f *fixture) heartbeat(w fleet.WorkerInfo, active []fleet.ActiveRun, ended []fleet.EndedRun) {
+	f.HeartbeatAnswered(f.now, w.ID(), f.now, fleet.RunLists{Clock: f.now.Sub(startTime), Incarnation: w.Incarnation, Active: active, Ended: ended})
 }
 
-// done is the end of an order's run, as its worker lists it.
-func done(number uint64, o fleet.Order) []fleet.EndedRun {
+// doneEnd returns the list of ends with which a worker reports that an order's run is
+// done.
+func doneEnd(number uint64, o fleet.Order) []fleet.EndedRun {
 	return []fleet.EndedRun{{Number: number, Task: o.Task, Run: o.Run, Kind: fleet.EndDone, Reason: "done"}}
 }
 
-// plan returns the orders of one kind that the board gives now.
-func (d *desk) plan(kind fleet.OrderKind) []fleet.Order {
-	d.Tick(d.now)
+// nextOrders runs the scheduler and returns its orders of one kind.
+func (f *fixture) nextOrders(kind fleet.OrderKind) []fleet.Order {
+	f.Tick(f.now)
 	var out []fleet.Order
-	for _, o := range d.Orders() {
+	for _, o := range f.Orders() {
 		if o.Kind == kind {
 			out = append(out, o)
 		}
@@ -58,55 +61,55 @@
 	return out
 }
 
-func (d *desk) pass(t time.Duration) { d.now = d.now.Add(t) }
+func (f *fixture) advance(t time.Duration) { f.now = f.now.Add(t) }
 
-// plain is a job of one phase.
-func plain(id string, count int, gang bool) jobs.Spec {
-	return jobs.Spec{ID: core.JobID(id), Team: "t", Queue: "q", Accepted: dawn, Phases: []jobs.Phase{
+// newJob returns a job of one phase.
+func newJob(id string, count int, gang bool) jobs.Spec {
+	return jobs.Spec{ID: core.JobID(id), Team: "t", Queue: "q", Accepted: startTime, Phases: []jobs.Phase{
 		{Count: count, Need: core.Resources{Cores: 1000}, Estimate: time.Second, Gang: gang},
 	}}
 }
 
-func taskOf(id string, index int) jobs.TaskID {
+func newTaskID(id string, index int) jobs.TaskID {
 	return jobs.TaskID{PhaseID: jobs.PhaseID{Job: core.JobID(id)}, Index: index}
 }
 
-// TestSilentWorker plays a worker that is gone for good while the platform
-// still lists it: its task must start elsewhere once the lease has surely
-// ended, and not before.
+// TestSilentWorker checks a worker that answers no more heartbeats while the platform
+// still lists it. Its task must start on another worker once the lease has ended even
+// on a slow clock, and not before.
 func TestSilentWorker(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, 2)
-	d.open()
-	d.Accept(d.now, plain("j", 1, false))
-	first := d.plan(fleet.OrderStart)
+	f := newFixture(1, 2)
+	f.registerWorkers()
+	f.Accept(f.now, newJob("j", 1, false))
+	first := f.nextOrders(fleet.OrderStart)
 	is.Equal(len(first), 1)
-	d.StartAnswered(d.now, first[0].Worker, first[0].Task, first[0].Run, fleet.ReplyOK)
-	for _, h := range d.hosts {
-		if h.ID() == first[0].Worker {
-			d.HeartbeatFailed(d.now, h.ID())
+	f.StartAnswered(f.now, first[0].Worker, first[0].Task, first[0].Run, fleet.ReplyOK)
+	for _, w := range f.workers {
+		if w.ID() == first[0].Worker {
+			f.HeartbeatFailed(f.now, w.ID())
 		} else {
-			d.held(h, nil, nil)
+			f.heartbeat(w, nil, nil)
 		}
 	}
-	longest := lease*100/98 + 200*time.Millisecond
-	for d.now.Sub(dawn) < longest {
-		d.pass(100 * time.Millisecond)
-		d.SetWorkers(d.now, d.hosts)
-		d.Tick(d.now)
+	maxWait := leaseDuration*100/98 + 200*time.Millisecond
+	for f.now.Sub(startTime) < maxWait {
+		f.advance(100 * time.Millisecond)
+		f.SetWorkers(f.now, f.workers)
+		f.Tick(f.now)
 		var starts []fleet.Order
-		for _, o := range d.Orders() {
+		for _, o := range f.Orders() {
 			switch {
 			case o.Kind == fleet.OrderStart:
 				starts = append(starts, o)
 			case o.Worker == first[0].Worker:
-				d.HeartbeatFailed(d.now, o.Worker)
+				f.HeartbeatFailed(f.now, o.Worker)
 			case o.Kind == fleet.OrderHeartbeat:
-				d.held(o.Info, nil, nil)
+				f.heartbeat(o.Info, nil, nil)
 			}
 		}
-		if d.now.Sub(dawn) <= lease {
-			is.Equal(len(starts), 0) // the lease may still hold
+		if f.now.Sub(startTime) <= leaseDuration {
+			is.Equal(len(starts), 0) // the lease may still be valid
 		}
 		if len(starts) == 1 {
 			is.True(starts[0].Worker != first[0].Worker)
@@ -117,364 +120,355 @@
 	t.Fatal("the task was not started again")
 }
 
-// TestWorkerComesBack plays a worker that answers again long after its lease
-// has ended: it is used again.
-func TestWorkerComesBack(t *testing.T) {
+// TestWorkerAnswersAgain checks that a worker is used again when it answers long after
+// its lease has ended.
+func TestWorkerAnswersAgain(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, 1)
-	d.open()
-	d.plan(fleet.OrderHeartbeat)
-	d.HeartbeatFailed(d.now, d.hosts[0].ID())
+	f := newFixture(1, 1)
+	f.registerWorkers()
+	f.nextOrders(fleet.OrderHeartbeat)
+	f.HeartbeatFailed(f.now, f.workers[0].ID())
 	for range 100 {
-		d.pass(100 * time.Millisecond)
-		if len(d.plan(fleet.OrderHeartbeat)) > 0 {
-			d.HeartbeatFailed(d.now, d.hosts[0].ID())
+		f.advance(100 * time.Millisecond)
+		if len(f.nextOrders(fleet.OrderHeartbeat)) > 0 {
+			f.HeartbeatFailed(f.now, f.workers[0].ID())
 		}
 	}
-	d.held(d.hosts[0], nil, nil)
-	d.Accept(d.now, plain("j", 1, false))
-	is.Equal(len(d.plan(fleet.OrderStart)), 1)
+	f.heartbeat(f.workers[0], nil, nil)
+	f.Accept(f.now, newJob("j", 1, false))
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 1)
 }
 
-// TestWorkerLeaves has rows: what the last entry of a worker said, how long
-// before its disappearance it was renewed, and whether its task starts elsewhere
-// at once.
+// TestWorkerLeaves checks when the task of a worker that the platform no longer lists
+// may start on another worker at once. Cases: whether the worker's last entry said that
+// it was leaving, how long before the entry disappeared it was renewed, and whether the
+// task starts at once.
 func TestWorkerLeaves(t *testing.T) {
 	for name, c := range map[string]struct {
-		leaving bool
-		silence time.Duration
-		at1     bool
+		leaving      bool
+		sinceRenewal time.Duration
+		startsAtOnce bool
 	}{
-		"left by plan":          {leaving: true, silence: time.Second, at1: true},
-		"leaving, then cut off": {leaving: true, silence: 4500 * time.Millisecond},
-		"vanished":              {silence: time.Second},
+		"drained":                   {leaving: true, sinceRenewal: time.Second, startsAtOnce: true},
+		"leaving, then unreachable": {leaving: true, sinceRenewal: 4500 * time.Millisecond},
+		"disappeared":               {sinceRenewal: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(1, 2)
-			d.open()
-			d.Accept(d.now, plain("j", 1, false))
-			first := d.plan(fleet.OrderStart)
-			d.begin(first)
-			var kept []fleet.WorkerInfo
-			for i := range d.hosts {
-				d.hosts[i].Renewals++
-				if d.hosts[i].ID() == first[0].Worker {
-					d.hosts[i].Leaving = c.leaving
+			f := newFixture(1, 2)
+			f.registerWorkers()
+			f.Accept(f.now, newJob("j", 1, false))
+			first := f.nextOrders(fleet.OrderStart)
+			f.confirmStarts(first)
+			var remaining []fleet.WorkerInfo
+			for i := range f.workers {
+				f.workers[i].Renewals++
+				if f.workers[i].ID() == first[0].Worker {
+					f.workers[i].Leaving = c.leaving
 				} else {
-					kept = append(kept, d.hosts[i])
+					remaining = append(remaining, f.workers[i])
 				}
 			}
-			d.SetWorkers(d.now, d.hosts)
-			d.pass(c.silence)
-			d.held(kept[0], nil, nil)
-			d.HeartbeatFailed(d.now, first[0].Worker)
-			d.SetWorkers(d.now, kept)
-			is.Equal(len(d.plan(fleet.OrderStart)) == 1, c.at1)
+			f.SetWorkers(f.now, f.workers)
+			f.advance(c.sinceRenewal)
+			f.heartbeat(remaining[0], nil, nil)
+			f.HeartbeatFailed(f.now, first[0].Worker)
+			f.SetWorkers(f.now, remaining)
+			is.Equal(len(f.nextOrders(fleet.OrderStart)) == 1, c.startsAtOnce)
 		})
 	}
 }
 
-// TestIdleWorkerLeaves plays a worker on which nothing runs that falls silent
-// and is no longer listed: a later owner need not wait for it.
+// TestIdleWorkerLeaves checks that an idle worker is removed from the roster soon after
+// it has stopped answering and the platform no longer lists it, so that a later owner
+// need not wait for it.
 func TestIdleWorkerLeaves(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, 2)
-	d.open()
-	d.plan(fleet.OrderHeartbeat)
-	d.HeartbeatFailed(d.now, d.hosts[0].ID())
+	f := newFixture(1, 2)
+	f.registerWorkers()
+	f.nextOrders(fleet.OrderHeartbeat)
+	f.HeartbeatFailed(f.now, f.workers[0].ID())
 	for range 6 {
-		d.SetWorkers(d.now, d.hosts[1:])
-		d.pass(500 * time.Millisecond)
+		f.SetWorkers(f.now, f.workers[1:])
+		f.advance(500 * time.Millisecond)
 	}
-	is.Equal(len(d.Roster()), 1)
+	is.Equal(len(f.Roster()), 1)
 }
 
-// TestAbsence plays a new owner whose process has seen a worker of the roster
-// missing from the list for long: older tasks need not wait for it. A gap in the
-// readings shows nothing.
+// TestAbsence checks that a new owner does not wait for a worker of the roster that its
+// process has seen missing from the platform's list for long enough. With a long gap
+// between two lists, the worker does not count as missing for that time.
 func TestAbsence(t *testing.T) {
 	for name, c := range map[string]struct {
-		pause  time.Duration
-		starts int
-	}{"seen all the while": {2 * time.Second, 1}, "with gaps": {4 * time.Second, 0}} {
+		interval time.Duration
+		starts   int
+	}{"no gap": {2 * time.Second, 1}, "gaps": {4 * time.Second, 0}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(2, 2)
-			a := fleet.NewAbsenceTracker()
-			a.Observe(d.now, d.hosts)
+			f := newFixture(2, 2)
+			tracker := fleet.NewAbsenceTracker()
+			tracker.Observe(f.now, f.workers)
 			for range 4 {
-				d.pass(c.pause)
-				a.Observe(d.now, d.hosts[:1])
+				f.advance(c.interval)
+				tracker.Observe(f.now, f.workers[:1])
 			}
-			d.Recover(d.hosts, a.Since())
-			d.Load(d.now, []jobs.Spec{plain("j", 1, false)}, nil)
-			d.SetWorkers(d.now, d.hosts[:1])
-			d.RosterStored(d.Roster())
-			d.held(d.hosts[0], nil, nil)
-			is.Equal(len(d.plan(fleet.OrderStart)), c.starts)
+			f.Recover(f.workers, tracker.Since())
+			f.Load(f.now, []jobs.Spec{newJob("j", 1, false)}, nil)
+			f.SetWorkers(f.now, f.workers[:1])
+			f.RosterStored(f.Roster())
+			f.heartbeat(f.workers[0], nil, nil)
+			is.Equal(len(f.nextOrders(fleet.OrderStart)), c.starts)
 		})
 	}
 }
 
-// TestEndOfUnknownJob plays an end that reaches a new owner before the job
-// does: the task must not run again.
+// TestEndOfUnknownJob checks that a task does not run again if its end reaches a new
+// owner before its job does.
 func TestEndOfUnknownJob(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(2, 2)
-	d.SetWorkers(d.now, d.hosts)
-	d.RosterStored(d.Roster())
-	ends := []fleet.EndedRun{{Number: 1, Task: taskOf("j", 0), Run: 1, Kind: fleet.EndDone, Reason: "done"}}
-	d.held(d.hosts[0], nil, ends)
-	d.held(d.hosts[1], nil, nil)
-	is.True(d.UnknownJobSeen()) // the owner is told to read what is recorded
-	d.Accept(d.now, plain("j", 1, false))
-	is.Equal(len(d.plan(fleet.OrderStart)), 0)
-	d.pass(100 * time.Millisecond)
-	d.held(d.hosts[0], nil, ends)
-	is.Equal(len(d.plan(fleet.OrderStart)), 0)
-	is.Equal(len(d.Batch()), 1)
-	d.BatchStored(d.now)
-	state, known := d.State("j")
+	f := newFixture(2, 2)
+	f.SetWorkers(f.now, f.workers)
+	f.RosterStored(f.Roster())
+	ends := []fleet.EndedRun{{Number: 1, Task: newTaskID("j", 0), Run: 1, Kind: fleet.EndDone, Reason: "done"}}
+	f.heartbeat(f.workers[0], nil, ends)
+	f.heartbeat(f.workers[1], nil, nil)
+	is.True(f.UnknownJobSeen()) // the owner must read the stored jobs
+	f.Accept(f.now, newJob("j", 1, false))
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
+	f.advance(100 * time.Millisecond)
+	f.heartbeat(f.workers[0], nil, ends)
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
+	is.Equal(len(f.Batch()), 1)
+	f.BatchStored(f.now)
+	state, known := f.State("j")
 	is.True(known)
 	is.Equal(state, jobs.Completed)
 }
 
-// TestRunOfUnknownJob plays a run that reaches a new owner before the job does.
+// TestRunOfUnknownJob checks that a task is not started again if a worker reports its run
+// to a new owner before the owner has read the job.
 func TestRunOfUnknownJob(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(2, 2)
-	d.SetWorkers(d.now, d.hosts)
-	d.RosterStored(d.Roster())
-	d.held(d.hosts[0], []fleet.ActiveRun{{Task: taskOf("j", 0), Run: 1}}, nil)
-	d.held(d.hosts[1], nil, nil)
-	d.Accept(d.now, plain("j", 1, false))
-	is.Equal(len(d.plan(fleet.OrderStart)), 0)
-	state, _ := d.State("j")
+	f := newFixture(2, 2)
+	f.SetWorkers(f.now, f.workers)
+	f.RosterStored(f.Roster())
+	f.heartbeat(f.workers[0], []fleet.ActiveRun{{Task: newTaskID("j", 0), Run: 1}}, nil)
+	f.heartbeat(f.workers[1], nil, nil)
+	f.Accept(f.now, newJob("j", 1, false))
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
+	state, _ := f.State("j")
 	is.Equal(state, jobs.Running)
 }
 
-// TestRebornWorker plays a worker that starts anew under its name: an owner
-// uses it only once the new incarnation is in the recorded roster.
-// TestRebornBeforeFirstAnswer plays a worker that starts anew after it was listed
-// and recorded, before it has ever answered this owner: the new incarnation, told
-// by its own answer or by the list, is used only once it is recorded.
-// TestNewJobsAfterTakeOver plays a take-over with a worker that does not answer. Has
-// rows: how a job reaches the new owner, which owner its VM knew of when it took
-// the job, and whether the job starts while the worker is awaited: what an earlier
-// owner cannot have started need not wait.
+// TestNewJobsAfterTakeOver checks a new owner while one worker of the roster has not
+// answered yet. A job starts at once only if no earlier owner can have started it.
+// Cases: whether the new owner reads the job from the store or receives it from a VM,
+// which owner that VM knew when it accepted the job, and how many jobs start.
 func TestNewJobsAfterTakeOver(t *testing.T) {
 	for name, c := range map[string]struct {
-		from   core.Epoch
-		load   bool
-		starts int
+		firstEpoch core.Epoch
+		stored     bool
+		starts     int
 	}{
-		"told, earlier owner known":    {from: 1},
-		"told, this owner known":       {from: 2, starts: 1},
-		"recorded, earlier owner":      {from: 1, load: true},
-		"recorded, this owner":         {from: 2, load: true, starts: 1},
-		"told, of a later owner":       {from: 3},
-		"recorded, of a later owner":   {from: 3, load: true},
-		"recorded by an older version": {load: true},
+		"received, earlier owner":    {firstEpoch: 1},
+		"received, this owner":       {firstEpoch: 2, starts: 1},
+		"stored, earlier owner":      {firstEpoch: 1, stored: true},
+		"stored, this owner":         {firstEpoch: 2, stored: true, starts: 1},
+		"received, later owner":      {firstEpoch: 3},
+		"stored, later owner":        {firstEpoch: 3, stored: true},
+		"stored by an older version": {stored: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(2, 2)
-			d.Recover(d.hosts, nil)
-			old, young := plain("old", 1, false), plain("young", 1, false)
-			old.FirstEpoch, young.FirstEpoch = 1, c.from
-			recorded := []jobs.Spec{old}
-			if c.load {
-				recorded = append(recorded, young)
+			f := newFixture(2, 2)
+			f.Recover(f.workers, nil)
+			old, young := newJob("old", 1, false), newJob("young", 1, false)
+			old.FirstEpoch, young.FirstEpoch = 1, c.firstEpoch
+			stored := []jobs.Spec{old}
+			if c.stored {
+				stored = append(stored, young)
 			}
-			d.Load(d.now, recorded, nil)
-			d.SetWorkers(d.now, d.hosts)
-			d.RosterStored(d.Roster())
-			d.held(d.hosts[0], nil, nil)
-			if !c.load {
-				d.Accept(d.now, young)
+			f.Load(f.now, stored, nil)
+			f.SetWorkers(f.now, f.workers)
+			f.RosterStored(f.Roster())
+			f.heartbeat(f.workers[0], nil, nil)
+			if !c.stored {
+				f.Accept(f.now, young)
 			}
-			starts := d.plan(fleet.OrderStart)
+			starts := f.nextOrders(fleet.OrderStart)
 			is.Equal(len(starts), c.starts)
 			for _, s := range starts {
 				is.Equal(s.Task.Job, young.ID)
-				is.Equal(s.Worker, d.hosts[0].ID())
+				is.Equal(s.Worker, f.workers[0].ID())
 			}
-			is.Equal(d.LaterEpoch() > 0, c.from > 2)
-			d.begin(starts)
-			d.held(d.hosts[1], nil, nil)
-			if c.from <= 2 {
-				is.Equal(len(d.plan(fleet.OrderStart)), 2-c.starts) // all has been heard of
+			is.Equal(f.LaterEpoch() > 0, c.firstEpoch > 2)
+			f.confirmStarts(starts)
+			f.heartbeat(f.workers[1], nil, nil)
+			if c.firstEpoch <= 2 {
+				is.Equal(len(f.nextOrders(fleet.OrderStart)), 2-c.starts) // all workers have answered
 			}
 		})
 	}
 }
 
-// TestResumedBoard plays an owner that has forgotten what it decided under its
-// epoch: nothing is taken for not started.
-func TestResumedBoard(t *testing.T) {
+// TestLostState checks an owner that has lost the decisions it made in its epoch. It must
+// assume that any task may have been started until all workers have answered.
+func TestLostState(t *testing.T) {
 	for _, epoch := range []core.Epoch{1, 2} {
 		is := is.New(t)
-		d := newDesk(epoch, 2)
-		d.Scheduler = fleet.New(dawn, epoch, fleet.Limits{Lease: lease, RemoteFactor: 1}, rules(core.Resources{}), fleet.WithLostState())
-		d.Recover(d.hosts, nil)
-		j := plain("j", 1, false)
+		f := newFixture(epoch, 2)
+		f.Scheduler = fleet.New(startTime, epoch, fleet.Limits{Lease: leaseDuration, RemoteFactor: 1}, newPolicy(core.Resources{}), fleet.WithLostState())
+		f.Recover(f.workers, nil)
+		j := newJob("j", 1, false)
 		j.FirstEpoch = epoch
-		d.Load(d.now, []jobs.Spec{j}, nil)
-		d.SetWorkers(d.now, d.hosts)
-		d.RosterStored(d.Roster())
-		d.held(d.hosts[0], nil, nil)
-		is.Equal(len(d.plan(fleet.OrderStart)), 0)
-		d.held(d.hosts[1], nil, nil)
-		is.Equal(len(d.plan(fleet.OrderStart)), 1)
+		f.Load(f.now, []jobs.Spec{j}, nil)
+		f.SetWorkers(f.now, f.workers)
+		f.RosterStored(f.Roster())
+		f.heartbeat(f.workers[0], nil, nil)
+		is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
+		f.heartbeat(f.workers[1], nil, nil)
+		is.Equal(len(f.nextOrders(fleet.OrderStart)), 1)
 	}
 }
 
-// TestAwaitedTasksAndLimit plays a take-over with many recorded tasks of a team
-// and one worker that does not answer: they count towards the team's limit with no
-// more than that worker has room for.
-func TestAwaitedTasksAndLimit(t *testing.T) {
+// TestRecoveredTasksAndLimit checks a new owner that has read many stored tasks of a team
+// while one worker has not answered. The tasks count towards the team's limit with at
+// most the room of that worker.
+func TestRecoveredTasksAndLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		limit  int64
 		starts int
-	}{"room beside the worker's": {6000, 2}, "none": {4000, 0}} {
+	}{"limit above the room of the worker": {6000, 2}, "limit equal to it": {4000, 0}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(2, 3)
-			d.SetPolicy(rules(core.Resources{Cores: c.limit}))
-			d.Recover(d.hosts, nil)
-			old, young := plain("old", 40, false), plain("young", 4, false)
+			f := newFixture(2, 3)
+			f.SetPolicy(newPolicy(core.Resources{Cores: c.limit}))
+			f.Recover(f.workers, nil)
+			old, young := newJob("old", 40, false), newJob("young", 4, false)
 			young.FirstEpoch = 2
-			d.Load(d.now, []jobs.Spec{old}, nil)
-			d.SetWorkers(d.now, d.hosts)
-			d.RosterStored(d.Roster())
-			d.held(d.hosts[0], nil, nil)
-			d.held(d.hosts[1], nil, nil)
-			d.Accept(d.now, young)
-			is.Equal(len(d.plan(fleet.OrderStart)), c.starts) // the third has room for 4,000
+			f.Load(f.now, []jobs.Spec{old}, nil)
+			f.SetWorkers(f.now, f.workers)
+			f.RosterStored(f.Roster())
+			f.heartbeat(f.workers[0], nil, nil)
+			f.heartbeat(f.workers[1], nil, nil)
+			f.Accept(f.now, young)
+			is.Equal(len(f.nextOrders(fleet.OrderStart)), c.starts) // the worker that has not answered has room for 4,000
 		})
 	}
 }
 
-// TestGangLacksMember plays a take-over in which one member of a gang runs
-// nowhere: the others are stopped, and the gang starts again as a whole.
+// TestGangLacksMember checks a new owner that finds one task of a gang not running. The
+// other tasks are stopped, and all tasks of the gang start again together.
 func TestGangLacksMember(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(2, 2)
-	d.Load(d.now, []jobs.Spec{plain("j", 2, true)}, nil)
-	d.SetWorkers(d.now, d.hosts)
-	d.RosterStored(d.Roster())
-	d.held(d.hosts[0], []fleet.ActiveRun{{Task: taskOf("j", 0), Run: 1}}, nil)
-	d.held(d.hosts[1], nil, nil)
-	stops := d.plan(fleet.OrderStop)
+	f := newFixture(2, 2)
+	f.Load(f.now, []jobs.Spec{newJob("j", 2, true)}, nil)
+	f.SetWorkers(f.now, f.workers)
+	f.RosterStored(f.Roster())
+	f.heartbeat(f.workers[0], []fleet.ActiveRun{{Task: newTaskID("j", 0), Run: 1}}, nil)
+	f.heartbeat(f.workers[1], nil, nil)
+	stops := f.nextOrders(fleet.OrderStop)
 	is.Equal(len(stops), 1)
-	d.StopAnswered(d.now, stops[0].Worker, stops[0].Task, stops[0].Run, fleet.ReplyOK)
-	d.pass(300 * time.Millisecond)
-	d.held(d.hosts[0], nil, []fleet.EndedRun{{Number: 1, Task: taskOf("j", 0), Run: 1, Kind: fleet.EndOther, Reason: "stopped"}})
-	starts := d.plan(fleet.OrderStart)
+	f.StopAnswered(f.now, stops[0].Worker, stops[0].Task, stops[0].Run, fleet.ReplyOK)
+	f.advance(300 * time.Millisecond)
+	f.heartbeat(f.workers[0], nil, []fleet.EndedRun{{Number: 1, Task: newTaskID("j", 0), Run: 1, Kind: fleet.EndOther, Reason: "stopped"}})
+	starts := f.nextOrders(fleet.OrderStart)
 	is.Equal(len(starts), 2)
 	is.Equal(starts[0].Run, starts[1].Run)
 	is.True(starts[0].Run > 1)
 }
 
-// TestLeaseOfEarlierOwner plays the first answer of a worker to a new owner:
-// what runs there has been granted a lease that the new owner has not sent.
+// TestLeaseOfEarlierOwner checks that the runs on a worker that answers a new owner for
+// the first time are not counted as lapsed: an earlier owner has granted their lease.
 func TestLeaseOfEarlierOwner(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(2, 2)
-	d.Load(d.now, []jobs.Spec{plain("j", 1, false)}, nil)
-	d.SetWorkers(d.now, d.hosts)
-	d.RosterStored(d.Roster())
-	d.held(d.hosts[0], []fleet.ActiveRun{{Task: taskOf("j", 0), Run: 1}}, nil)
-	d.held(d.hosts[1], nil, nil)
+	f := newFixture(2, 2)
+	f.Load(f.now, []jobs.Spec{newJob("j", 1, false)}, nil)
+	f.SetWorkers(f.now, f.workers)
+	f.RosterStored(f.Roster())
+	f.heartbeat(f.workers[0], []fleet.ActiveRun{{Task: newTaskID("j", 0), Run: 1}}, nil)
+	f.heartbeat(f.workers[1], nil, nil)
 	for range 3 {
-		d.pass(200 * time.Millisecond)
-		is.Equal(len(d.plan(fleet.OrderStart)), 0)
-		d.held(d.hosts[1], nil, nil)
+		f.advance(200 * time.Millisecond)
+		is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
+		f.heartbeat(f.workers[1], nil, nil)
 	}
-	is.Equal(d.Counts().Lapses, uint64(0))
+	is.Equal(f.Counts().Lapses, uint64(0))
 }
 
-// TestUnansweredStart plays a start without answer: the task starts elsewhere
-// only after a stop has been answered and the worker lists nothing of it.
+// TestUnansweredStart checks a start order without an answer. The task starts again only
+// after the worker has answered a stop and lists the run neither as active nor as ended.
 func TestUnansweredStart(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, 1)
-	d.open()
-	d.Accept(d.now, plain("j", 1, false))
-	s := d.plan(fleet.OrderStart)[0]
-	d.StartAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyUnanswered)
-	stops := d.plan(fleet.OrderStop)
+	f := newFixture(1, 1)
+	f.registerWorkers()
+	f.Accept(f.now, newJob("j", 1, false))
+	s := f.nextOrders(fleet.OrderStart)[0]
+	f.StartAnswered(f.now, s.Worker, s.Task, s.Run, fleet.ReplyUnanswered)
+	stops := f.nextOrders(fleet.OrderStop)
 	is.Equal(len(stops), 1)
-	d.pass(50 * time.Millisecond)
-	d.held(d.hosts[0], nil, nil)
-	is.Equal(len(d.plan(fleet.OrderStart)), 0) // the stop has not been answered
-	d.pass(600 * time.Millisecond)
-	is.Equal(len(d.plan(fleet.OrderStop)), 1) // and is repeated
-	d.StopAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
-	d.pass(50 * time.Millisecond)
-	d.held(d.hosts[0], nil, nil)
-	again := d.plan(fleet.OrderStart)
+	f.advance(50 * time.Millisecond)
+	f.heartbeat(f.workers[0], nil, nil)
+	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0) // the stop has not been answered
+	f.advance(600 * time.Millisecond)
+	is.Equal(len(f.nextOrders(fleet.OrderStop)), 1) // the stop is repeated
+	f.StopAnswered(f.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
+	f.advance(50 * time.Millisecond)
+	f.heartbeat(f.workers[0], nil, nil)
+	again := f.nextOrders(fleet.OrderStart)
 	is.Equal(len(again), 1)
 	is.True(again[0].Run > s.Run)
 }
 
-// TestAcknowledgement plays an end: the worker may forget it only once it is
-// in the store, and clients are told no sooner.
+// TestAcknowledgement checks that the end of a run is acknowledged to its worker, and
+// shown to clients, only once it is in the store.
 func TestAcknowledgement(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1, 1)
-	d.open()
-	d.Accept(d.now, plain("j", 1, false))
-	s := d.plan(fleet.OrderStart)[0]
-	d.StartAnswered(d.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
-	d.pass(time.Second)
-	d.held(d.hosts[0], nil, done(1, s))
-	is.Equal(len(d.Batch()), 1)
-	state, _ := d.State("j")
+	f := newFixture(1, 1)
+	f.registerWorkers()
+	f.Accept(f.now, newJob("j", 1, false))
+	s := f.nextOrders(fleet.OrderStart)[0]
+	f.StartAnswered(f.now, s.Worker, s.Task, s.Run, fleet.ReplyOK)
+	f.advance(time.Second)
+	f.heartbeat(f.workers[0], nil, doneEnd(1, s))
+	is.Equal(len(f.Batch()), 1)
+	state, _ := f.State("j")
 	is.Equal(state, jobs.Running)
-	d.pass(1800 * time.Millisecond)
-	holds := d.plan(fleet.OrderHeartbeat)
-	is.Equal(len(holds), 1) // the lease is renewed all the same
-	is.Equal(holds[0].AckedEnd, uint64(0))
-	d.BatchStored(d.now)
-	state, _ = d.State("j")
+	f.advance(1800 * time.Millisecond)
+	heartbeats := f.nextOrders(fleet.OrderHeartbeat)
+	is.Equal(len(heartbeats), 1) // renews the lease although the end is not stored yet
+	is.Equal(heartbeats[0].AckedEnd, uint64(0))
+	f.BatchStored(f.now)
+	state, _ = f.State("j")
 	is.Equal(state, jobs.Completed)
-	d.held(d.hosts[0], nil, nil)
-	is.Equal(d.plan(fleet.OrderHeartbeat)[0].AckedEnd, uint64(1))
+	f.heartbeat(f.workers[0], nil, nil)
+	is.Equal(f.nextOrders(fleet.OrderHeartbeat)[0].AckedEnd, uint64(1))
 }
 
-// TestVanishedWorkerOfEarlierOwner plays a take-over on a platform that allows
-// leases of 10 s, with a worker in the record that the platform lists no more:
-// what may have run there starts elsewhere within a lease of 6 s on the slowest
-// clock, less the silence after which an entry is dropped.
+// TestVanishedWorkerOfEarlierOwner checks a new owner on a platform that allows leases of
+// 10 s. The platform no longer lists a worker of the stored roster. The tasks that may
+// have run there start on another worker after a lease of 6 s on the slowest clock, less
+// the time without renewal after which the platform drops an entry.
 func TestVanishedWorkerOfEarlierOwner(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(2, 2)
-	d.Scheduler = fleet.New(dawn, 2, fleet.Limits{Lease: 10 * time.Second, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, rules(core.Resources{}))
-	d.Recover(d.hosts, nil)
-	d.Load(d.now, []jobs.Spec{plain("j", 1, false)}, nil)
-	d.SetWorkers(d.now, d.hosts[:1])
-	d.RosterStored(d.Roster())
-	d.held(d.hosts[0], nil, nil)
-	bound := 2500 * time.Millisecond // also how long an entry must be missing
-	for d.now.Sub(dawn) <= bound+200*time.Millisecond {
-		starts := d.plan(fleet.OrderStart)
+	f := newFixture(2, 2)
+	f.Scheduler = fleet.New(startTime, 2, fleet.Limits{Lease: 10 * time.Second, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, newPolicy(core.Resources{}))
+	f.Recover(f.workers, nil)
+	f.Load(f.now, []jobs.Spec{newJob("j", 1, false)}, nil)
+	f.SetWorkers(f.now, f.workers[:1])
+	f.RosterStored(f.Roster())
+	f.heartbeat(f.workers[0], nil, nil)
+	maxDelay := 2500 * time.Millisecond // how long an entry must be missing
+	for f.now.Sub(startTime) <= maxDelay+200*time.Millisecond {
+		starts := f.nextOrders(fleet.OrderStart)
 		if len(starts) > 0 {
-			is.True(d.now.Sub(dawn) >= 6*time.Second*100/98-4500*time.Millisecond)
-			is.True(starts[0].LeaseUntil <= d.now.Sub(dawn)+6*time.Second)
+			is.True(f.now.Sub(startTime) >= 6*time.Second*100/98-4500*time.Millisecond)
+			is.True(starts[0].LeaseUntil <= f.now.Sub(startTime)+6*time.Second)
 			return
 		}
-		d.pass(100 * time.Millisecond)
-		d.SetWorkers(d.now, d.hosts[:1])
-		d.held(d.hosts[0], nil, nil)
+		f.advance(100 * time.Millisecond)
+		f.SetWorkers(f.now, f.workers[:1])
+		f.heartbeat(f.workers[0], nil, nil)
 	}
 	t.Fatal("the task was not started")
 }
-
-// TestStartOnRebornWorker plays a worker that has started again unnoticed before
-// an order to start reached it: the run is on the new incarnation, and starts
-// nowhere else. A run that only the old one had starts elsewhere.
-// TestUnansweredStartOnRebornWorker plays a start without answer to a worker that
-// has started again meanwhile: it may yet be carried out by the new incarnation,
-// so the task waits until that one has answered a stop.
