--- a/core/elect/election.go
+++ b/core/elect/election.go
@@ -146,8 +146,7 @@
 // ReadFailed records that a read of the row has failed.
 func (e *Election) ReadFailed(now time.Time) { e.readFailedAt = now }
 
-// recordAge returns the longest time for which the record is known to have been
-// unchanged.
+// recordAge returns for how long the record is known to have been unchanged.
 func (e *Election) recordAge(now time.Time) time.Duration {
 	age := now.Sub(e.changedAt)
 	if e.record.Stamp > 0 && now.Sub(e.readFailedAt) > readFailureWindow {
--- a/core/fleet/restart_test.go
+++ b/core/fleet/restart_test.go
@@ -56,8 +56,8 @@
 }
 
 // TestStartOnNewIncarnation checks a worker that restarts, unknown to the owner, around
-// the time of a start order. A run that the new incarnation reports is not started
-// elsewhere; a run that only the old incarnation had is.
+// the time of a start order. If the new incarnation reports the run, the task is not
+// started on another worker. If only the old incarnation had the run, it is.
 func TestStartOnNewIncarnation(t *testing.T) {
 	for name, onNewIncarnation := range map[string]bool{"on the new incarnation": true, "on the old incarnation": false} {
 		t.Run(name, func(t *testing.T) {
--- a/core/fleet/takeover_test.go
+++ b/core/fleet/takeover_test.go
@@ -11,7 +11,7 @@
 	"chicoryturn/core/jobs"
 )
 
-// fixture is a scheduler whose workers are played by the test.
+// fixture is a scheduler with workers whose answers the test supplies.
 type fixture struct {
 	*fleet.Scheduler
 	now     time.Time
@@ -74,9 +74,9 @@
 	return jobs.TaskID{PhaseID: jobs.PhaseID{Job: core.JobID(id)}, Index: index}
 }
 
-// TestSilentWorker checks a worker that answers no more heartbeats while the platform
-// still lists it. Its task must start on another worker once the lease has ended even
-// on a slow clock, and not before.
+// TestSilentWorker checks a worker that stops answering heartbeats while the platform
+// still lists it. Its task must start on another worker, but only once the lease has
+// ended even if the worker's clock is slow.
 func TestSilentWorker(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1, 2)
@@ -195,9 +195,9 @@
 	is.Equal(len(f.Roster()), 1)
 }
 
-// TestAbsence checks that a new owner does not wait for a worker of the roster that its
-// process has seen missing from the platform's list for long enough. With a long gap
-// between two lists, the worker does not count as missing for that time.
+// TestAbsence checks that a new owner does not wait for a worker of the roster that has
+// been missing from the platform's list for long enough. If the process has read the list
+// with long gaps, the worker does not count as missing during the gaps.
 func TestAbsence(t *testing.T) {
 	for name, c := range map[string]struct {
 		interval time.Duration
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -25,7 +25,7 @@
 // Cost returns the expected duration of a call that names n workers.
 func (a Advice) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.PerWorker }
 
-// Queue is the rule for one kind of work.
+// Queue is the configuration of one queue.
 type Queue struct {
 	Name core.Queue
 	// Host and Prefix select the queue; the longest prefix wins.
