--- a/io/entry/early_test.go
+++ b/io/entry/advice_test.go
@@ -19,7 +19,7 @@
 // none, or else any.
 func TestEarlyAdvice(t *testing.T) {
 	is := is.New(t)
-	o := &outside{}
+	o := &fakeDeps{}
 	e := newEntry(o)
 	e.SetPolicy(policy.New(1, []policy.Queue{{
 		Name: "q", Host: "h", Prefix: "/", Service: "s",
@@ -31,12 +31,12 @@
 	}
 	e.SetWorkers(hosts)
 	submit := func(id string) []core.WorkerID {
-		o.asks = nil
+		o.requests = nil
 		is.NoErr(e.Submit(context.Background(), jobs.Spec{ID: core.JobID(id), Queue: "q", Phases: []jobs.Phase{{Count: 3, Need: core.Resources{Cores: 9900}}}}))
-		if len(o.asks) == 0 {
+		if len(o.requests) == 0 {
 			return nil
 		}
-		return o.asks[0].Workers
+		return o.requests[0].Workers
 	}
 	first, second := submit("a"), submit("b")
 	is.True(len(first) >= 8 && len(first) <= 20)
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	// shortCall is the length up to which the VM that has taken a job asks for
+	// maxEarlyCost is the length up to which the VM that has taken a job asks for
 	// advice itself, while the job is being recorded.
-	shortCall = 50 * time.Millisecond
-	// shortDelay is up to which delay by calls before it a VM's own call is worth
+	maxEarlyCost = 50 * time.Millisecond
+	// maxEarlyDelay is up to which delay by calls before it a VM's own call is worth
 	// making: the owner's way to an idle VM takes as long.
-	shortDelay = 30 * time.Millisecond
-	// againSoon is when a client that was refused should come back.
-	againSoon = time.Second
-	// cancelRetry is the pause before a cancellation is recorded again.
-	cancelRetry = 100 * time.Millisecond
+	maxEarlyDelay = 30 * time.Millisecond
+	// clientRetryAfter is when a client that was refused should come back.
+	clientRetryAfter = time.Second
+	// cancelRetryDelay is the pause before a cancellation is recorded again.
+	cancelRetryDelay = 100 * time.Millisecond
 )
 
 // RecordStore records and reads what lasts.
@@ -70,35 +70,35 @@
 // Entry is the state that the traffic goroutines of a VM share. All of it is
 // replaced whole.
 type Entry struct {
-	vault   RecordStore
+	records RecordStore
 	link    OwnerLink
-	adviser Advisor
+	advisor Advisor
 	meter   Meter
 	log     *logrus.Entry
 
-	policy atomic.Pointer[policy.Policy]
-	hosts  atomic.Pointer[[]fleet.WorkerInfo]
-	// rooms holds the most of each resource that any worker of a service has had
+	policy  atomic.Pointer[policy.Policy]
+	workers atomic.Pointer[[]fleet.WorkerInfo]
+	// maxRoom holds the most of each resource that any worker of a service has had
 	// since the process began: workers that are away may come back.
-	rooms atomic.Pointer[map[core.Service]core.Resources]
-	// roomy is the owner's last hint of the workers that have room.
-	roomy atomic.Pointer[hint]
-	// owner is the epoch of the first owner that may start what is taken now.
-	owner   atomic.Uint64
-	leaving atomic.Bool
-	// busy counts the calls being answered.
-	busy atomic.Int64
+	maxRoom atomic.Pointer[map[core.Service]core.Resources]
+	// roomHint is the owner's last hint of the workers that have room.
+	roomHint atomic.Pointer[roomHint]
+	// firstEpoch is the epoch of the first owner that may start what is taken now.
+	firstEpoch atomic.Uint64
+	draining   atomic.Bool
+	// inFlight counts the calls being answered.
+	inFlight atomic.Int64
 }
 
-// hint names workers that had room at a time.
-type hint struct {
-	workers core.Set[core.WorkerID]
-	at      time.Time
+// roomHint names workers that had room at a time.
+type roomHint struct {
+	workers    core.Set[core.WorkerID]
+	receivedAt time.Time
 }
 
 // SetRoomHint follows the owner's hint of the workers that have room.
 func (e *Entry) SetRoomHint(ids []core.WorkerID) {
-	e.roomy.Store(&hint{core.NewSet(ids...), time.Now()})
+	e.roomHint.Store(&roomHint{core.NewSet(ids...), time.Now()})
 }
 
 // SetOwner follows the seat as this VM last saw it. An owner that has resigned
@@ -108,12 +108,12 @@
 	if s.Holder == "" {
 		from++
 	}
-	e.owner.Store(uint64(from))
+	e.firstEpoch.Store(uint64(from))
 }
 
 // New returns an entry without a configuration; it refuses all calls.
 func New(v RecordStore, l OwnerLink, a Advisor, m Meter, log *logrus.Entry) *Entry {
-	return &Entry{vault: v, link: l, adviser: a, meter: m, log: log}
+	return &Entry{records: v, link: l, advisor: a, meter: m, log: log}
 }
 
 // SetPolicy follows a newer configuration; an older one changes nothing.
@@ -133,29 +133,29 @@
 
 // SetWorkers follows a new list of workers. It is called by one goroutine.
 func (e *Entry) SetWorkers(hosts []fleet.WorkerInfo) {
-	e.hosts.Store(&hosts)
+	e.workers.Store(&hosts)
 	rooms := map[core.Service]core.Resources{}
-	if old := e.rooms.Load(); old != nil {
+	if old := e.maxRoom.Load(); old != nil {
 		maps.Copy(rooms, *old)
 	}
 	for _, h := range hosts {
 		rooms[h.Service] = rooms[h.Service].Max(h.Room)
 	}
-	e.rooms.Store(&rooms)
+	e.maxRoom.Store(&rooms)
 }
 
 // Drain has the VM report that it takes no more clients.
-func (e *Entry) Drain() { e.leaving.Store(true) }
+func (e *Entry) Drain() { e.draining.Store(true) }
 
 // InFlight returns how many calls are being answered.
-func (e *Entry) InFlight() int64 { return e.busy.Load() }
+func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
 // Ready reports whether clients should be sent here: not while this VM is cut off
 // from the store and from the other VMs. An outage of the store alone is the
 // same for all.
 func (e *Entry) Ready() bool {
-	cutOff := e.vault.Unreachable() && !e.link.Connected()
-	return !e.leaving.Load() && e.policy.Load() != nil && !cutOff
+	cutOff := e.records.Unreachable() && !e.link.Connected()
+	return !e.draining.Load() && e.policy.Load() != nil && !cutOff
 }
 
 // MaxBody bounds a submission, in bytes; 0 means no configured bound.
@@ -171,7 +171,7 @@
 	p := e.policy.Load()
 	if p == nil {
 		r := core.Refuse(core.CodeConfig, "this VM has no configuration yet")
-		r.RetryAfter = againSoon
+		r.RetryAfter = clientRetryAfter
 		return nil, "", "", r
 	}
 	if name, _, err := net.SplitHostPort(host); err == nil {
@@ -193,8 +193,8 @@
 
 // track counts a call and logs its outcome.
 func (e *Entry) track(kind string, id core.JobID, f func() (string, error)) error {
-	e.busy.Add(1)
-	defer e.busy.Add(-1)
+	e.inFlight.Add(1)
+	defer e.inFlight.Add(-1)
 	began := time.Now()
 	what, err := f()
 	took := time.Since(began)
@@ -226,9 +226,9 @@
 		if err := e.checkRoom(&spec); err != nil {
 			return "", err
 		}
-		early := e.askEarly(&spec)
-		spec.FirstEpoch = core.Epoch(e.owner.Load())
-		recorded, err := e.vault.Accept(ctx, spec)
+		early := e.requestEarlyAdvice(&spec)
+		spec.FirstEpoch = core.Epoch(e.firstEpoch.Load())
+		recorded, err := e.records.Accept(ctx, spec)
 		if err != nil {
 			return "", err
 		}
@@ -243,7 +243,7 @@
 // checkRoom refuses a job with a task that no worker of its service has had room
 // for, however empty it was.
 func (e *Entry) checkRoom(spec *jobs.Spec) error {
-	q, rooms := e.policy.Load().Queues[spec.Queue], e.rooms.Load()
+	q, rooms := e.policy.Load().Queues[spec.Queue], e.maxRoom.Load()
 	if q == nil || rooms == nil {
 		return nil
 	}
@@ -256,21 +256,21 @@
 	return nil
 }
 
-// askEarly asks for advice on the first phase while the job is being recorded,
+// requestEarlyAdvice asks for advice on the first phase while the job is being recorded,
 // if the call is short, its turn comes soon and some worker has room. The channel
 // yields one result.
-func (e *Entry) askEarly(spec *jobs.Spec) <-chan advice.Result {
-	p, hosts := e.policy.Load(), e.hosts.Load()
+func (e *Entry) requestEarlyAdvice(spec *jobs.Spec) <-chan advice.Result {
+	p, hosts := e.policy.Load(), e.workers.Load()
 	q := p.Queues[spec.Queue]
 	if q == nil || hosts == nil || spec.Repeat > 0 {
 		return nil
 	}
 	a, ok := q.Advice.Get()
-	if !ok || e.adviser.Delay() > shortDelay {
+	if !ok || e.advisor.Delay() > maxEarlyDelay {
 		return nil
 	}
-	room := e.roomy.Load()
-	hinted := room != nil && time.Since(room.at) < fleet.RoomHintTTL
+	room := e.roomHint.Load()
+	hinted := room != nil && time.Since(room.receivedAt) < fleet.RoomHintTTL
 	var candidates []core.WorkerID
 	for _, h := range *hosts {
 		if h.Service == q.Service && !h.Leaving && (!hinted || room.workers.Has(h.ID())) {
@@ -279,11 +279,11 @@
 	}
 	ask := fleet.AdviceRequest{Phase: jobs.PhaseID{Job: spec.ID}, Workers: fleet.EarlyCandidates(spec, a, candidates)}
 	ask.Cost = a.Cost(len(ask.Workers))
-	if len(ask.Workers) == 0 || ask.Cost > shortCall {
+	if len(ask.Workers) == 0 || ask.Cost > maxEarlyCost {
 		return nil
 	}
 	out := make(chan advice.Result, 1)
-	e.adviser.Request(ask, func(r advice.Result) { out <- r })
+	e.advisor.Request(ask, func(r advice.Result) { out <- r })
 	return out
 }
 
@@ -296,20 +296,20 @@
 			state = s
 			return "owner", nil
 		}
-		state, err = e.vault.State(ctx, id)
-		return "record", e.unavailable(err)
+		state, err = e.records.State(ctx, id)
+		return "record", e.refuseUnavailable(err)
 	})
 	return state, err
 }
 
-// unavailable turns a failure of the store into a refusal.
-func (e *Entry) unavailable(err error) error {
+// refuseUnavailable turns a failure of the store into a refusal.
+func (e *Entry) refuseUnavailable(err error) error {
 	var r *core.RefusalError
 	if err == nil || errors.As(err, &r) {
 		return err
 	}
 	out := core.Refuse(core.CodeStore, "the store does not answer")
-	out.Err, out.RetryAfter = err, againSoon
+	out.Err, out.RetryAfter = err, clientRetryAfter
 	return out
 }
 
@@ -317,7 +317,7 @@
 func (e *Entry) Cancel(ctx context.Context, id core.JobID) error {
 	return e.track("cancel", id, func() (string, error) {
 		for {
-			err := e.vault.Cancel(ctx, id, time.Now())
+			err := e.records.Cancel(ctx, id, time.Now())
 			var r *core.RefusalError
 			if err == nil {
 				e.link.Cancelled(id)
@@ -326,7 +326,7 @@
 			if errors.As(err, &r) {
 				return "", err
 			}
-			if !clock.Sleep(ctx, cancelRetry) {
+			if !clock.Sleep(ctx, cancelRetryDelay) {
 				return "", core.RefuseUnknown(core.CodeStore, err, "the cancellation is not confirmed")
 			}
 		}
@@ -342,7 +342,7 @@
 		n, known, err = e.link.Pending(ctx, q)
 		if err != nil || !known {
 			r := core.Refuse(core.CodeOwner, "no owner answers at present")
-			r.Err, r.RetryAfter = err, againSoon
+			r.Err, r.RetryAfter = err, clientRetryAfter
 			return "", r
 		}
 		return "owner", nil
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -19,85 +19,85 @@
 	"chicoryturn/io/entry"
 )
 
-// outside stands for the store, the owner, the placement policy and the metrics.
-type outside struct {
-	accepted []core.JobID
-	told     []core.JobID
-	states   map[core.JobID]jobs.State
-	// linked is set while the owner answers, knows what it knows of.
-	linked bool
-	knows  map[core.JobID]jobs.State
-	err    error
-	asks   []fleet.AdviceRequest
-	// from are the owners that the accepted jobs name.
-	from []core.Epoch
+// fakeDeps stands for the store, the owner, the placement policy and the metrics.
+type fakeDeps struct {
+	accepted     []core.JobID
+	notified     []core.JobID
+	storedStates map[core.JobID]jobs.State
+	// connected is set while the owner answers, knows what it knows of.
+	connected   bool
+	ownerStates map[core.JobID]jobs.State
+	err         error
+	requests    []fleet.AdviceRequest
+	// firstEpochs are the owners that the accepted jobs name.
+	firstEpochs []core.Epoch
 	// delay is that of calls to the placement policy.
 	delay time.Duration
-	// away is set while the store cannot be reached.
-	away bool
+	// unreachable is set while the store cannot be reached.
+	unreachable bool
 }
 
-func (o *outside) Accept(_ context.Context, s jobs.Spec) (jobs.Spec, error) {
+func (o *fakeDeps) Accept(_ context.Context, s jobs.Spec) (jobs.Spec, error) {
 	if o.err == nil {
 		o.accepted = append(o.accepted, s.ID)
-		o.from = append(o.from, s.FirstEpoch)
+		o.firstEpochs = append(o.firstEpochs, s.FirstEpoch)
 	}
 	return s, o.err
 }
 
-func (o *outside) Cancel(context.Context, core.JobID, time.Time) error { return o.err }
+func (o *fakeDeps) Cancel(context.Context, core.JobID, time.Time) error { return o.err }
 
-// record answers questions about jobs, as the store does.
-type record struct{ *outside }
+// fakeRecords answers questions about jobs, as the store does.
+type fakeRecords struct{ *fakeDeps }
 
-func (r record) State(_ context.Context, id core.JobID) (jobs.State, error) {
+func (r fakeRecords) State(_ context.Context, id core.JobID) (jobs.State, error) {
 	if r.err != nil {
 		return "", r.err
 	}
-	if s, ok := r.states[id]; ok {
+	if s, ok := r.storedStates[id]; ok {
 		return s, nil
 	}
 	return "", core.Refuse(core.CodeNoJob, "no job")
 }
 
-func (o *outside) Accepted(s jobs.Spec, _ bool) { o.told = append(o.told, s.ID) }
+func (o *fakeDeps) Accepted(s jobs.Spec, _ bool) { o.notified = append(o.notified, s.ID) }
 
-func (o *outside) Advised(advice.Result) {}
+func (o *fakeDeps) Advised(advice.Result) {}
 
-func (o *outside) Connected() bool { return o.linked }
+func (o *fakeDeps) Connected() bool { return o.connected }
 
-func (o *outside) Unreachable() bool { return o.away }
+func (o *fakeDeps) Unreachable() bool { return o.unreachable }
 
-func (o *outside) Cancelled(id core.JobID) { o.told = append(o.told, id) }
+func (o *fakeDeps) Cancelled(id core.JobID) { o.notified = append(o.notified, id) }
 
-func (o *outside) State(_ context.Context, id core.JobID) (jobs.State, bool, error) {
-	if !o.linked {
+func (o *fakeDeps) State(_ context.Context, id core.JobID) (jobs.State, bool, error) {
+	if !o.connected {
 		return "", false, context.DeadlineExceeded
 	}
-	s, ok := o.knows[id]
+	s, ok := o.ownerStates[id]
 	return s, ok, nil
 }
 
-func (o *outside) Pending(context.Context, core.Queue) (int, bool, error) {
-	return 3, o.linked, nil
+func (o *fakeDeps) Pending(context.Context, core.Queue) (int, bool, error) {
+	return 3, o.connected, nil
 }
 
-func (o *outside) Request(a fleet.AdviceRequest, then func(advice.Result)) {
-	o.asks = append(o.asks, a)
+func (o *fakeDeps) Request(a fleet.AdviceRequest, then func(advice.Result)) {
+	o.requests = append(o.requests, a)
 	then(advice.Result{Request: a})
 }
 
-func (o *outside) Delay() time.Duration { return o.delay }
+func (o *fakeDeps) Delay() time.Duration { return o.delay }
 
-func (o *outside) Call(string, string, time.Duration) {}
+func (o *fakeDeps) Call(string, string, time.Duration) {}
 
-func newEntry(o *outside) *entry.Entry {
+func newEntry(o *fakeDeps) *entry.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return entry.New(record{o}, o, o, o, log.WithField("part", "entry"))
+	return entry.New(fakeRecords{o}, o, o, o, log.WithField("part", "entry"))
 }
 
-func rules(version core.Version, key string) *policy.Policy {
+func newPolicy(version core.Version, key string) *policy.Policy {
 	return policy.New(version,
 		[]policy.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s"}, {Name: "deep", Host: "h", Prefix: "/q/deep/", Service: "s", Public: true}},
 		[]policy.Team{{Name: "t", Keys: []string{key}}}, []policy.Service{{Name: "s"}}, 0)
@@ -111,9 +111,9 @@
 	return ""
 }
 
-// TestFirstOwner has rows: the seat as the VM last saw it, and the first owner that
+// TestFirstEpoch has rows: the seat as the VM last saw it, and the first owner that
 // may start a job taken then.
-func TestFirstOwner(t *testing.T) {
+func TestFirstEpoch(t *testing.T) {
 	for name, c := range map[string]struct {
 		seat elect.Record
 		from core.Epoch
@@ -124,23 +124,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := &outside{linked: true}
+			o := &fakeDeps{connected: true}
 			e := newEntry(o)
-			e.SetPolicy(rules(5, "k"))
+			e.SetPolicy(newPolicy(5, "k"))
 			e.SetOwner(c.seat)
 			is.NoErr(e.Submit(context.Background(), jobs.Spec{ID: "a", Queue: "q", Phases: []jobs.Phase{{Count: 1}}}))
-			is.Equal(o.from, []core.Epoch{c.from})
+			is.Equal(o.firstEpochs, []core.Epoch{c.from})
 		})
 	}
 }
 
 func TestVisit(t *testing.T) {
 	is := is.New(t)
-	e := newEntry(&outside{})
+	e := newEntry(&fakeDeps{})
 	_, _, _, err := e.Visit("h", "/q/1", "k")
 	is.Equal(code(err), core.CodeConfig)
 	is.True(!e.Ready())
-	e.SetPolicy(rules(5, "k"))
+	e.SetPolicy(newPolicy(5, "k"))
 	is.True(e.Ready())
 	q, team, rest, err := e.Visit("h:80", "/q/1", "k")
 	is.NoErr(err)
@@ -155,7 +155,7 @@
 	is.Equal(code(err), core.CodeBadKey)
 	_, _, _, err = e.Visit("other", "/q/1", "k")
 	is.Equal(code(err), core.CodeNoQueue)
-	e.SetPolicy(rules(4, "old")) // an older one changes nothing
+	e.SetPolicy(newPolicy(4, "old")) // an older one changes nothing
 	_, _, _, err = e.Visit("h", "/q/1", "old")
 	is.Equal(code(err), core.CodeBadKey)
 }
@@ -177,14 +177,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := &outside{err: c.err}
+			o := &fakeDeps{err: c.err}
 			e := newEntry(o)
-			e.SetPolicy(rules(1, "k"))
+			e.SetPolicy(newPolicy(1, "k"))
 			if c.hosts != nil {
 				e.SetWorkers(c.hosts)
 			}
 			is.Equal(code(e.Submit(context.Background(), spec)), c.code)
-			is.Equal(len(o.told) == 1, c.code == "") // the owner hears only of what is in the store
+			is.Equal(len(o.notified) == 1, c.code == "") // the owner hears only of what is in the store
 		})
 	}
 }
@@ -194,7 +194,7 @@
 func TestState(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	o := &outside{linked: true, knows: map[core.JobID]jobs.State{"a": jobs.Running}, states: map[core.JobID]jobs.State{"a": jobs.Queued, "b": jobs.Completed}}
+	o := &fakeDeps{connected: true, ownerStates: map[core.JobID]jobs.State{"a": jobs.Running}, storedStates: map[core.JobID]jobs.State{"a": jobs.Queued, "b": jobs.Completed}}
 	e := newEntry(o)
 	s, err := e.State(ctx, "a")
 	is.NoErr(err)
@@ -204,7 +204,7 @@
 	is.Equal(s, jobs.Completed)
 	_, err = e.State(ctx, "c")
 	is.Equal(code(err), core.CodeNoJob)
-	o.linked = false
+	o.connected = false
 	s, err = e.State(ctx, "a")
 	is.NoErr(err)
 	is.Equal(s, jobs.Queued)
@@ -215,16 +215,16 @@
 	is.Equal(code(err), core.CodeStore) // unsure is not "none"
 }
 
-// TestReadyWhileCutOff tells the balancer to send clients elsewhere only if this
+// TestReadyWhileUnreachable tells the balancer to send clients elsewhere only if this
 // VM reaches neither the store nor another VM.
-func TestReadyWhileCutOff(t *testing.T) {
+func TestReadyWhileUnreachable(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct{ away, linked, ready bool }{
 		{false, true, true}, {false, false, true}, {true, true, true}, {true, false, false},
 	} {
-		o := &outside{away: c.away, linked: c.linked}
+		o := &fakeDeps{unreachable: c.away, connected: c.linked}
 		e := newEntry(o)
-		e.SetPolicy(rules(1, "k"))
+		e.SetPolicy(newPolicy(1, "k"))
 		is.Equal(e.Ready(), c.ready)
 	}
 }
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	// hostsPause is the time between two readings of the list of workers. A
+	// workersInterval is the time between two readings of the list of workers. A
 	// leaving worker must get no more work after 2.5 s.
-	hostsPause = 500 * time.Millisecond
-	// newsLeast and newsMost bound the time between two readings of what VMs
+	workersInterval = 500 * time.Millisecond
+	// minChangesInterval and newsMost bound the time between two readings of what VMs
 	// have recorded. A VM that reaches the owner tells it at once; while jobs come
 	// from VMs that do not, the store is read more often.
-	newsLeast = 150 * time.Millisecond
-	newsMost  = time.Second
-	// tidyPause is the time between two deletions of ended jobs, tidyMost how many
+	minChangesInterval = 150 * time.Millisecond
+	maxChangesInterval = time.Second
+	// cleanupInterval is the time between two deletions of ended jobs, tidyMost how many
 	// go at once: ten a second, three times 250,000 a day.
-	tidyPause = 2 * time.Second
-	tidyMost  = 20
-	// keepSlack is added to the time for which ended jobs are kept.
-	keepSlack = 10 * time.Second
-	// recordPause keeps the ends of one moment in one write; each is priced.
-	recordPause = 15 * time.Millisecond
-	// retryPause is the time before a refused write or read is repeated.
-	retryPause = 150 * time.Millisecond
-	// planPause bounds how often placement runs, so that a burst of messages
+	cleanupInterval = 2 * time.Second
+	cleanupBatch    = 20
+	// retentionSlack is added to the time for which ended jobs are kept.
+	retentionSlack = 10 * time.Second
+	// writeInterval keeps the ends of one moment in one write; each is priced.
+	writeInterval = 15 * time.Millisecond
+	// retryInterval is the time before a refused write or read is repeated.
+	retryInterval = 150 * time.Millisecond
+	// tickDelay bounds how often placement runs, so that a burst of messages
 	// costs one pass.
-	planPause = 6 * time.Millisecond
+	tickDelay = 6 * time.Millisecond
 )
 
 // RecordStore is what the owner reads and writes.
@@ -76,64 +76,64 @@
 // Owner is the control state of one process.
 type Owner struct {
 	loop    *loop.Loop
-	vault   RecordStore
+	records RecordStore
 	workers WorkerClient
-	hosts   WorkerLister
+	lister  WorkerLister
 	meter   Meter
 	log     *logrus.Entry
 
-	reign *elect.Election
-	// patience delays the claims of this process, whatever its way to the store.
-	patience time.Duration
-	limits   fleet.Limits
-	policy   *policy.Policy
-	// board is nil unless the process owns the fleet.
-	board *fleet.Scheduler
-	// reigned is the epoch under which the process last had a board.
-	reigned core.Epoch
-	// heeded is the latest owner named by a job that the process has given way to.
+	election *elect.Election
+	// claimDelay delays the claims of this process, whatever its way to the store.
+	claimDelay time.Duration
+	limits     fleet.Limits
+	policy     *policy.Policy
+	// scheduler is nil unless the process owns the fleet.
+	scheduler *fleet.Scheduler
+	// lastOwnedEpoch is the epoch under which the process last had a board.
+	lastOwnedEpoch core.Epoch
+	// yieldedTo is the latest owner named by a job that the process has given way to.
 	// If it holds the seat all the same, the job is at fault.
-	heeded core.Epoch
-	peers  *peers
-	// onSeat is told who owns the fleet, whenever that changes.
-	onSeat   func(s elect.Record, mine bool)
-	lastSeat elect.Record
-	// onHosts is told the workers as last listed.
-	onHosts func([]fleet.WorkerInfo)
-	listed  []fleet.WorkerInfo
-	absence *fleet.AbsenceTracker
-	hostsAt time.Time
-
-	reading, writing, listing, asking, reloading bool
-	nextLook, nextHosts, nextNews                time.Time
-	nextWrite, nextPlan, nextHint                time.Time
-	wroteAt                                      time.Time
-	// unruled is a record that has been read before any configuration was known, nil
+	yieldedTo core.Epoch
+	peers     *peers
+	// onOwner is told who owns the fleet, whenever that changes.
+	onOwner   func(s elect.Record, mine bool)
+	announced elect.Record
+	// onWorkers is told the workers as last listed.
+	onWorkers    func([]fleet.WorkerInfo)
+	workerList   []fleet.WorkerInfo
+	absence      *fleet.AbsenceTracker
+	workerListAt time.Time
+
+	recordReading, recordWriting, workersReading, changesReading, snapshotReading bool
+	nextRecordRead, nextWorkersRead, nextChangesRead                              time.Time
+	nextWrite, nextTick, nextHint                                                 time.Time
+	lastWrite                                                                     time.Time
+	// unappliedSnapshot is a record that has been read before any configuration was known, nil
 	// if there is none.
-	unruled *reading
-	// nextTidy is when ended jobs are looked for; drops are those whose progress
+	unappliedSnapshot *loadedSnapshot
+	// nextCleanup is when ended jobs are looked for; drops are those whose progress
 	// the next record deletes.
-	nextTidy  time.Time
-	drops     []core.JobID
-	tidying   bool
-	newsAfter uint64
-	newsPause time.Duration
-	// newRoster is the list of workers to be recorded, nil if the record is up
+	nextCleanup     time.Time
+	progressDeletes []core.JobID
+	jobsDeleting    bool
+	changesVersion  uint64
+	changesInterval time.Duration
+	// unstoredRoster is the list of workers to be recorded, nil if the record is up
 	// to rosterVersion.
-	newRoster     []fleet.WorkerInfo
-	rosterVersion uint64
-	leaving       bool
-	left          chan struct{}
+	unstoredRoster []fleet.WorkerInfo
+	rosterVersion  uint64
+	draining       bool
+	drained        chan struct{}
 }
 
 // Option changes an owner under construction.
 type Option func(*Owner)
 
 // WithOwnerHook has a function told who owns the fleet.
-func WithOwnerHook(f func(s elect.Record, mine bool)) Option { return func(o *Owner) { o.onSeat = f } }
+func WithOwnerHook(f func(s elect.Record, mine bool)) Option { return func(o *Owner) { o.onOwner = f } }
 
 // WithWorkersHook has a function told the workers as last listed.
-func WithWorkersHook(f func([]fleet.WorkerInfo)) Option { return func(o *Owner) { o.onHosts = f } }
+func WithWorkersHook(f func([]fleet.WorkerInfo)) Option { return func(o *Owner) { o.onWorkers = f } }
 
 // Deps is what the owner reaches.
 type Deps struct {
@@ -147,10 +147,10 @@
 // Me is the seat as the process would hold it; patience delays its claims.
 func New(l *loop.Loop, out Deps, me elect.Record, patience time.Duration, limits fleet.Limits, log *logrus.Entry, opts ...Option) *Owner {
 	o := &Owner{
-		loop: l, vault: out.Records, workers: out.Workers, hosts: out.Lister, meter: out.Meter, log: log, limits: limits,
-		reign: elect.New(me, patience), patience: patience, peers: newPeers(), absence: fleet.NewAbsenceTracker(), newsPause: newsMost,
-		onSeat: func(elect.Record, bool) {}, onHosts: func([]fleet.WorkerInfo) {},
-		left: make(chan struct{}),
+		loop: l, records: out.Records, workers: out.Workers, lister: out.Lister, meter: out.Meter, log: log, limits: limits,
+		election: elect.New(me, patience), claimDelay: patience, peers: newPeers(), absence: fleet.NewAbsenceTracker(), changesInterval: maxChangesInterval,
+		onOwner: func(elect.Record, bool) {}, onWorkers: func([]fleet.WorkerInfo) {},
+		drained: make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(o)
@@ -162,41 +162,41 @@
 func (o *Owner) Run() error { return o.loop.Run(o) }
 
 // Drained is closed once the process has given up the seat after Leave.
-func (o *Owner) Drained() <-chan struct{} { return o.left }
+func (o *Owner) Drained() <-chan struct{} { return o.drained }
 
 // Handle implements loop.Handler.
 func (o *Owner) Handle(now time.Time, m loop.Message) {
-	if t, ok := m.(turn); ok {
+	if t, ok := m.(action); ok {
 		t.run(o, now)
 	}
 }
 
-// turn is a message that carries what to do with it.
-type turn interface {
+// action is a message that carries what to do with it.
+type action interface {
 	loop.Message
 	run(o *Owner, now time.Time)
 }
 
-// do is a turn made of a function.
-type do func(o *Owner, now time.Time)
+// actionFunc is a turn made of a function.
+type actionFunc func(o *Owner, now time.Time)
 
 // Message implements loop.Message.
-func (do) Message() {}
+func (actionFunc) Message() {}
 
-func (d do) run(o *Owner, now time.Time) { d(o, now) }
+func (d actionFunc) run(o *Owner, now time.Time) { d(o, now) }
 
 // post sends a turn from a traffic goroutine.
 func (o *Owner) post(f func(o *Owner, now time.Time)) {
 	// A stopped loop needs no messages.
-	_ = o.loop.Post(do(f))
+	_ = o.loop.Post(actionFunc(f))
 }
 
-// call runs I/O on a goroutine of its own and what it returns on the control
+// async runs I/O on a goroutine of its own and what it returns on the control
 // goroutine.
-func (o *Owner) call(work func(ctx context.Context) func(o *Owner, now time.Time)) {
+func (o *Owner) async(work func(ctx context.Context) func(o *Owner, now time.Time)) {
 	o.loop.Go(func(ctx context.Context) loop.Message {
 		if f := work(ctx); f != nil {
-			return do(f)
+			return actionFunc(f)
 		}
 		return nil
 	})
@@ -204,20 +204,20 @@
 
 // Wake implements loop.Handler.
 func (o *Owner) Wake(now time.Time) time.Time {
-	awake := o.reign.CheckSuspension(clock.BootTime(), clock.Monotonic())
-	o.look(now)
-	o.list(now)
+	awake := o.election.CheckSuspension(clock.BootTime(), clock.Monotonic())
+	o.readRecord(now)
+	o.readWorkers(now)
 	next := now.Add(elect.ReadInterval)
-	if o.board != nil && awake && !o.leaving {
-		o.news(now)
-		o.tidy(now)
-		if !now.Before(o.nextPlan) {
-			o.plan(now)
+	if o.scheduler != nil && awake && !o.draining {
+		o.readChanges(now)
+		o.deleteExpired(now)
+		if !now.Before(o.nextTick) {
+			o.tick(now)
 		}
-		next = o.nextPlan.Add(time.Millisecond)
+		next = o.nextTick.Add(time.Millisecond)
 	}
-	o.write(now)
-	for _, t := range []time.Time{o.nextLook, o.nextHosts, o.nextWrite} {
+	o.writeRecord(now)
+	for _, t := range []time.Time{o.nextRecordRead, o.nextWorkersRead, o.nextWrite} {
 		if t.After(now) && t.Before(next) {
 			next = t
 		}
@@ -225,28 +225,28 @@
 	return next
 }
 
-// plan lets the board decide and carries out what it has decided.
-func (o *Owner) plan(now time.Time) {
+// tick lets the board decide and carries out what it has decided.
+func (o *Owner) tick(now time.Time) {
 	began := time.Now()
-	until := o.board.Tick(now)
-	o.dispatch(o.board.Orders())
-	o.advise(now)
-	o.hint(now)
+	until := o.scheduler.Tick(now)
+	o.dispatch(o.scheduler.Orders())
+	o.sendAdviceRequests(now)
+	o.sendRoomHint(now)
 	o.meter.Placement(time.Since(began))
-	o.meter.Counts(o.board.Counts())
-	o.logNotes()
-	o.nextPlan = until
+	o.meter.Counts(o.scheduler.Counts())
+	o.logDecisions()
+	o.nextTick = until
 }
 
-// soon has the board decide shortly.
-func (o *Owner) soon(now time.Time) {
-	if t := now.Add(planPause); o.nextPlan.After(t) {
-		o.nextPlan = t
+// tickSoon has the board decide shortly.
+func (o *Owner) tickSoon(now time.Time) {
+	if t := now.Add(tickDelay); o.nextTick.After(t) {
+		o.nextTick = t
 	}
 }
 
-func (o *Owner) logNotes() {
-	for _, n := range o.board.Decisions() {
+func (o *Owner) logDecisions() {
+	for _, n := range o.scheduler.Decisions() {
 		f := logrus.Fields{"job": n.Job}
 		if n.Task != "" {
 			f["task"] = n.Task
@@ -262,22 +262,22 @@
 		}
 		o.log.WithFields(f).Info(n.Event)
 	}
-	for _, err := range o.board.Refusals() {
+	for _, err := range o.scheduler.Refusals() {
 		o.log.WithError(err).Error("event refused")
 	}
 }
 
-// list reads the workers when it is time.
-func (o *Owner) list(now time.Time) {
-	if o.listing || now.Before(o.nextHosts) {
+// readWorkers reads the workers when it is time.
+func (o *Owner) readWorkers(now time.Time) {
+	if o.workersReading || now.Before(o.nextWorkersRead) {
 		return
 	}
-	o.listing = true
-	o.call(func(ctx context.Context) func(*Owner, time.Time) {
-		hosts, left, err := o.hosts.Workers(ctx)
+	o.workersReading = true
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		hosts, left, err := o.lister.Workers(ctx)
 		return func(o *Owner, now time.Time) {
-			o.listing = false
-			o.nextHosts = now.Add(o.hostsPause())
+			o.workersReading = false
+			o.nextWorkersRead = now.Add(o.workersReadDelay())
 			if err != nil {
 				o.log.WithError(err).Warn("list of workers not read")
 				return
@@ -285,103 +285,103 @@
 			for _, e := range left {
 				o.log.WithError(e).Warn("worker left out")
 			}
-			o.listed, o.hostsAt = hosts, now
+			o.workerList, o.workerListAt = hosts, now
 			o.absence.Observe(now, hosts)
-			o.onHosts(hosts)
-			if o.board != nil {
-				o.board.SetWorkers(now, hosts)
-				o.checkRoster()
-				o.soon(now)
+			o.onWorkers(hosts)
+			if o.scheduler != nil {
+				o.scheduler.SetWorkers(now, hosts)
+				o.stageRoster()
+				o.tickSoon(now)
 			}
 		}
 	})
 }
 
-// hostsPause is longer on VMs that own nothing: they need the list only to ask
+// workersReadDelay is longer on VMs that own nothing: they need the list only to ask
 // for advice.
-func (o *Owner) hostsPause() time.Duration {
-	if o.reign.IsHolder() {
-		return hostsPause
+func (o *Owner) workersReadDelay() time.Duration {
+	if o.election.IsHolder() {
+		return workersInterval
 	}
-	return 4 * hostsPause
+	return 4 * workersInterval
 }
 
-// checkRoster has the list of workers recorded when it has changed.
-func (o *Owner) checkRoster() {
-	if v := o.board.RosterVersion(); v != o.rosterVersion {
-		o.rosterVersion, o.newRoster = v, o.board.Roster()
+// stageRoster has the list of workers recorded when it has changed.
+func (o *Owner) stageRoster() {
+	if v := o.scheduler.RosterVersion(); v != o.rosterVersion {
+		o.rosterVersion, o.unstoredRoster = v, o.scheduler.Roster()
 	}
 }
 
-// news reads what VMs have recorded when it is time.
-func (o *Owner) news(now time.Time) {
-	if o.asking || o.reloading || now.Before(o.nextNews) {
+// readChanges reads what VMs have recorded when it is time.
+func (o *Owner) readChanges(now time.Time) {
+	if o.changesReading || o.snapshotReading || now.Before(o.nextChangesRead) {
 		return
 	}
-	o.asking = true
-	after, epoch := o.newsAfter, o.board.Epoch()
-	o.call(func(ctx context.Context) func(*Owner, time.Time) {
-		n, err := o.vault.Changes(ctx, after)
+	o.changesReading = true
+	after, epoch := o.changesVersion, o.scheduler.Epoch()
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		n, err := o.records.Changes(ctx, after)
 		return func(o *Owner, now time.Time) {
-			o.asking = false
-			o.nextNews = now.Add(o.newsPause)
-			if o.board == nil || o.board.Epoch() != epoch {
+			o.changesReading = false
+			o.nextChangesRead = now.Add(o.changesInterval)
+			if o.scheduler == nil || o.scheduler.Epoch() != epoch {
 				return
 			}
-			o.takeNews(now, n, err)
+			o.handleChanges(now, n, err)
 		}
 	})
 }
 
-func (o *Owner) takeNews(now time.Time, n record.Snapshot, err error) {
+func (o *Owner) handleChanges(now time.Time, n record.Snapshot, err error) {
 	if err != nil {
 		o.log.WithError(err).Warn("news not read")
-		if isTrimmed(err) {
-			o.reload()
+		if isCompacted(err) {
+			o.loadSnapshot()
 		}
 	}
-	o.newsPause = min(2*o.newsPause, newsMost)
+	o.changesInterval = min(2*o.changesInterval, maxChangesInterval)
 	for _, s := range n.Specs {
-		if o.board.Accept(now, s) {
-			o.newsPause = newsLeast
+		if o.scheduler.Accept(now, s) {
+			o.changesInterval = minChangesInterval
 			o.log.WithFields(logrus.Fields{"job": s.ID, "queue": s.Queue}).Info("job found in the store")
 		}
 	}
 	for _, id := range n.Cancelled {
-		o.board.Cancel(now, id)
+		o.scheduler.Cancel(now, id)
 	}
-	for _, e := range n.Unread {
+	for _, e := range n.RowErrors {
 		o.log.WithError(e).Error("recorded job left out")
 	}
-	o.newsAfter = max(o.newsAfter, n.Version)
-	if !o.yields(now) {
-		o.soon(now)
+	o.changesVersion = max(o.changesVersion, n.Version)
+	if !o.yieldToLaterOwner(now) {
+		o.tickSoon(now)
 	}
 }
 
-// tidy deletes the rows of jobs that ended longer ago than clients may ask for
+// deleteExpired deletes the rows of jobs that ended longer ago than clients may ask for
 // them.
-func (o *Owner) tidy(now time.Time) {
-	if o.tidying || now.Before(o.nextTidy) || len(o.drops) > 0 {
+func (o *Owner) deleteExpired(now time.Time) {
+	if o.jobsDeleting || now.Before(o.nextCleanup) || len(o.progressDeletes) > 0 {
 		return
 	}
-	o.nextTidy = now.Add(tidyPause)
-	ids := o.board.Expired(now, o.limits.Retention+keepSlack, tidyMost)
+	o.nextCleanup = now.Add(cleanupInterval)
+	ids := o.scheduler.Expired(now, o.limits.Retention+retentionSlack, cleanupBatch)
 	if len(ids) == 0 {
 		return
 	}
-	o.tidying = true
-	epoch := o.board.Epoch()
-	o.call(func(ctx context.Context) func(*Owner, time.Time) {
-		err := o.vault.Delete(ctx, ids)
+	o.jobsDeleting = true
+	epoch := o.scheduler.Epoch()
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		err := o.records.Delete(ctx, ids)
 		return func(o *Owner, _ time.Time) {
-			o.tidying = false
+			o.jobsDeleting = false
 			if err != nil {
 				o.log.WithError(err).WithField("jobs", len(ids)).Warn("ended jobs not deleted; a later owner does")
 				return
 			}
-			if o.board != nil && o.board.Epoch() == epoch {
-				o.drops = ids
+			if o.scheduler != nil && o.scheduler.Epoch() == epoch {
+				o.progressDeletes = ids
 			}
 		}
 	})
@@ -391,12 +391,12 @@
 func (o *Owner) SetPolicy(p *policy.Policy) {
 	o.post(func(o *Owner, now time.Time) {
 		o.policy = p
-		if r := o.unruled; r != nil {
-			o.loaded(now, *r)
+		if r := o.unappliedSnapshot; r != nil {
+			o.handleSnapshot(now, *r)
 		}
-		if o.board != nil {
-			o.board.SetPolicy(p)
-			o.soon(now)
+		if o.scheduler != nil {
+			o.scheduler.SetPolicy(p)
+			o.tickSoon(now)
 		}
 	})
 }
@@ -405,8 +405,8 @@
 func (o *Owner) SetLimits(l fleet.Limits) {
 	o.post(func(o *Owner, _ time.Time) {
 		o.limits = l
-		if o.board != nil {
-			o.board.SetLimits(l)
+		if o.scheduler != nil {
+			o.scheduler.SetLimits(l)
 		}
 	})
 }
@@ -414,46 +414,46 @@
 // Drain gives the seat up and claims it no more.
 func (o *Owner) Drain() {
 	o.post(func(o *Owner, _ time.Time) {
-		o.leaving = true
+		o.draining = true
 		o.resign()
 	})
 }
 
 // jobState is the answer to a question about a job.
 type jobState struct {
-	state jobs.State
-	known bool
-	mine  bool
+	state  jobs.State
+	known  bool
+	owning bool
 }
 
 // State returns how a job is shown. Mine is false unless this process owns the
 // fleet, known is false for a job that it has not heard of.
 func (o *Owner) State(ctx context.Context, id core.JobID) (state jobs.State, known, mine bool, err error) {
-	s, err := ask(ctx, o, func(o *Owner, _ time.Time) jobState {
-		if o.board == nil {
+	s, err := query(ctx, o, func(o *Owner, _ time.Time) jobState {
+		if o.scheduler == nil {
 			return jobState{}
 		}
-		st, ok := o.board.State(id)
+		st, ok := o.scheduler.State(id)
 		return jobState{st, ok, true}
 	})
-	return s.state, s.known, s.mine, err
+	return s.state, s.known, s.owning, err
 }
 
 // Pending returns the length of a queue; ok is false unless this process owns
 // the fleet.
 func (o *Owner) Pending(ctx context.Context, q core.Queue) (n int, ok bool, err error) {
-	n, err = ask(ctx, o, func(o *Owner, _ time.Time) int {
-		if o.board == nil {
+	n, err = query(ctx, o, func(o *Owner, _ time.Time) int {
+		if o.scheduler == nil {
 			return -1
 		}
-		return o.board.Pending()[q]
+		return o.scheduler.Pending()[q]
 	})
 	return max(n, 0), n >= 0, err
 }
 
-func ask[R any](ctx context.Context, o *Owner, f func(o *Owner, now time.Time) R) (R, error) {
+func query[R any](ctx context.Context, o *Owner, f func(o *Owner, now time.Time) R) (R, error) {
 	return loop.Ask(ctx, o.loop, func(reply chan<- R) loop.Message {
-		return do(func(o *Owner, now time.Time) { reply <- f(o, now) })
+		return actionFunc(func(o *Owner, now time.Time) { reply <- f(o, now) })
 	})
 }
 
@@ -461,29 +461,29 @@
 // asking for advice on its first phase; it may be empty.
 func (o *Owner) Accepted(spec jobs.Spec, asking string) {
 	o.post(func(o *Owner, now time.Time) {
-		if o.board == nil {
+		if o.scheduler == nil {
 			return
 		}
-		o.board.Accept(now, spec)
-		if o.yields(now) {
+		o.scheduler.Accept(now, spec)
+		if o.yieldToLaterOwner(now) {
 			return
 		}
 		if id := (jobs.PhaseID{Job: spec.ID}); asking != "" {
-			cost := o.board.AdvicePending(now, id)
+			cost := o.scheduler.AdvicePending(now, id)
 			if l := o.peers.byName[asking]; l != nil && cost > 0 {
-				l.lend(now, id, cost)
+				l.addRequest(now, id, cost)
 			}
 		}
-		o.soon(now)
+		o.tickSoon(now)
 	})
 }
 
 // Cancelled takes in a cancellation that is in the store.
 func (o *Owner) Cancelled(id core.JobID) {
 	o.post(func(o *Owner, now time.Time) {
-		if o.board != nil {
-			o.board.Cancel(now, id)
-			o.soon(now)
+		if o.scheduler != nil {
+			o.scheduler.Cancel(now, id)
+			o.tickSoon(now)
 		}
 	})
 }
--- a/io/owner/owner_test.go
+++ b/io/owner/owner_test.go
@@ -21,28 +21,28 @@
 	"chicoryturn/io/table"
 )
 
-// outside stands for the store and the workers of an owner. The feed of changes
+// fakeDeps stands for the store and the workers of an owner. The feed of changes
 // has been cut for good, and reading the record takes a while.
-type outside struct {
+type fakeDeps struct {
 	mu sync.Mutex
 	// loads counts the readings of the record, now those under way.
-	loads, now, most int
-	asked            int
+	loads, loading, maxLoading int
+	feedReads                  int
 }
 
-func (*outside) OwnerRecord(context.Context) (elect.Observation, error) {
+func (*fakeDeps) OwnerRecord(context.Context) (elect.Observation, error) {
 	return elect.Observation{}, nil
 }
 
-func (*outside) Write(context.Context, record.OwnerWrite) (table.Done, error) {
+func (*fakeDeps) Write(context.Context, record.OwnerWrite) (table.Done, error) {
 	return table.Done{Version: 1}, nil
 }
 
-func (o *outside) Load(ctx context.Context) (*record.Snapshot, error) {
+func (o *fakeDeps) Load(ctx context.Context) (*record.Snapshot, error) {
 	o.mu.Lock()
 	o.loads++
-	o.now++
-	o.most = max(o.most, o.now)
+	o.loading++
+	o.maxLoading = max(o.maxLoading, o.loading)
 	o.mu.Unlock()
 	select {
 	case <-ctx.Done():
@@ -50,45 +50,45 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.now--
+	o.loading--
 	return &record.Snapshot{}, nil
 }
 
-func (o *outside) Changes(context.Context, uint64) (record.Snapshot, error) {
+func (o *fakeDeps) Changes(context.Context, uint64) (record.Snapshot, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.asked++
+	o.feedReads++
 	return record.Snapshot{}, &table.CompactedError{Version: 1}
 }
 
-func (*outside) Delete(context.Context, []core.JobID) error { return nil }
+func (*fakeDeps) Delete(context.Context, []core.JobID) error { return nil }
 
-func (*outside) Start(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
+func (*fakeDeps) Start(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
 
-func (*outside) Stop(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
+func (*fakeDeps) Stop(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
 
-func (*outside) Heartbeat(context.Context, fleet.Order) (fleet.RunLists, fleet.Reply, error) {
+func (*fakeDeps) Heartbeat(context.Context, fleet.Order) (fleet.RunLists, fleet.Reply, error) {
 	return fleet.RunLists{}, fleet.ReplyOK, nil
 }
 
-func (*outside) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) { return nil, nil, nil }
+func (*fakeDeps) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) { return nil, nil, nil }
 
-func (*outside) Counts(fleet.Counts)                {}
-func (*outside) Call(string, string, time.Duration) {}
-func (*outside) Record(int, time.Duration)          {}
-func (*outside) Placement(time.Duration)            {}
-func (*outside) Own(bool)                           {}
+func (*fakeDeps) Counts(fleet.Counts)                {}
+func (*fakeDeps) Call(string, string, time.Duration) {}
+func (*fakeDeps) Record(int, time.Duration)          {}
+func (*fakeDeps) Placement(time.Duration)            {}
+func (*fakeDeps) Own(bool)                           {}
 
-// all is what an owner reaches, by one stand-in.
-type all interface {
+// allDeps is what an owner reaches, by one stand-in.
+type allDeps interface {
 	owner.RecordStore
 	owner.WorkerClient
 	owner.WorkerLister
 	owner.Meter
 }
 
-// begin runs an owner until the test ends.
-func begin(t *testing.T, out all, holder core.SessionID, p *policy.Policy) *owner.Owner {
+// startOwner runs an owner until the test ends.
+func startOwner(t *testing.T, out allDeps, holder core.SessionID, p *policy.Policy) *owner.Owner {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -103,82 +103,84 @@
 	return o
 }
 
-// row is the seat's row in a store that several VMs reach.
-type row struct {
+// sharedRow is the seat's row in a store that several VMs reach.
+type sharedRow struct {
 	mu      sync.Mutex
-	seat    elect.Record
+	record  elect.Record
 	version uint64
 }
 
-// way is how one VM reaches the row, at some distance.
-type way struct {
-	*outside
-	row  *row
-	away time.Duration
+// delayedStore is how one VM reaches the row, at some distance.
+type delayedStore struct {
+	*fakeDeps
+	row   *sharedRow
+	delay time.Duration
 }
 
-func (w *way) OwnerRecord(context.Context) (elect.Observation, error) {
-	time.Sleep(w.away)
+func (w *delayedStore) OwnerRecord(context.Context) (elect.Observation, error) {
+	time.Sleep(w.delay)
 	w.row.mu.Lock()
 	defer w.row.mu.Unlock()
-	return elect.Observation{Record: w.row.seat, Version: w.row.version}, nil
+	return elect.Observation{Record: w.row.record, Version: w.row.version}, nil
 }
 
-func (w *way) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
-	time.Sleep(w.away)
+func (w *delayedStore) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
+	time.Sleep(w.delay)
 	w.row.mu.Lock()
 	defer w.row.mu.Unlock()
 	if r.Version != w.row.version {
 		return table.Done{}, &table.ConflictError{}
 	}
-	w.row.seat, w.row.version = r.Record, w.row.version+1
+	w.row.record, w.row.version = r.Record, w.row.version+1
 	return table.Done{Version: w.row.version}, nil
 }
 
-// TestNearestClaims has two VMs find the seat free, the one far from the store a
+// TestNearestProcessClaims has two VMs find the seat free, the one far from the store a
 // little earlier: the near one, whose records take less time, gets it.
-func TestNearestClaims(t *testing.T) {
+func TestNearestProcessClaims(t *testing.T) {
 	is := is.New(t)
-	r := &row{}
+	r := &sharedRow{}
 	for _, vm := range []struct {
 		name string
 		away time.Duration
 	}{{"far", 25 * time.Millisecond}, {"near", 2 * time.Millisecond}} {
-		w := &way{outside: &outside{}, row: r, away: vm.away}
-		begin(t, w, core.SessionID(vm.name), nil)
+		w := &delayedStore{fakeDeps: &fakeDeps{}, row: r, delay: vm.away}
+		startOwner(t, w, core.SessionID(vm.name), nil)
 		time.Sleep(60 * time.Millisecond)
 	}
 	time.Sleep(time.Second)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	is.Equal(r.seat.Holder, core.SessionID("near"))
+	is.Equal(r.record.Holder, core.SessionID("near"))
 }
 
-// TestTrimmedFeed has the feed of changes cut while the owner reads the whole
+// TestCompactedFeed has the feed of changes cut while the owner reads the whole
 // record: one reading runs at a time, and the feed is not asked meanwhile.
-func TestTrimmedFeed(t *testing.T) {
+func TestCompactedFeed(t *testing.T) {
 	is := is.New(t)
-	out := &outside{}
-	begin(t, out, "a", policy.New(1, nil, nil, nil, 0))
+	out := &fakeDeps{}
+	startOwner(t, out, "a", policy.New(1, nil, nil, nil, 0))
 	time.Sleep(5 * time.Second)
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	is.True(out.loads >= 2) // after the claim, and after the feed was cut
-	is.Equal(out.most, 1)
-	is.True(out.asked <= out.loads)
+	is.Equal(out.maxLoading, 1)
+	is.True(out.feedReads <= out.loads)
 }
 
-// calm is a store in which nothing happens.
-type calm struct{ *outside }
+// quietStore is a store in which nothing happens.
+type quietStore struct{ *fakeDeps }
 
-func (calm) Changes(context.Context, uint64) (record.Snapshot, error) { return record.Snapshot{}, nil }
+func (quietStore) Changes(context.Context, uint64) (record.Snapshot, error) {
+	return record.Snapshot{}, nil
+}
 
-// TestLatePolicy has the configuration come after the record has been read: the
+// TestPolicyAfterSnapshot has the configuration come after the record has been read: the
 // owner decides at once, by that reading.
-func TestLatePolicy(t *testing.T) {
+func TestPolicyAfterSnapshot(t *testing.T) {
 	is := is.New(t)
-	out := &outside{}
-	o := begin(t, calm{out}, "a", nil)
+	out := &fakeDeps{}
+	o := startOwner(t, quietStore{out}, "a", nil)
 	time.Sleep(2500 * time.Millisecond) // a claim and one reading
 	o.SetPolicy(policy.New(1, nil, nil, nil, 0))
 	time.Sleep(100 * time.Millisecond)
@@ -190,28 +192,28 @@
 	is.Equal(out.loads, 1)
 }
 
-// lagging is a store whose feed names a job of a later owner, while the row still
+// laggingStore is a store whose feed names a job of a later owner, while the row still
 // names this one.
-type lagging struct {
-	*outside
-	mu   sync.Mutex
-	seat elect.Record
+type laggingStore struct {
+	*fakeDeps
+	mu     sync.Mutex
+	record elect.Record
 }
 
-func (l *lagging) OwnerRecord(context.Context) (elect.Observation, error) {
+func (l *laggingStore) OwnerRecord(context.Context) (elect.Observation, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return elect.Observation{Record: l.seat, Version: uint64(l.seat.Beat)}, nil
+	return elect.Observation{Record: l.record, Version: uint64(l.record.Beat)}, nil
 }
 
-func (l *lagging) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
+func (l *laggingStore) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seat = r.Record
+	l.record = r.Record
 	return table.Done{Version: uint64(r.Record.Beat)}, nil
 }
 
-func (l *lagging) Changes(context.Context, uint64) (record.Snapshot, error) {
+func (l *laggingStore) Changes(context.Context, uint64) (record.Snapshot, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return record.Snapshot{Version: 1, Specs: []jobs.Spec{{ID: "j", Team: "t", Queue: "q", FirstEpoch: 2, Phases: []jobs.Phase{{Count: 1}}}}}, nil
@@ -222,11 +224,11 @@
 // the same, it decides on the other jobs.
 func TestJobOfLaterOwner(t *testing.T) {
 	is := is.New(t)
-	l := &lagging{outside: &outside{}}
-	o := begin(t, l, "a", policy.New(1, nil, nil, nil, 0))
+	l := &laggingStore{fakeDeps: &fakeDeps{}}
+	o := startOwner(t, l, "a", policy.New(1, nil, nil, nil, 0))
 	time.Sleep(5 * time.Second)
-	l.outside.mu.Lock()
-	defer l.outside.mu.Unlock()
+	l.fakeDeps.mu.Lock()
+	defer l.fakeDeps.mu.Unlock()
 	is.Equal(l.loads, 2)
 	_, known, mine, err := o.State(t.Context(), "j")
 	is.NoErr(err)
@@ -234,38 +236,38 @@
 	is.True(!known)
 }
 
-// renamed stands for a worker whose incarnation is newer than the platform's list
+// restartedWorker stands for a worker whose incarnation is newer than the platform's list
 // tells, and a store that takes its time.
-type renamed struct {
-	calm
+type restartedWorker struct {
+	quietStore
 	mu      sync.Mutex
 	version uint64
 	rosters [][]fleet.WorkerInfo
-	// first is closed once a list of workers is being written.
-	first chan struct{}
-	once  sync.Once
+	// rosterWritten is closed once a list of workers is being written.
+	rosterWritten chan struct{}
+	once          sync.Once
 }
 
 var (
-	listed = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	reborn = listed.Add(time.Minute)
+	oldIncarnation = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	newIncarnation = oldIncarnation.Add(time.Minute)
 )
 
-func (*renamed) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) {
-	return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s"}, Incarnation: listed}}, nil, nil
+func (*restartedWorker) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) {
+	return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s"}, Incarnation: oldIncarnation}}, nil, nil
 }
 
-func (r *renamed) Heartbeat(ctx context.Context, _ fleet.Order) (fleet.RunLists, fleet.Reply, error) {
+func (r *restartedWorker) Heartbeat(ctx context.Context, _ fleet.Order) (fleet.RunLists, fleet.Reply, error) {
 	select {
-	case <-r.first:
+	case <-r.rosterWritten:
 	case <-ctx.Done():
 	}
-	return fleet.RunLists{Clock: time.Second, Incarnation: reborn}, fleet.ReplyOK, nil
+	return fleet.RunLists{Clock: time.Second, Incarnation: newIncarnation}, fleet.ReplyOK, nil
 }
 
-func (r *renamed) Write(_ context.Context, rec record.OwnerWrite) (table.Done, error) {
+func (r *restartedWorker) Write(_ context.Context, rec record.OwnerWrite) (table.Done, error) {
 	if rec.Roster != nil {
-		r.once.Do(func() { close(r.first) })
+		r.once.Do(func() { close(r.rosterWritten) })
 	}
 	time.Sleep(150 * time.Millisecond)
 	r.mu.Lock()
@@ -282,11 +284,11 @@
 // it. A worker that is not recorded is never used.
 func TestRosterChangesDuringWrite(t *testing.T) {
 	is := is.New(t)
-	r := &renamed{calm: calm{&outside{}}, first: make(chan struct{})}
-	begin(t, r, "a", policy.New(1, nil, nil, []policy.Service{{Name: "s"}}, 0))
+	r := &restartedWorker{quietStore: quietStore{&fakeDeps{}}, rosterWritten: make(chan struct{})}
+	startOwner(t, r, "a", policy.New(1, nil, nil, []policy.Service{{Name: "s"}}, 0))
 	time.Sleep(4 * time.Second)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	is.True(len(r.rosters) > 0)
-	is.True(r.rosters[len(r.rosters)-1][0].Incarnation.Equal(reborn))
+	is.True(r.rosters[len(r.rosters)-1][0].Incarnation.Equal(newIncarnation))
 }
--- a/io/owner/peers.go
+++ b/io/owner/peers.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// longCall is the length from which a call for advice is kept off half of
+	// longRequest is the length from which a call for advice is kept off half of
 	// the VMs, so that short calls need not wait behind it.
-	longCall = 200 * time.Millisecond
-	// ahead is how much work a VM may have before it is given more: enough to
+	longRequest = 200 * time.Millisecond
+	// maxPeerLoad is how much work a VM may have before it is given more: enough to
 	// keep it busy over the way between regions and back.
-	ahead = 80 * time.Millisecond
-	// lostAfter times the length of a call, and lostGrace more, is when its
+	maxPeerLoad = 80 * time.Millisecond
+	// lostFactor times the length of a call, and lostGrace more, is when its
 	// answer is no longer waited for.
-	lostAfter = 4
-	lostGrace = 1500 * time.Millisecond
+	lostFactor = 4
+	lostGrace  = 1500 * time.Millisecond
 )
 
 // Peer is a VM that lends its turn at the placement policy.
@@ -38,91 +38,91 @@
 	OwnerResigned()
 }
 
-// loan is a call that a VM is making.
-type loan struct {
-	cost  time.Duration
-	until time.Time
+// inFlightRequest is a call that a VM is making.
+type inFlightRequest struct {
+	cost     time.Duration
+	deadline time.Time
 }
 
-// lent is what the owner knows of a peer's turn.
-type lent struct {
+// peerState is what the owner knows of a peer's turn.
+type peerState struct {
 	peer Peer
 	// load is the expected length of the calls that have not been answered.
-	load time.Duration
-	asks map[jobs.PhaseID]loan
+	load     time.Duration
+	inFlight map[jobs.PhaseID]inFlightRequest
 }
 
 // peers are the VMs joined to the owner. It implements board.Turns.
 type peers struct {
-	byName map[string]*lent
+	byName map[string]*peerState
 	// list is sorted by name.
-	list []*lent
+	list []*peerState
 	now  time.Time
 }
 
-func newPeers() *peers { return &peers{byName: map[string]*lent{}} }
+func newPeers() *peers { return &peers{byName: map[string]*peerState{}} }
 
 func (p *peers) add(peer Peer) {
-	p.drop(peer.Name())
-	l := &lent{peer: peer, asks: map[jobs.PhaseID]loan{}}
+	p.remove(peer.Name())
+	l := &peerState{peer: peer, inFlight: map[jobs.PhaseID]inFlightRequest{}}
 	p.byName[peer.Name()] = l
 	p.list = append(p.list, l)
-	slices.SortFunc(p.list, func(a, b *lent) int { return cmp.Compare(a.peer.Name(), b.peer.Name()) })
+	slices.SortFunc(p.list, func(a, b *peerState) int { return cmp.Compare(a.peer.Name(), b.peer.Name()) })
 }
 
-func (p *peers) drop(name string) {
+func (p *peers) remove(name string) {
 	l := p.byName[name]
 	delete(p.byName, name)
-	p.list = slices.DeleteFunc(p.list, func(o *lent) bool { return o == l })
+	p.list = slices.DeleteFunc(p.list, func(o *peerState) bool { return o == l })
 }
 
-// forget drops the loads, since their answers will not be taken in.
-func (p *peers) forget() {
+// resetLoads drops the loads, since their answers will not be taken in.
+func (p *peers) resetLoads() {
 	for _, l := range p.list {
-		l.load, l.asks = 0, map[jobs.PhaseID]loan{}
+		l.load, l.inFlight = 0, map[jobs.PhaseID]inFlightRequest{}
 	}
 }
 
-func (p *peers) resigned() {
+func (p *peers) notifyResigned() {
 	for _, l := range p.list {
 		l.peer.OwnerResigned()
 	}
 }
 
-func (l *lent) lend(now time.Time, id jobs.PhaseID, cost time.Duration) {
-	l.done(id)
-	l.asks[id] = loan{cost, now.Add(lostAfter*cost + lostGrace)}
+func (l *peerState) addRequest(now time.Time, id jobs.PhaseID, cost time.Duration) {
+	l.removeRequest(id)
+	l.inFlight[id] = inFlightRequest{cost, now.Add(lostFactor*cost + lostGrace)}
 	l.load += cost
 }
 
-func (l *lent) done(id jobs.PhaseID) {
-	l.load -= l.asks[id].cost
-	delete(l.asks, id)
+func (l *peerState) removeRequest(id jobs.PhaseID) {
+	l.load -= l.inFlight[id].cost
+	delete(l.inFlight, id)
 }
 
-// expire forgets calls whose answers have been lost.
-func (p *peers) expire(now time.Time) {
+// expireRequests forgets calls whose answers have been lost.
+func (p *peers) expireRequests(now time.Time) {
 	p.now = now
 	for _, l := range p.list {
-		for id, a := range l.asks {
-			if now.After(a.until) {
-				l.done(id)
+		for id, a := range l.inFlight {
+			if now.After(a.deadline) {
+				l.removeRequest(id)
 			}
 		}
 	}
 }
 
-// pick returns the VM that would answer a call first, nil if all are busy.
+// leastLoaded returns the VM that would answer a call first, nil if all are busy.
 // Long calls use only the first half of the VMs.
-func (p *peers) pick(cost time.Duration) *lent {
+func (p *peers) leastLoaded(cost time.Duration) *peerState {
 	list := p.list
-	if cost >= longCall {
+	if cost >= longRequest {
 		list = list[:(len(list)+1)/2]
 	}
-	var best *lent
+	var best *peerState
 	for _, l := range list {
 		// Short calls prefer the later VMs, which make no long ones.
-		if l.load <= ahead && (best == nil || l.load <= best.load) {
+		if l.load <= maxPeerLoad && (best == nil || l.load <= best.load) {
 			best = l
 		}
 	}
@@ -130,7 +130,7 @@
 }
 
 // Free implements board.Turns.
-func (p *peers) Free(cost time.Duration) bool { return p.pick(cost) != nil }
+func (p *peers) Free(cost time.Duration) bool { return p.leastLoaded(cost) != nil }
 
 // Spare implements board.Turns: it reports whether most VMs are idle.
 func (p *peers) Spare() bool {
@@ -145,12 +145,12 @@
 
 // Take implements board.Turns.
 func (p *peers) Take(a fleet.AdviceRequest) {
-	l := p.pick(a.Cost)
+	l := p.leastLoaded(a.Cost)
 	if l == nil {
 		// A call may turn out longer than it seemed when its turn was asked for.
-		l = p.pick(0)
+		l = p.leastLoaded(0)
 	}
-	l.lend(p.now, a.Phase, a.Cost)
+	l.addRequest(p.now, a.Phase, a.Cost)
 	l.peer.RequestAdvice(a)
 }
 
@@ -159,7 +159,7 @@
 	o.post(func(o *Owner, now time.Time) {
 		o.log.WithField("vm", p.Name()).Info("VM joined")
 		o.peers.add(p)
-		o.soon(now)
+		o.tickSoon(now)
 	})
 }
 
@@ -171,50 +171,50 @@
 			return
 		}
 		o.log.WithField("vm", p.Name()).Info("VM parted")
-		o.peers.drop(p.Name())
-		if o.board == nil {
+		o.peers.remove(p.Name())
+		if o.scheduler == nil {
 			return
 		}
-		for id := range l.asks {
-			o.board.AdviceFailed(now, id)
+		for id := range l.inFlight {
+			o.scheduler.AdviceFailed(now, id)
 		}
-		o.soon(now)
+		o.tickSoon(now)
 	})
 }
 
-// hint tells the VMs where room is.
-func (o *Owner) hint(now time.Time) {
+// sendRoomHint tells the VMs where room is.
+func (o *Owner) sendRoomHint(now time.Time) {
 	if now.Before(o.nextHint) {
 		return
 	}
 	o.nextHint = now.Add(fleet.RoomHintInterval)
-	ids := o.board.WorkersWithRoom(now)
+	ids := o.scheduler.WorkersWithRoom(now)
 	for _, l := range o.peers.list {
 		l.peer.RoomHint(ids)
 	}
 }
 
-// advise hands the board's calls for advice to the VMs.
-func (o *Owner) advise(now time.Time) {
-	o.peers.expire(now)
-	o.board.AdviceRequests(now, o.peers)
+// sendAdviceRequests hands the board's calls for advice to the VMs.
+func (o *Owner) sendAdviceRequests(now time.Time) {
+	o.peers.expireRequests(now)
+	o.scheduler.AdviceRequests(now, o.peers)
 }
 
 // AdviceReceived takes in the result of a call that a VM has made.
 func (o *Owner) AdviceReceived(vm string, r advice.Result) {
 	o.post(func(o *Owner, now time.Time) {
 		if l := o.peers.byName[vm]; l != nil {
-			l.done(r.Request.Phase)
+			l.removeRequest(r.Request.Phase)
 		}
-		if o.board == nil {
+		if o.scheduler == nil {
 			return
 		}
 		if r.Err != nil {
 			o.log.WithError(r.Err).WithFields(logrus.Fields{"job": r.Request.Phase.Job, "vm": vm}).Warn("no advice")
-			o.board.AdviceFailed(now, r.Request.Phase)
+			o.scheduler.AdviceFailed(now, r.Request.Phase)
 		} else {
-			o.board.AdviceReceived(now, r.Request.Phase, r.Request.Workers, r.Allowed, r.TicketsLeft(now))
+			o.scheduler.AdviceReceived(now, r.Request.Phase, r.Request.Workers, r.Allowed, r.TicketsLeft(now))
 		}
-		o.soon(now)
+		o.tickSoon(now)
 	})
 }
--- a/io/record/accept.go
+++ b/io/record/accept.go
@@ -15,51 +15,51 @@
 )
 
 const (
-	// acceptQueue bounds the jobs that wait for one partition's next write.
-	acceptQueue = 256
-	// acceptBatch bounds the jobs of one write, well below the platform's 100
+	// maxQueuedJobs bounds the jobs that wait for one partition's next write.
+	maxQueuedJobs = 256
+	// maxBatchJobs bounds the jobs of one write, well below the platform's 100
 	// entries and 1 MB for jobs of a few kilobytes.
-	acceptBatch = 50
-	// refusedMost is how long a job is offered to a store that refuses it: its
+	maxBatchJobs = 50
+	// refusalTimeout is how long a job is offered to a store that refuses it: its
 	// client then learns at once that it has not been taken.
-	refusedMost = 800 * time.Millisecond
-	// againPause is the time before a refused or unanswered write is repeated.
-	againPause = 80 * time.Millisecond
+	refusalTimeout = 800 * time.Millisecond
+	// writeRetryDelay is the time before a refused or unanswered write is repeated.
+	writeRetryDelay = 80 * time.Millisecond
 )
 
-// acceptance is a job that waits to be recorded.
-type acceptance struct {
+// pendingJob is a job that waits to be recorded.
+type pendingJob struct {
 	ctx  context.Context
 	spec jobs.Spec
 	put  table.Put
-	// unsure is set once a write that holds the job had no answer: it may take
+	// maybeStored is set once a write that holds the job had no answer: it may take
 	// effect until a later write has seen the row.
-	unsure bool
-	began  time.Time
-	// told is set once the caller has been answered; done holds the answer.
-	told atomic.Bool
-	done chan verdict
+	maybeStored bool
+	queuedAt    time.Time
+	// answered is set once the caller has been answered; done holds the answer.
+	answered atomic.Bool
+	result   chan acceptResult
 }
 
-// tell answers the caller, once.
-func (a *acceptance) tell(v verdict) {
-	if !a.told.Swap(true) {
-		a.done <- v
+// answer answers the caller, once.
+func (a *pendingJob) answer(v acceptResult) {
+	if !a.answered.Swap(true) {
+		a.result <- v
 	}
 }
 
-// verdict is the outcome of an acceptance: the job as it is recorded, or why it
+// acceptResult is the outcome of an acceptance: the job as it is recorded, or why it
 // is not known to be.
-type verdict struct {
+type acceptResult struct {
 	spec jobs.Spec
 	err  error
 }
 
-// lane holds the jobs that wait for one partition's next write. Most are empty,
+// partQueue holds the jobs that wait for one partition's next write. Most are empty,
 // so a writer lives only while there is work.
-type lane struct {
-	busy    bool
-	waiting []*acceptance
+type partQueue struct {
+	hasWriter bool
+	jobs      []*pendingJob
 }
 
 // Run records accepted jobs until the context ends; one write for each
@@ -68,62 +68,62 @@
 	var g errgroup.Group
 	for {
 		select {
-		case part := <-v.starts:
+		case part := <-v.writerStarts:
 			g.Go(func() error {
-				v.writer(ctx, part)
+				v.runWriter(ctx, part)
 				return nil
 			})
 		case <-ctx.Done():
 			err := g.Wait()
-			v.end()
+			v.close()
 			return err
 		}
 	}
 }
 
-// end refuses what was not written before the process ends.
-func (v *Store) end() {
-	var left []*acceptance
+// close refuses what was not written before the process ends.
+func (v *Store) close() {
+	var left []*pendingJob
 	v.mu.Lock()
-	v.ended = true
-	for i := range v.lanes {
-		left = append(left, v.lanes[i].waiting...)
-		v.lanes[i].waiting = nil
+	v.closed = true
+	for i := range v.queues {
+		left = append(left, v.queues[i].jobs...)
+		v.queues[i].jobs = nil
 	}
 	v.mu.Unlock()
-	v.expire(left, true, false)
+	v.answerExpired(left, true, false)
 }
 
-// enter puts a job into its lane and has the lane's writer begin; it reports
+// enqueue puts a job into its lane and has the lane's writer begin; it reports
 // whether there was room.
-func (v *Store) enter(part int, a *acceptance) bool {
+func (v *Store) enqueue(part int, a *pendingJob) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	l := &v.lanes[part]
-	if v.ended || len(l.waiting) >= acceptQueue {
+	l := &v.queues[part]
+	if v.closed || len(l.jobs) >= maxQueuedJobs {
 		return false
 	}
-	l.waiting = append(l.waiting, a)
-	if !l.busy {
-		l.busy = true
-		v.starts <- part
+	l.jobs = append(l.jobs, a)
+	if !l.hasWriter {
+		l.hasWriter = true
+		v.writerStarts <- part
 	}
 	return true
 }
 
-// next takes what the next write of a partition holds; left is what the last one
+// nextBatch takes what the next write of a partition holds; left is what the last one
 // must write again. Its writer ends if there is nothing.
-func (v *Store) next(part int, left []*acceptance) []*acceptance {
+func (v *Store) nextBatch(part int, left []*pendingJob) []*pendingJob {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	l := &v.lanes[part]
-	n := min(max(acceptBatch-len(left), 0), len(l.waiting))
-	out := append(left, l.waiting[:n]...)
-	if l.waiting = l.waiting[n:]; len(l.waiting) == 0 {
-		l.waiting = nil
+	l := &v.queues[part]
+	n := min(max(maxBatchJobs-len(left), 0), len(l.jobs))
+	out := append(left, l.jobs[:n]...)
+	if l.jobs = l.jobs[n:]; len(l.jobs) == 0 {
+		l.jobs = nil
 	}
 	if len(out) == 0 {
-		l.busy = false
+		l.hasWriter = false
 	}
 	return out
 }
@@ -136,47 +136,47 @@
 	if err != nil {
 		return spec, err
 	}
-	if len(put.Val) > rowMost {
-		return spec, core.Refuse(core.CodeTooLarge, "the job takes %d bytes in the store, at most %d", len(put.Val), rowMost)
+	if len(put.Val) > maxRowBytes {
+		return spec, core.Refuse(core.CodeTooLarge, "the job takes %d bytes in the store, at most %d", len(put.Val), maxRowBytes)
 	}
 	if v.Unreachable() {
-		return spec, v.refusal(spec.ID, v.away())
+		return spec, v.refusal(spec.ID, v.unreachableError())
 	}
-	a := &acceptance{ctx: ctx, spec: spec, put: put, began: time.Now(), done: make(chan verdict, 1)}
-	if !v.enter(partOf(spec.ID), a) {
-		r := core.Refuse(core.CodeBusy, "%d jobs wait for the store", acceptQueue)
-		r.RetryAfter = againSoon
+	a := &pendingJob{ctx: ctx, spec: spec, put: put, queuedAt: time.Now(), result: make(chan acceptResult, 1)}
+	if !v.enqueue(partOf(spec.ID), a) {
+		r := core.Refuse(core.CodeBusy, "%d jobs wait for the store", maxQueuedJobs)
+		r.RetryAfter = clientRetryAfter
 		return spec, v.refusal(spec.ID, r)
 	}
 	// The writer always answers, soon after the caller's time is up.
-	out := <-a.done
+	out := <-a.result
 	return out.spec, out.err
 }
 
-// writer records what waits in one lane until it is empty.
-func (v *Store) writer(ctx context.Context, part int) {
-	var left []*acceptance
+// runWriter records what waits in one lane until it is empty.
+func (v *Store) runWriter(ctx context.Context, part int) {
+	var left []*pendingJob
 	for {
-		waiting := v.next(part, left)
+		waiting := v.nextBatch(part, left)
 		if len(waiting) == 0 {
 			return
 		}
-		left = v.record(ctx, waiting)
+		left = v.writeBatch(ctx, waiting)
 		if len(left) == len(waiting) {
-			clock.Sleep(ctx, againPause)
+			clock.Sleep(ctx, writeRetryDelay)
 		}
-		left = v.expire(left, ctx.Err() != nil, v.Unreachable())
+		left = v.answerExpired(left, ctx.Err() != nil, v.Unreachable())
 	}
 }
 
-// record writes all that waits in one transaction and returns what must be
+// writeBatch writes all that waits in one transaction and returns what must be
 // written again.
-func (v *Store) record(ctx context.Context, waiting []*acceptance) []*acceptance {
+func (v *Store) writeBatch(ctx context.Context, waiting []*pendingJob) []*pendingJob {
 	t := table.Txn{}
 	named := map[string]bool{}
-	var now, later []*acceptance
+	var now, later []*pendingJob
 	for _, a := range waiting {
-		if a.told.Load() {
+		if a.answered.Load() {
 			continue
 		}
 		if named[a.put.Name] {
@@ -191,20 +191,20 @@
 	if len(now) == 0 {
 		return nil
 	}
-	_, err := v.store.Write(table.WithLateHook(ctx, func(_ time.Duration, o table.Outcome) {
+	_, err := v.client.Write(table.WithLateHook(ctx, func(_ time.Duration, o table.Outcome) {
 		if o.Err() == nil {
-			recorded(now)
+			confirm(now)
 		}
 	}), t)
 	var conflict *table.ConflictError
 	switch {
 	case err == nil:
-		recorded(now)
+		confirm(now)
 		return later
 	case errors.As(err, &conflict):
 		for _, a := range now {
 			if r, ok := conflict.Find(a.put.Key); ok {
-				a.tell(a.sameAs(r))
+				a.answer(a.resolveConflict(r))
 			} else {
 				later = append(later, a)
 			}
@@ -213,52 +213,52 @@
 	case Refused(err):
 	default:
 		for _, a := range now {
-			a.unsure = true
+			a.maybeStored = true
 		}
 	}
 	return append(now, later...)
 }
 
-// recorded answers callers whose jobs are in the store.
-func recorded(list []*acceptance) {
+// confirm answers callers whose jobs are in the store.
+func confirm(list []*pendingJob) {
 	for _, a := range list {
-		a.tell(verdict{spec: a.spec})
+		a.answer(acceptResult{spec: a.spec})
 	}
 }
 
-// sameAs compares a job with the one recorded under its name: the same client's
+// resolveConflict compares a job with the one recorded under its name: the same client's
 // repeated call is accepted, another team's is not.
-func (a *acceptance) sameAs(r table.Row) verdict {
+func (a *pendingJob) resolveConflict(r table.Row) acceptResult {
 	var s jobs.Spec
 	if err := decode(r, &s); err != nil {
-		return verdict{err: err}
+		return acceptResult{err: err}
 	}
 	if s.Team != a.spec.Team || s.Queue != a.spec.Queue {
-		return verdict{err: core.Refuse(core.CodeConflict, "the name %s belongs to another job", a.spec.ID)}
+		return acceptResult{err: core.Refuse(core.CodeConflict, "the name %s belongs to another job", a.spec.ID)}
 	}
-	return verdict{spec: s}
+	return acceptResult{spec: s}
 }
 
-// expire answers those whose callers have no time left, or whom the store has
+// answerExpired answers those whose callers have no time left, or whom the store has
 // only refused, and all while it is away: their callers can ask another VM.
-func (v *Store) expire(waiting []*acceptance, all, away bool) []*acceptance {
-	var out []*acceptance
+func (v *Store) answerExpired(waiting []*pendingJob, all, away bool) []*pendingJob {
+	var out []*pendingJob
 	for _, a := range waiting {
-		if a.told.Load() {
+		if a.answered.Load() {
 			continue
 		}
-		over := all || away || a.ctx.Err() != nil || !a.unsure && time.Since(a.began) > refusedMost
+		over := all || away || a.ctx.Err() != nil || !a.maybeStored && time.Since(a.queuedAt) > refusalTimeout
 		if !over {
 			out = append(out, a)
 			continue
 		}
-		if a.unsure {
-			v.doubt(a.spec.ID)
-			a.tell(verdict{err: core.RefuseUnknown(core.CodeStore, a.ctx.Err(), "the store has not confirmed the job")})
+		if a.maybeStored {
+			v.markUnconfirmed(a.spec.ID)
+			a.answer(acceptResult{err: core.RefuseUnknown(core.CodeStore, a.ctx.Err(), "the store has not confirmed the job")})
 		} else {
 			r := core.Refuse(core.CodeStore, "the store takes no jobs at present")
-			r.RetryAfter = againSoon
-			a.tell(verdict{err: v.refusal(a.spec.ID, r)})
+			r.RetryAfter = clientRetryAfter
+			a.answer(acceptResult{err: v.refusal(a.spec.ID, r)})
 		}
 	}
 	return out
--- a/io/record/store.go
+++ b/io/record/store.go
@@ -27,30 +27,30 @@
 )
 
 const (
-	jobTable   = "job"
-	fleetTable = "fleet"
-	progTable  = "progress"
+	jobTable      = "job"
+	fleetTable    = "fleet"
+	progressTable = "progress"
 	// cancelSuffix marks the row of a cancellation, beside that of its job.
 	cancelSuffix = "/cancel"
 	// fleetPart holds all that an owner writes.
 	fleetPart = "fleet"
-	seatName  = "seat"
+	ownerName = "seat"
 	// rosterName begins the names of the rows that list the workers in use, each
 	// with rosterPart of them: a row holds at most 64 KiB.
-	rosterName = "roster"
-	rosterPart = 64
-	// rowMost bounds the value of a row, in bytes; the platform's own bound is
+	rosterName     = "roster"
+	rosterPageSize = 64
+	// maxRowBytes bounds the value of a row, in bytes; the platform's own bound is
 	// 65,536.
-	rowMost = 64 << 10
-	// parts divides the jobs by name. A partition takes its transactions one
+	maxRowBytes = 64 << 10
+	// jobParts divides the jobs by name. A partition takes its transactions one
 	// after another, in 8 ms each, and in some 80 times as long when the store is
 	// slow: 256 then carry 400 jobs a second, each from another VM.
-	parts = 256
-	// againSoon is when a client that was refused should come back: clients come
+	jobParts = 256
+	// clientRetryAfter is when a client that was refused should come back: clients come
 	// back through any VM, and most cuts spare some.
-	againSoon = time.Second
-	// readers bounds the partitions read side by side.
-	readers = 32
+	clientRetryAfter = time.Second
+	// maxParallelReads bounds the partitions read side by side.
+	maxParallelReads = 32
 )
 
 // Reachability tells whether the table can be reached.
@@ -58,25 +58,25 @@
 	Unreachable() bool
 }
 
-// rangeStarts divide the names of jobs into ranges that are read side by side;
+// progressRangeStarts divide the names of jobs into ranges that are read side by side;
 // names are mostly hexadecimal.
-var rangeStarts = [...]string{"", "1", "2", "3", "4", "5", "6", "7", "8", "9", "a", "b", "c", "d", "e", "f"}
+var progressRangeStarts = [...]string{"", "1", "2", "3", "4", "5", "6", "7", "8", "9", "a", "b", "c", "d", "e", "f"}
 
 // Store reads and writes the product's rows.
 type Store struct {
-	store table.Client
-	reach Reachability
+	client       table.Client
+	reachability Reachability
 
-	// starts names the partitions whose writers must begin.
-	starts chan int
+	// writerStarts names the partitions whose writers must begin.
+	writerStarts chan int
 	// mu guards all below.
 	mu sync.Mutex
-	// doubts holds since when jobs may have been recorded that clients were told
+	// unconfirmed holds since when jobs may have been recorded that clients were told
 	// are not known to be.
-	doubts map[core.JobID]time.Time
-	lanes  [parts]lane
-	// ended is set once Run has, and nothing is written any more.
-	ended bool
+	unconfirmed map[core.JobID]time.Time
+	queues      [jobParts]partQueue
+	// closed is set once Run has, and nothing is written any more.
+	closed bool
 }
 
 // Option changes a vault under construction.
@@ -84,11 +84,11 @@
 
 // WithReach has calls of clients refused at once while the store cannot be
 // reached.
-func WithReach(r Reachability) Option { return func(v *Store) { v.reach = r } }
+func WithReach(r Reachability) Option { return func(v *Store) { v.reachability = r } }
 
 // New returns a vault over a store. Run must be called for jobs to be accepted.
 func New(s table.Client, opts ...Option) *Store {
-	v := &Store{store: s, starts: make(chan int, parts), doubts: map[core.JobID]time.Time{}}
+	v := &Store{client: s, writerStarts: make(chan int, jobParts), unconfirmed: map[core.JobID]time.Time{}}
 	for _, o := range opts {
 		o(v)
 	}
@@ -96,13 +96,13 @@
 }
 
 // Unreachable reports whether the store cannot be reached.
-func (v *Store) Unreachable() bool { return v.reach != nil && v.reach.Unreachable() }
+func (v *Store) Unreachable() bool { return v.reachability != nil && v.reachability.Unreachable() }
 
-// away returns the refusal of a call that would only wait for a store that
+// unreachableError returns the refusal of a call that would only wait for a store that
 // cannot be reached; clients come back through other VMs.
-func (v *Store) away() *core.RefusalError {
+func (v *Store) unreachableError() *core.RefusalError {
 	r := core.Refuse(core.CodeStore, "this VM does not reach the store")
-	r.RetryAfter = againSoon
+	r.RetryAfter = clientRetryAfter
 	return r
 }
 
@@ -112,7 +112,7 @@
 	return errors.As(err, &r)
 }
 
-func partOf(id core.JobID) int { return int(xxhash.Sum64String(string(id)) % parts) }
+func partOf(id core.JobID) int { return int(xxhash.Sum64String(string(id)) % jobParts) }
 
 func jobKey(id core.JobID) table.Key {
 	return table.Key{Table: jobTable, Part: partName(partOf(id)), Name: string(id)}
@@ -123,11 +123,11 @@
 }
 
 func progressKey(id core.JobID) table.Key {
-	return table.Key{Table: progTable, Part: fleetPart, Name: string(id)}
+	return table.Key{Table: progressTable, Part: fleetPart, Name: string(id)}
 }
 
-func seatKey() table.Key {
-	return table.Key{Table: fleetTable, Part: fleetPart, Name: seatName}
+func ownerKey() table.Key {
+	return table.Key{Table: fleetTable, Part: fleetPart, Name: ownerName}
 }
 
 func rosterKey(page int) table.Key {
@@ -137,8 +137,8 @@
 // rosterPage is one row of the list of workers in use.
 type rosterPage struct {
 	// Pages is how many rows the list has; later ones are of an older list.
-	Pages int
-	Hosts []fleet.WorkerInfo
+	Pages   int
+	Workers []fleet.WorkerInfo `json:"Hosts"`
 }
 
 func partName(i int) string { return "p" + strconv.Itoa(i) }
@@ -160,13 +160,13 @@
 
 // get reads one row; version 0 means that there is none.
 func (v *Store) get(ctx context.Context, k table.Key) (table.Row, error) {
-	r, _, err := v.look(ctx, k)
+	r, _, err := v.getWithClock(ctx, k)
 	return r, err
 }
 
-// look reads one row, and the store's clock.
-func (v *Store) look(ctx context.Context, k table.Key) (table.Row, time.Duration, error) {
-	p, err := v.store.Read(ctx, table.Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x01", Limit: 1})
+// getWithClock reads one row, and the store's clock.
+func (v *Store) getWithClock(ctx context.Context, k table.Key) (table.Row, time.Duration, error) {
+	p, err := v.client.Read(ctx, table.Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x01", Limit: 1})
 	if err != nil || len(p.Rows) == 0 {
 		return table.Row{}, p.Now, err
 	}
@@ -175,7 +175,7 @@
 
 // OwnerRecord reads the owner's row.
 func (v *Store) OwnerRecord(ctx context.Context) (elect.Observation, error) {
-	r, now, err := v.look(ctx, seatKey())
+	r, now, err := v.getWithClock(ctx, ownerKey())
 	l := elect.Observation{Version: r.Version, Clock: now}
 	if err != nil || r.Version == 0 {
 		return l, err
@@ -197,10 +197,10 @@
 
 // Write stores a record on the condition that the seat has not changed.
 func (v *Store) Write(ctx context.Context, r OwnerWrite) (table.Done, error) {
-	t := table.Txn{Checks: []table.Check{{Key: seatKey(), Version: r.Version}}}
-	rows := map[table.Key]any{seatKey(): r.Record}
+	t := table.Txn{Checks: []table.Check{{Key: ownerKey(), Version: r.Version}}}
+	rows := map[table.Key]any{ownerKey(): r.Record}
 	if r.Roster != nil {
-		pages := slices.Collect(slices.Chunk(r.Roster, rosterPart))
+		pages := slices.Collect(slices.Chunk(r.Roster, rosterPageSize))
 		for i, hosts := range pages {
 			rows[rosterKey(i)] = rosterPage{len(pages), hosts}
 		}
@@ -221,7 +221,7 @@
 	for _, id := range r.Deletes {
 		t.Deletes = append(t.Deletes, progressKey(id))
 	}
-	return v.store.Write(ctx, t)
+	return v.client.Write(ctx, t)
 }
 
 // Delete deletes the rows of jobs that nobody may ask for any more, but for
@@ -237,7 +237,7 @@
 		byPart[p].Deletes = append(byPart[p].Deletes, jobKey(id), cancelKey(id))
 	}
 	for _, t := range byPart {
-		if _, err := v.store.Write(ctx, *t); err != nil {
+		if _, err := v.client.Write(ctx, *t); err != nil {
 			return err
 		}
 	}
@@ -252,18 +252,18 @@
 	Roster    []fleet.WorkerInfo
 	// Version is where the feed of news goes on.
 	Version uint64
-	// Unread are rows that could not be read; they are left out.
-	Unread []error
+	// RowErrors are rows that could not be read; they are left out.
+	RowErrors []error
 }
 
 // Load reads all that is recorded. The partitions are read side by side; the
 // progress is read after the jobs, so that a job without progress had none.
 func (v *Store) Load(ctx context.Context) (*Snapshot, error) {
 	out := &Snapshot{Progress: map[core.JobID]jobs.Progress{}}
-	var found [parts]Snapshot
+	var found [jobParts]Snapshot
 	g, sub := errgroup.WithContext(ctx)
-	g.SetLimit(readers)
-	for p := range parts {
+	g.SetLimit(maxParallelReads)
+	for p := range jobParts {
 		g.Go(func() error {
 			var err error
 			found[p].Version, err = v.scan(sub, table.Range{Table: jobTable, Part: partName(p)}, found[p].addJob)
@@ -282,19 +282,19 @@
 	for _, f := range found {
 		out.Specs = append(out.Specs, f.Specs...)
 		out.Cancelled = append(out.Cancelled, f.Cancelled...)
-		out.Unread = append(out.Unread, f.Unread...)
+		out.RowErrors = append(out.RowErrors, f.RowErrors...)
 		out.Version = min(out.Version, f.Version)
 	}
-	var progress [len(rangeStarts)]Snapshot
+	var progress [len(progressRangeStarts)]Snapshot
 	g, sub = errgroup.WithContext(ctx)
-	for i, from := range rangeStarts {
+	for i, from := range progressRangeStarts {
 		to := ""
-		if i+1 < len(rangeStarts) {
-			to = rangeStarts[i+1]
+		if i+1 < len(progressRangeStarts) {
+			to = progressRangeStarts[i+1]
 		}
 		progress[i].Progress = map[core.JobID]jobs.Progress{}
 		g.Go(func() error {
-			_, err := v.scan(sub, table.Range{Table: progTable, Part: fleetPart, From: from, To: to}, progress[i].addProgress)
+			_, err := v.scan(sub, table.Range{Table: progressTable, Part: fleetPart, From: from, To: to}, progress[i].addProgress)
 			return err
 		})
 	}
@@ -303,14 +303,14 @@
 	}
 	for _, p := range progress {
 		maps.Copy(out.Progress, p.Progress)
-		out.Unread = append(out.Unread, p.Unread...)
+		out.RowErrors = append(out.RowErrors, p.RowErrors...)
 	}
 	return out, nil
 }
 
 // roster reads the list of workers in use.
 func (v *Store) roster(ctx context.Context) ([]fleet.WorkerInfo, error) {
-	p, err := v.store.Read(ctx, table.Range{Table: fleetTable, Part: fleetPart, From: rosterName, To: rosterName + "0"})
+	p, err := v.client.Read(ctx, table.Range{Table: fleetTable, Part: fleetPart, From: rosterName, To: rosterName + "0"})
 	if err != nil {
 		return nil, err
 	}
@@ -325,7 +325,7 @@
 			pages = page.Pages
 		}
 		if i < pages {
-			out = append(out, page.Hosts...)
+			out = append(out, page.Workers...)
 		}
 	}
 	return out, nil
@@ -339,7 +339,7 @@
 	}
 	var s jobs.Spec
 	if err := decode(row, &s); err != nil {
-		r.Unread = append(r.Unread, err)
+		r.RowErrors = append(r.RowErrors, err)
 		return
 	}
 	r.Specs = append(r.Specs, s)
@@ -348,7 +348,7 @@
 func (r *Snapshot) addProgress(row table.Row) {
 	var p jobs.Progress
 	if err := decode(row, &p); err != nil {
-		r.Unread = append(r.Unread, err)
+		r.RowErrors = append(r.RowErrors, err)
 		return
 	}
 	r.Progress[p.Job] = p
@@ -359,7 +359,7 @@
 func (v *Store) scan(ctx context.Context, in table.Range, each func(table.Row)) (uint64, error) {
 	first := uint64(0)
 	for {
-		p, err := v.store.Read(ctx, in)
+		p, err := v.client.Read(ctx, in)
 		if err != nil {
 			return 0, err
 		}
@@ -381,7 +381,7 @@
 // could not tell.
 func (v *Store) Changes(ctx context.Context, after uint64) (Snapshot, error) {
 	out := Snapshot{Version: after}
-	ch, err := v.store.Feed(ctx, table.Since{Table: jobTable, Version: after})
+	ch, err := v.client.Feed(ctx, table.Since{Table: jobTable, Version: after})
 	if err != nil {
 		return out, err
 	}
@@ -397,7 +397,7 @@
 // State reads how a job is to be shown, from the record alone.
 func (v *Store) State(ctx context.Context, id core.JobID) (jobs.State, error) {
 	if v.Unreachable() {
-		return "", v.away()
+		return "", v.unreachableError()
 	}
 	row, err := v.get(ctx, jobKey(id))
 	if err != nil {
@@ -436,7 +436,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = v.store.Write(ctx, table.Txn{Checks: []table.Check{{Key: cancelKey(id)}}, Puts: []table.Put{put}})
+	_, err = v.client.Write(ctx, table.Txn{Checks: []table.Check{{Key: cancelKey(id)}}, Puts: []table.Put{put}})
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
 		// The row exists: the job has been cancelled before.
--- a/io/record/store_test.go
+++ b/io/record/store_test.go
@@ -22,8 +22,8 @@
 	"chicoryturn/io/table"
 )
 
-// memory is a table in memory whose next calls can be made to fail.
-type memory struct {
+// fakeTable is a table in memory whose next calls can be made to fail.
+type fakeTable struct {
 	mu      sync.Mutex
 	rows    map[table.Key]table.Row
 	version uint64
@@ -33,15 +33,15 @@
 	refuse, silent, applied bool
 }
 
-func newMemory() *memory { return &memory{rows: map[table.Key]table.Row{}} }
+func newFakeTable() *fakeTable { return &fakeTable{rows: map[table.Key]table.Row{}} }
 
-func (m *memory) set(refuse, silent, applied bool) {
+func (m *fakeTable) setFaults(refuse, silent, applied bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refuse, m.silent, m.applied = refuse, silent, applied
 }
 
-func (m *memory) Write(_ context.Context, t table.Txn) (table.Done, error) {
+func (m *fakeTable) Write(_ context.Context, t table.Txn) (table.Done, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.writes++
@@ -81,7 +81,7 @@
 	return table.Done{Version: m.version}, nil
 }
 
-func (m *memory) Read(_ context.Context, r table.Range) (table.Page, error) {
+func (m *fakeTable) Read(_ context.Context, r table.Range) (table.Page, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := table.Page{Version: m.version}
@@ -94,7 +94,7 @@
 	return p, nil
 }
 
-func (m *memory) Feed(_ context.Context, s table.Since) (table.Changes, error) {
+func (m *fakeTable) Feed(_ context.Context, s table.Since) (table.Changes, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := table.Changes{Version: m.version}
@@ -106,7 +106,7 @@
 	return c, nil
 }
 
-func open(t *testing.T, m *memory) *record.Store {
+func startStore(t *testing.T, m *fakeTable) *record.Store {
 	t.Helper()
 	v := record.New(m)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -119,19 +119,19 @@
 	return v
 }
 
-func spec(id string, team core.Team) jobs.Spec {
+func newSpec(id string, team core.Team) jobs.Spec {
 	return jobs.Spec{ID: core.JobID(id), Team: team, Queue: "q", Phases: []jobs.Phase{{Count: 1}}}
 }
 
-// within returns a context that ends after a while.
-func within(t *testing.T, d time.Duration) context.Context {
+// timeoutContext returns a context that ends after a while.
+func timeoutContext(t *testing.T, d time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func run(err error) core.Execution {
+func execution(err error) core.Execution {
 	var r *core.RefusalError
 	if errors.As(err, &r) {
 		return r.Execution
@@ -139,35 +139,35 @@
 	return ""
 }
 
-// crawl is a table that carries a partition's writes out one after another, slowly,
+// slowTable is a table that carries a partition's writes out one after another, slowly,
 // also those whose callers have given up.
-type crawl struct {
-	*memory
-	takes time.Duration
-	// turn also guards named, how often each row has been written.
-	turn  sync.Mutex
-	named map[string]int
-	// queue counts the writes that have not been carried out.
-	queue sync.WaitGroup
+type slowTable struct {
+	*fakeTable
+	writeTime time.Duration
+	// mu also guards named, how often each row has been written.
+	mu           sync.Mutex
+	writesByName map[string]int
+	// inFlight counts the writes that have not been carried out.
+	inFlight sync.WaitGroup
 }
 
-func (c *crawl) Write(ctx context.Context, t table.Txn) (table.Done, error) {
+func (c *slowTable) Write(ctx context.Context, t table.Txn) (table.Done, error) {
 	began := time.Now()
 	type result struct {
 		done table.Done
 		err  error
 	}
 	out := make(chan result, 1)
-	c.queue.Add(1)
+	c.inFlight.Add(1)
 	go func() {
-		defer c.queue.Done()
-		c.turn.Lock()
-		time.Sleep(c.takes)
+		defer c.inFlight.Done()
+		c.mu.Lock()
+		time.Sleep(c.writeTime)
 		for _, p := range t.Puts {
-			c.named[p.Name]++
+			c.writesByName[p.Name]++
 		}
-		done, err := c.memory.Write(ctx, t)
-		c.turn.Unlock()
+		done, err := c.fakeTable.Write(ctx, t)
+		c.mu.Unlock()
 		out <- result{done, err}
 		if ctx.Err() != nil {
 			o := table.Outcome{Done: &done}
@@ -191,28 +191,28 @@
 // each.
 func TestSlowStore(t *testing.T) {
 	is := is.New(t)
-	c := &crawl{memory: newMemory(), named: map[string]int{}, takes: 1400 * time.Millisecond}
+	c := &slowTable{fakeTable: newFakeTable(), writesByName: map[string]int{}, writeTime: 1400 * time.Millisecond}
 	v := record.New(adapt.New(c))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = v.Run(ctx) }()
 	first := time.Now()
-	is.NoErr(accept(within(t, 15*time.Second), v, spec("a", "t")))
-	is.True(time.Since(first) < 2*c.takes) // the late answer of the first write counts
+	is.NoErr(accept(timeoutContext(t, 15*time.Second), v, newSpec("a", "t")))
+	is.True(time.Since(first) < 2*c.writeTime) // the late answer of the first write counts
 	for _, id := range []string{"b", "c"} {
 		began := time.Now()
-		is.NoErr(accept(within(t, 10*time.Second), v, spec(id, "t")))
-		is.True(time.Since(began) < 5*c.takes)
+		is.NoErr(accept(timeoutContext(t, 10*time.Second), v, newSpec(id, "t")))
+		is.True(time.Since(began) < 5*c.writeTime)
 	}
-	c.queue.Wait()
+	c.inFlight.Wait()
 	for _, id := range []string{"d", "e"} {
-		is.NoErr(accept(within(t, 10*time.Second), v, spec(id, "t")))
+		is.NoErr(accept(timeoutContext(t, 10*time.Second), v, newSpec(id, "t")))
 	}
-	c.queue.Wait()
-	c.turn.Lock()
-	defer c.turn.Unlock()
-	is.Equal(c.named["d"], 1)
-	is.Equal(c.named["e"], 1)
+	c.inFlight.Wait()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	is.Equal(c.writesByName["d"], 1)
+	is.Equal(c.writesByName["e"], 1)
 }
 
 // accept records a job whatever the store holds of it.
@@ -224,79 +224,79 @@
 func TestAccept(t *testing.T) {
 	t.Run("once, and again under the same name", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
-		v := open(t, m)
-		is.NoErr(accept(within(t, time.Second), v, spec("a", "t")))
-		is.NoErr(accept(within(t, time.Second), v, spec("a", "t")))
-		is.Equal(run(accept(within(t, time.Second), v, spec("a", "other"))), core.NotExecuted)
+		m := newFakeTable()
+		v := startStore(t, m)
+		is.NoErr(accept(timeoutContext(t, time.Second), v, newSpec("a", "t")))
+		is.NoErr(accept(timeoutContext(t, time.Second), v, newSpec("a", "t")))
+		is.Equal(execution(accept(timeoutContext(t, time.Second), v, newSpec("a", "other"))), core.NotExecuted)
 		state, err := v.State(context.Background(), "a")
 		is.NoErr(err)
 		is.Equal(state, jobs.Queued)
 	})
 	t.Run("again, through a VM that knows of a later owner", func(t *testing.T) {
 		is := is.New(t)
-		v := open(t, newMemory())
-		first, again := spec("a", "t"), spec("a", "t")
+		v := startStore(t, newFakeTable())
+		first, again := newSpec("a", "t"), newSpec("a", "t")
 		first.FirstEpoch, again.FirstEpoch, again.Payload = 3, 4, "other"
-		is.NoErr(accept(within(t, time.Second), v, first))
-		recorded, err := v.Accept(within(t, time.Second), again)
+		is.NoErr(accept(timeoutContext(t, time.Second), v, first))
+		recorded, err := v.Accept(timeoutContext(t, time.Second), again)
 		is.NoErr(err)
 		is.Equal(recorded, first) // owner 3 may have started it
 	})
 	t.Run("refused soon, and never recorded", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
-		m.set(true, false, false)
-		v := open(t, m)
+		m := newFakeTable()
+		m.setFaults(true, false, false)
+		v := startStore(t, m)
 		began := time.Now()
-		is.Equal(run(accept(within(t, 15*time.Second), v, spec("a", "t"))), core.NotExecuted)
+		is.Equal(execution(accept(timeoutContext(t, 15*time.Second), v, newSpec("a", "t"))), core.NotExecuted)
 		is.True(time.Since(began) < 2*time.Second)
-		m.set(false, false, false)
+		m.setFaults(false, false, false)
 		_, err := v.State(context.Background(), "a")
-		is.Equal(run(err), core.NotExecuted) // there is no such job
+		is.Equal(execution(err), core.NotExecuted) // there is no such job
 	})
 	t.Run("recorded, but the answer was lost", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
-		m.set(false, true, true)
-		v := open(t, m)
+		m := newFakeTable()
+		m.setFaults(false, true, true)
+		v := startStore(t, m)
 		go func() {
 			time.Sleep(300 * time.Millisecond)
-			m.set(false, false, false)
+			m.setFaults(false, false, false)
 		}()
-		is.NoErr(accept(within(t, 5*time.Second), v, spec("a", "t")))
+		is.NoErr(accept(timeoutContext(t, 5*time.Second), v, newSpec("a", "t")))
 	})
 	t.Run("no answer until the client's time is up", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
-		m.set(false, true, false)
-		v := open(t, m)
-		is.Equal(run(accept(within(t, 500*time.Millisecond), v, spec("a", "t"))), core.ExecutionUnknown)
+		m := newFakeTable()
+		m.setFaults(false, true, false)
+		v := startStore(t, m)
+		is.Equal(execution(accept(timeoutContext(t, 500*time.Millisecond), v, newSpec("a", "t"))), core.ExecutionUnknown)
 	})
 	t.Run("an unanswered write is not taken back by a refusal", func(t *testing.T) {
 		is := is.New(t)
-		m := newMemory()
-		m.set(false, true, false)
-		v := open(t, m)
+		m := newFakeTable()
+		m.setFaults(false, true, false)
+		v := startStore(t, m)
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			m.set(true, false, false)
+			m.setFaults(true, false, false)
 		}()
-		is.Equal(run(accept(within(t, 1500*time.Millisecond), v, spec("a", "t"))), core.ExecutionUnknown)
+		is.Equal(execution(accept(timeoutContext(t, 1500*time.Millisecond), v, newSpec("a", "t"))), core.ExecutionUnknown)
 	})
 }
 
-// TestShared sends many jobs at once: those of one partition share writes.
-func TestShared(t *testing.T) {
+// TestJobsShareWrites sends many jobs at once: those of one partition share writes.
+func TestJobsShareWrites(t *testing.T) {
 	is := is.New(t)
-	m := newMemory()
-	v := open(t, m)
+	m := newFakeTable()
+	v := startStore(t, m)
 	var wg sync.WaitGroup
 	for i := range 500 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if err := accept(within(t, 5*time.Second), v, spec(string(rune('a'+i%26))+string(rune('a'+i/26)), "t")); err != nil {
+			if err := accept(timeoutContext(t, 5*time.Second), v, newSpec(string(rune('a'+i%26))+string(rune('a'+i/26)), "t")); err != nil {
 				t.Error(err)
 			}
 		}()
@@ -307,16 +307,16 @@
 	is.True(m.writes < 500)
 }
 
-func TestOwnersRecord(t *testing.T) {
+func TestOwnerWrite(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory()
-	v := open(t, m)
-	is.NoErr(accept(ctx, v, spec("a", "t")))
-	is.NoErr(accept(ctx, v, spec("b", "t")))
+	m := newFakeTable()
+	v := startStore(t, m)
+	is.NoErr(accept(ctx, v, newSpec("a", "t")))
+	is.NoErr(accept(ctx, v, newSpec("b", "t")))
 	is.NoErr(v.Cancel(ctx, "b", time.Now()))
 	is.NoErr(v.Cancel(ctx, "b", time.Now())) // again
-	is.Equal(run(v.Cancel(ctx, "c", time.Now())), core.NotExecuted)
+	is.Equal(execution(v.Cancel(ctx, "c", time.Now())), core.NotExecuted)
 
 	done, err := v.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "x", Epoch: 1}, Roster: []fleet.WorkerInfo{{VM: core.VM{Name: "w"}}}})
 	is.NoErr(err)
@@ -339,19 +339,19 @@
 	is.NoErr(err)
 	is.Equal(look.Record.Holder, core.SessionID("x"))
 
-	is.NoErr(accept(ctx, v, spec("d", "t")))
+	is.NoErr(accept(ctx, v, newSpec("d", "t")))
 	news, err := v.Changes(ctx, rec.Version)
 	is.NoErr(err)
 	is.Equal(len(news.Specs), 1)
 	is.Equal(news.Specs[0].ID, core.JobID("d"))
 }
 
-// TestLargeFleet records a list of workers that no single row could hold, then
+// TestLargeRoster records a list of workers that no single row could hold, then
 // a shorter one.
-func TestLargeFleet(t *testing.T) {
+func TestLargeRoster(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	v := open(t, newMemory())
+	v := startStore(t, newFakeTable())
 	version := uint64(0)
 	for _, count := range []int{700, 350, 3, 0} {
 		hosts := []fleet.WorkerInfo{}
@@ -370,8 +370,8 @@
 // TestLargeJob offers a job that no row can hold: it is refused at once.
 func TestLargeJob(t *testing.T) {
 	is := is.New(t)
-	v := open(t, newMemory())
-	s := spec("a", "t")
+	v := startStore(t, newFakeTable())
+	s := newSpec("a", "t")
 	for range 2000 {
 		s.Phases = append(s.Phases, jobs.Phase{Count: 1, Label: "some-label", Image: "some-image"})
 	}
@@ -386,10 +386,10 @@
 func TestDelete(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory()
-	v := open(t, m)
+	m := newFakeTable()
+	v := startStore(t, m)
 	for _, id := range []string{"a", "b", "c"} {
-		is.NoErr(accept(ctx, v, spec(id, "t")))
+		is.NoErr(accept(ctx, v, newSpec(id, "t")))
 	}
 	is.NoErr(v.Cancel(ctx, "b", time.Now()))
 	done, err := v.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "x"}, Progress: []jobs.Progress{{Job: "a", State: jobs.Completed}, {Job: "b", State: jobs.Cancelled}}})
@@ -404,13 +404,13 @@
 	is.Equal(len(rec.Cancelled), 0)
 }
 
-// TestBadRows writes rows that cannot be read: the others are.
-func TestBadRows(t *testing.T) {
+// TestUndecodableRows writes rows that cannot be read: the others are.
+func TestUndecodableRows(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	m := newMemory()
-	v := open(t, m)
-	is.NoErr(accept(ctx, v, spec("a", "t")))
+	m := newFakeTable()
+	v := startStore(t, m)
+	is.NoErr(accept(ctx, v, newSpec("a", "t")))
 	m.mu.Lock()
 	for k := range m.rows {
 		k.Name = "odd"
@@ -421,45 +421,45 @@
 	rec, err := v.Load(ctx)
 	is.NoErr(err)
 	is.Equal(len(rec.Specs), 1)
-	is.Equal(len(rec.Unread), 1)
+	is.Equal(len(rec.RowErrors), 1)
 }
 
-// cut stands for a way to the store that may be cut off.
-type cut struct{ away atomic.Bool }
+// fakeReachability stands for a way to the store that may be cut off.
+type fakeReachability struct{ unreachable atomic.Bool }
 
-func (c *cut) Unreachable() bool { return c.away.Load() }
+func (c *fakeReachability) Unreachable() bool { return c.unreachable.Load() }
 
-// TestCutOff submits jobs on a VM that does not reach the store: those that may
+// TestStoreUnreachable submits jobs on a VM that does not reach the store: those that may
 // have been recorded, and those that surely have not, are answered at once.
-func TestCutOff(t *testing.T) {
+func TestStoreUnreachable(t *testing.T) {
 	is := is.New(t)
-	m, c := newMemory(), &cut{}
+	m, c := newFakeTable(), &fakeReachability{}
 	v := record.New(m, record.WithReach(c))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = v.Run(ctx) }()
-	m.set(false, true, true)
+	m.setFaults(false, true, true)
 	unsure := make(chan error, 1)
 	go func() { unsure <- accept(ctx, v, jobs.Spec{ID: "a", Team: "t", Queue: "q"}) }()
-	for m.count() == 0 {
+	for m.writeCount() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	c.away.Store(true)
+	c.unreachable.Store(true)
 	var r *core.RefusalError
 	is.True(errors.As(<-unsure, &r))
 	is.Equal(r.Execution, core.ExecutionUnknown) // the client asks again under the same name
 	is.True(errors.As(accept(ctx, v, jobs.Spec{ID: "a", Team: "t", Queue: "q"}), &r))
 	is.Equal(r.Execution, core.ExecutionUnknown) // the first call may still be carried out
-	writes := m.count()
+	writes := m.writeCount()
 	is.True(errors.As(accept(ctx, v, jobs.Spec{ID: "b", Team: "t", Queue: "q"}), &r))
 	is.Equal(r.Execution, core.NotExecuted)
-	is.Equal(m.count(), writes) // nothing was sent
+	is.Equal(m.writeCount(), writes) // nothing was sent
 	_, err := v.State(ctx, "a")
 	is.True(errors.As(err, &r))
 	is.Equal(r.Code, core.CodeStore)
 }
 
-func (m *memory) count() int {
+func (m *fakeTable) writeCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.writes
