--- a/io/owner/dump.go
+++ b/io/owner/dump.go
@@ -8,14 +8,14 @@
 	"chicoryturn/core/fleet"
 )
 
-// Dump is the control state for people.
+// Dump is the control state as operators read it.
 type Dump struct {
 	State    string
 	Record   elect.Record `json:"Seat"`
 	Version  uint64
 	Draining bool `json:"Leaving"`
-	// AdviceLoad is the expected length of the calls for advice that each VM has
-	// not answered.
+	// AdviceLoad is the expected duration of the advice requests in flight on each
+	// VM.
 	AdviceLoad map[string]string `json:"Calls"`
 	Scheduler  *fleet.Dump       `json:"Board,omitempty"`
 }
@@ -25,8 +25,8 @@
 	return query(ctx, o, func(o *Owner, _ time.Time) Dump {
 		d := Dump{State: o.election.State(), Draining: o.draining, AdviceLoad: map[string]string{}}
 		d.Record, d.Version = o.election.Record()
-		for name, l := range o.peers.byName {
-			d.AdviceLoad[name] = l.load.String()
+		for name, s := range o.peers.byName {
+			d.AdviceLoad[name] = s.load.String()
 		}
 		if o.scheduler != nil {
 			d.Scheduler = o.scheduler.Dump()
--- a/io/owner/election.go
+++ b/io/owner/election.go
@@ -15,266 +15,276 @@
 	"chicoryturn/io/table"
 )
 
-// storeFactor times the way to the store and back is how much later a VM claims:
-// each record of an owner takes that way, and reading what is recorded some ten.
-// A slow store is no reason to wait beyond storeMost.
+// The claim delay includes claimDelayFactor times the latency of a read of the
+// store, so that the process nearest to the store becomes the owner: each write of
+// an owner takes one such round trip, and loading a snapshot about ten. A slow
+// store must not delay claims by more than maxStoreDelay.
 const (
 	claimDelayFactor = 3
 	maxStoreDelay    = 300 * time.Millisecond
 )
 
-// maxProgressRows bounds the rows of progress written and dropped in one record; the
-// platform takes 100 entries a transaction, with the seat and the roster.
+// maxProgressRows bounds the progress rows that one write stores and deletes; with
+// more, the deletes wait for a later write. The platform accepts 100 entries per
+// transaction, which include the ownership record and the roster.
 const maxProgressRows = 80
 
+// isCompacted reports whether the feed of changes has been compacted past the
+// requested version.
 func isCompacted(err error) bool {
-	var t *table.CompactedError
-	return errors.As(err, &t)
+	var compacted *table.CompactedError
+	return errors.As(err, &compacted)
 }
 
-// readRecord reads the seat: now and then while others own the fleet, and after a
-// write of our own without an answer.
+// readRecord reads the ownership record if the next read is due: every
+// elect.ReadInterval while another process holds it, and after a suspension or an
+// unanswered write of this process.
 func (o *Owner) readRecord(now time.Time) {
-	need := !o.election.IsHolder() || o.election.MustRead() || o.election.Suspended()
-	if o.recordReading || o.recordWriting || o.draining || !need || now.Before(o.nextRecordRead) {
+	needed := !o.election.IsHolder() || o.election.MustRead() || o.election.Suspended()
+	if o.recordReadInFlight || o.recordWriteInFlight || o.draining || !needed || now.Before(o.nextRecordRead) {
 		return
 	}
-	o.recordReading = true
+	o.recordReadInFlight = true
 	o.async(func(ctx context.Context) func(*Owner, time.Time) {
 		began := time.Now()
-		l, err := o.records.OwnerRecord(ctx)
+		obs, err := o.records.OwnerRecord(ctx)
 		took := time.Since(began)
 		return func(o *Owner, now time.Time) {
-			o.recordReading = false
+			o.recordReadInFlight = false
 			o.nextRecordRead = now.Add(elect.ReadInterval)
 			if err != nil {
 				o.nextRecordRead = now.Add(retryInterval)
 				o.election.ReadFailed(now)
-				o.log.WithError(err).Warn("seat not read")
+				o.log.WithError(err).Warn("cannot read the ownership record")
 				return
 			}
-			o.handleObservation(now, l, took)
+			o.handleObservation(now, obs, took)
 		}
 	})
 }
 
-func (o *Owner) handleObservation(now time.Time, l elect.Observation, took time.Duration) {
-	was := o.election.IsHolder()
-	s := l.Record
+// handleObservation handles the ownership record as read from the store; took is
+// the latency of the read.
+func (o *Owner) handleObservation(now time.Time, obs elect.Observation, took time.Duration) {
+	wasHolder := o.election.IsHolder()
+	rec := obs.Record
 	o.election.SetClaimDelay(o.claimDelay + min(claimDelayFactor*took, maxStoreDelay))
-	claim := o.election.Observe(now, l)
-	if was && !o.election.IsHolder() {
-		o.discardScheduler("the seat has another holder")
+	claim := o.election.Observe(now, obs)
+	if wasHolder && !o.election.IsHolder() {
+		o.discardScheduler("another process holds the ownership record")
 	}
 	o.announceOwner()
 	switch {
 	case claim:
-		o.log.WithFields(logrus.Fields{"epoch": s.Epoch + 1, "last": s.VM, "version": l.Version, "took": took.String()}).Info("claiming the seat")
+		o.log.WithFields(logrus.Fields{"epoch": rec.Epoch + 1, "last": rec.VM, "version": obs.Version, "took": took.String()}).Info("claiming ownership")
 		o.nextWrite = now
 		o.writeRecord(now)
-	case o.election.Loading() && !was:
+	case o.election.Loading() && !wasHolder:
 		o.loadSnapshot()
-	case !o.election.IsHolder() && (s.Holder == "" || o.election.HolderSuspect()):
-		// The seat is free: look again as soon as it may be claimed.
+	case !o.election.IsHolder() && (rec.Holder == "" || o.election.HolderSuspect()):
+		// The record may be claimed soon: read it again after the shorter interval.
 		o.nextRecordRead = now.Add(retryInterval)
 	}
 }
 
-// announceOwner tells the process's other parts who owns the fleet.
+// announceOwner calls the owner hook if the owner or its epoch has changed.
 func (o *Owner) announceOwner() {
-	s, _ := o.election.Record()
-	if s.Holder == o.announced.Holder && s.Epoch == o.announced.Epoch {
+	rec, _ := o.election.Record()
+	if rec.Holder == o.announcedRecord.Holder && rec.Epoch == o.announcedRecord.Epoch {
 		return
 	}
-	o.announced = s
-	o.log.WithFields(logrus.Fields{"epoch": s.Epoch, "owner": s.VM}).Info("owner known")
-	o.onOwner(s, o.election.IsHolder())
+	o.announcedRecord = rec
+	o.log.WithFields(logrus.Fields{"epoch": rec.Epoch, "owner": rec.VM}).Info("new owner")
+	o.onOwner(rec, o.election.IsHolder())
 }
 
-// OwnerLost has the seat looked at at once, since its holder does not answer;
-// over is set if it seems to have ended.
-func (o *Owner) OwnerLost(holder core.SessionID, over bool) {
+// OwnerLost reads the ownership record at once because its holder does not answer.
+// Ended reports that the holder's process has probably ended, so that a claim need
+// not wait until the record expires.
+func (o *Owner) OwnerLost(holder core.SessionID, ended bool) {
 	o.post(func(o *Owner, now time.Time) {
 		o.nextRecordRead = now
 		o.election.MarkSuspect(holder)
-		if over {
+		if ended {
 			o.election.MarkEnded(holder)
 		}
 	})
 }
 
-// OwnerFound tells that the owner answers.
+// OwnerFound removes the suspicion of OwnerLost, since the owner answers.
 func (o *Owner) OwnerFound() {
 	o.post(func(o *Owner, _ time.Time) { o.election.MarkSuspect("") })
 }
 
-// discardScheduler forgets the board after the seat has been lost.
-func (o *Owner) discardScheduler(why string) {
+// discardScheduler drops the scheduler when the process no longer owns the fleet.
+func (o *Owner) discardScheduler(reason string) {
 	if o.scheduler == nil {
 		return
 	}
-	o.log.WithFields(logrus.Fields{"epoch": o.scheduler.Epoch(), "because": why}).Warn("no longer the owner")
+	o.log.WithFields(logrus.Fields{"epoch": o.scheduler.Epoch(), "because": reason}).Warn("no longer the owner")
 	o.scheduler = nil
-	o.unstoredRoster, o.rosterVersion, o.progressDeletes = nil, 0, nil
+	o.rosterToStore, o.rosterVersion, o.progressToDelete = nil, 0, nil
 	o.meter.Own(false)
 	o.peers.resetLoads()
 }
 
-// stepDown follows the news of a later owner from a worker.
-func (o *Owner) stepDown(now time.Time, why string) {
+// stepDown ends this process's ownership because a later owner exists.
+func (o *Owner) stepDown(now time.Time, reason string) {
 	o.election.Superseded()
-	o.discardScheduler(why)
+	o.discardScheduler(reason)
 	o.nextRecordRead = now
 }
 
-// yieldToLaterOwner gives way to a later owner that a job has named, and reports whether it
-// has.
+// yieldToLaterOwner steps down if a job names a later owner than this one, and
+// reports whether it did. It does so once for each later epoch.
 func (o *Owner) yieldToLaterOwner(now time.Time) bool {
 	later := o.scheduler.LaterEpoch()
-	if later <= o.yieldedTo {
+	if later <= o.yieldedToEpoch {
 		return false
 	}
-	o.yieldedTo = later
+	o.yieldedToEpoch = later
 	o.stepDown(now, "a job names a later owner")
 	return true
 }
 
-// writeRecord claims or renews the seat, with the progress that waits.
+// writeRecord writes the ownership record if a claim or renewal is due or if
+// progress, deletes or a roster wait to be stored. One transaction holds all of them.
 func (o *Owner) writeRecord(now time.Time) {
-	if o.recordWriting || o.recordReading || o.draining || o.election.MustRead() || now.Before(o.nextWrite) {
+	if o.recordWriteInFlight || o.recordReadInFlight || o.draining || o.election.MustRead() || now.Before(o.nextWrite) {
 		return
 	}
 	claiming := o.election.State() == "claiming"
 	if !claiming && !o.election.IsHolder() {
 		return
 	}
-	seat, version := o.election.NextRecord(now)
-	rec := record.OwnerWrite{Record: seat, Version: version}
+	next, version := o.election.NextRecord(now)
+	write := record.OwnerWrite{Record: next, Version: version}
 	if o.scheduler != nil {
-		rec.Progress = o.scheduler.Batch()
-		rec.Roster = o.unstoredRoster
-		if len(rec.Progress)+len(o.progressDeletes) <= maxProgressRows {
-			rec.Deletes = o.progressDeletes
+		write.Progress = o.scheduler.Batch()
+		write.Roster = o.rosterToStore
+		if len(write.Progress)+len(o.progressToDelete) <= maxProgressRows {
+			write.Deletes = o.progressToDelete
 		}
 	}
-	due := claiming || len(rec.Progress) > 0 || len(rec.Deletes) > 0 || rec.Roster != nil || now.Sub(o.lastWrite) >= elect.RenewInterval
+	due := claiming || len(write.Progress) > 0 || len(write.Deletes) > 0 || write.Roster != nil || now.Sub(o.lastWrite) >= elect.RenewInterval
 	if !due {
 		return
 	}
-	o.recordWriting = true
-	epoch, roster := seat.Epoch, o.rosterVersion
+	o.recordWriteInFlight = true
+	epoch, rosterVersion := next.Epoch, o.rosterVersion
 	o.async(func(ctx context.Context) func(*Owner, time.Time) {
 		began := time.Now()
-		done, err := o.records.Write(ctx, rec)
+		done, err := o.records.Write(ctx, write)
 		took := time.Since(began)
 		return func(o *Owner, now time.Time) {
-			o.recordWriting = false
-			o.meter.Record(len(rec.Progress), took)
-			o.handleWrite(now, rec, roster, done, epoch, err)
+			o.recordWriteInFlight = false
+			o.meter.Record(len(write.Progress), took)
+			o.handleWrite(now, write, rosterVersion, done, epoch, err)
 		}
 	})
 }
 
-// handleWrite follows the outcome of a write; roster is the version of the list of
-// workers in it.
-func (o *Owner) handleWrite(now time.Time, rec record.OwnerWrite, roster uint64, done table.Done, epoch core.Epoch, err error) {
-	same := o.scheduler != nil && o.scheduler.Epoch() == epoch
+// handleWrite handles the outcome of a write by the owner of an epoch.
+// RosterVersion is the version of the roster in the write.
+func (o *Owner) handleWrite(now time.Time, write record.OwnerWrite, rosterVersion uint64, done table.Done, epoch core.Epoch, err error) {
+	sameEpoch := o.scheduler != nil && o.scheduler.Epoch() == epoch
 	o.nextWrite = now.Add(writeInterval)
 	var conflict *table.ConflictError
 	switch {
 	case err == nil:
-		was := o.election.IsHolder()
-		o.election.WriteSucceeded(now, rec.Record, done.Version, done.Now)
+		wasHolder := o.election.IsHolder()
+		o.election.WriteSucceeded(now, write.Record, done.Version, done.Now)
 		o.lastWrite = now
 		o.announceOwner()
-		if !was && o.election.Loading() {
+		if !wasHolder && o.election.Loading() {
 			o.loadSnapshot()
 		}
-		if same {
+		if sameEpoch {
 			o.scheduler.BatchStored(now)
-			o.handleRosterStored(rec.Roster, roster)
-			if rec.Deletes != nil {
-				o.progressDeletes = nil
+			o.handleRosterStored(write.Roster, rosterVersion)
+			if write.Deletes != nil {
+				o.progressToDelete = nil
 			}
 			o.tickSoon(now)
 		}
 		return
 	case errors.As(err, &conflict):
-		// Either another process has the seat or an earlier write of ours, which
-		// had no answer, has been carried out late: the row tells.
-		o.log.WithError(err).Warn("seat has changed")
+		// Either another process holds the ownership record, or an earlier write of
+		// this process, which had no answer, took effect late. Reading the record
+		// shows which.
+		o.log.WithError(err).Warn("ownership record has changed")
 		o.election.WriteUnknown()
 		o.nextRecordRead = now
 	case record.Refused(err):
-		o.log.WithError(err).Warn("record refused")
+		o.log.WithError(err).Warn("store refused the owner's write")
 		o.election.WriteRefused()
 		o.nextWrite = now.Add(retryInterval)
 	default:
-		o.log.WithError(err).Warn("record not confirmed")
+		o.log.WithError(err).Warn("owner's write not confirmed")
 		o.election.WriteUnknown()
 		o.nextRecordRead = now
 		o.nextWrite = now.Add(retryInterval)
 	}
-	if same {
-		// Writing the same progress again does no harm.
+	if sameEpoch {
+		// Even if the write took effect, writing the same progress again is harmless.
 		o.scheduler.BatchFailed()
 	}
 }
 
-// handleRosterStored follows the record of a list of workers. One that has changed
-// since is still to be recorded.
-func (o *Owner) handleRosterStored(r []fleet.WorkerInfo, version uint64) {
-	if r == nil {
+// handleRosterStored handles the write of a roster, nil if the write held none. If
+// the roster has changed since, rosterToStore keeps the newer one.
+func (o *Owner) handleRosterStored(roster []fleet.WorkerInfo, version uint64) {
+	if roster == nil {
 		return
 	}
 	if version == o.rosterVersion {
-		o.unstoredRoster = nil
+		o.rosterToStore = nil
 	}
-	o.scheduler.RosterStored(r)
+	o.scheduler.RosterStored(roster)
 	o.stageRoster()
 }
 
-// loadSnapshot reads all that is recorded, after a claim or when the feed of changes
-// has been cut. One reading at a time is enough, and takes seconds on a full
-// record.
+// loadSnapshot loads all stored rows, after a claim or when the feed of changes has
+// been compacted. It takes seconds on a full store, so one load runs at a time.
 func (o *Owner) loadSnapshot() {
-	if o.snapshotReading {
+	if o.snapshotLoadInFlight {
 		return
 	}
-	o.snapshotReading = true
-	seat, _ := o.election.Record()
-	epoch := seat.Epoch
+	o.snapshotLoadInFlight = true
+	current, _ := o.election.Record()
+	epoch := current.Epoch
 	o.async(func(ctx context.Context) func(*Owner, time.Time) {
 		began := time.Now()
-		rec, err := o.records.Load(ctx)
+		snapshot, err := o.records.Load(ctx)
 		took := time.Since(began)
 		return func(o *Owner, now time.Time) {
-			o.snapshotReading = false
+			o.snapshotLoadInFlight = false
 			if !o.election.IsHolder() {
 				return
 			}
-			if seat, _ := o.election.Record(); seat.Epoch != epoch {
+			if current, _ := o.election.Record(); current.Epoch != epoch {
 				o.loadSnapshot()
 				return
 			}
 			if err != nil {
-				o.log.WithError(err).Warn("record not loaded")
+				o.log.WithError(err).Warn("cannot load the snapshot")
 				o.retryLoad()
 				return
 			}
-			o.handleSnapshot(now, loadedSnapshot{epoch, rec, took})
+			o.handleSnapshot(now, loadedSnapshot{epoch, snapshot, took})
 		}
 	})
 }
 
-// loadedSnapshot is all that is recorded, as an owner under an epoch has read it.
+// loadedSnapshot is a snapshot that the owner of an epoch has loaded; took is the
+// duration of the load.
 type loadedSnapshot struct {
 	epoch    core.Epoch
 	snapshot *record.Snapshot
 	took     time.Duration
 }
 
-// retryLoad repeats a failed load.
+// retryLoad loads the snapshot again after retryInterval.
 func (o *Owner) retryLoad() {
 	o.async(func(ctx context.Context) func(*Owner, time.Time) {
 		if !clock.Sleep(ctx, retryInterval) {
@@ -288,19 +298,21 @@
 	})
 }
 
-func (o *Owner) handleSnapshot(now time.Time, r loadedSnapshot) {
+// handleSnapshot passes a loaded snapshot to the scheduler, which it creates after a
+// claim.
+func (o *Owner) handleSnapshot(now time.Time, loaded loadedSnapshot) {
 	o.unappliedSnapshot = nil
-	epoch, rec := r.epoch, r.snapshot
-	if seat, _ := o.election.Record(); !o.election.IsHolder() || seat.Epoch != epoch {
+	epoch, snapshot := loaded.epoch, loaded.snapshot
+	if current, _ := o.election.Record(); !o.election.IsHolder() || current.Epoch != epoch {
 		return
 	}
-	for _, e := range rec.RowErrors {
-		o.log.WithError(e).Error("recorded row left out")
+	for _, e := range snapshot.RowErrors {
+		o.log.WithError(e).Error("skipping a row that cannot be decoded")
 	}
 	if o.policy == nil {
-		// Without a configuration nothing can be decided. What is recorded
-		// meanwhile comes with the news.
-		o.unappliedSnapshot = &r
+		// Nothing can be scheduled without a configuration. The feed of changes
+		// supplies the rows that are written until there is one.
+		o.unappliedSnapshot = &loaded
 		return
 	}
 	if o.scheduler == nil {
@@ -309,12 +321,12 @@
 			opts = append(opts, fleet.WithLostState())
 		}
 		o.scheduler, o.lastOwnedEpoch = fleet.New(now, epoch, o.limits, o.policy, opts...), epoch
-		o.scheduler.Recover(rec.Roster, o.absence.Since())
-		o.unstoredRoster, o.rosterVersion = nil, 0
+		o.scheduler.Recover(snapshot.Roster, o.absence.Since())
+		o.rosterToStore, o.rosterVersion = nil, 0
 		o.meter.Own(true)
 	}
-	o.scheduler.Load(now, rec.Specs, rec.Progress)
-	for _, id := range rec.Cancelled {
+	o.scheduler.Load(now, snapshot.Specs, snapshot.Progress)
+	for _, id := range snapshot.Cancelled {
 		o.scheduler.Cancel(now, id)
 	}
 	if o.yieldToLaterOwner(now) {
@@ -324,40 +336,40 @@
 		o.scheduler.SetWorkers(now, o.workerList)
 	}
 	o.stageRoster()
-	o.changesVersion = rec.Version
+	o.changesVersion = snapshot.Version
 	o.nextWorkersRead, o.nextChangesRead, o.nextTick = now, now, now
 	o.election.StateLoaded()
-	o.log.WithFields(logrus.Fields{"epoch": epoch, "jobs": len(rec.Specs), "workers": len(o.workerList), "took": r.took.Round(time.Millisecond).String()}).Info("owning the fleet")
-	o.onOwner(o.announced, true)
+	o.log.WithFields(logrus.Fields{"epoch": epoch, "jobs": len(snapshot.Specs), "workers": len(o.workerList), "took": loaded.took.Round(time.Millisecond).String()}).Info("owning the fleet")
+	o.onOwner(o.announcedRecord, true)
 }
 
-// resign frees the seat for another process.
+// resign releases the ownership record, stores the last progress and closes drained.
 func (o *Owner) resign() {
 	if !o.election.IsHolder() {
 		o.election.Drain()
 		close(o.drained)
 		return
 	}
-	if o.recordWriting {
-		// The write in flight decides the version of the next one.
+	if o.recordWriteInFlight {
+		// The next write needs the version that results from the one in flight.
 		o.async(func(ctx context.Context) func(*Owner, time.Time) {
 			clock.Sleep(ctx, writeInterval)
 			return func(o *Owner, _ time.Time) { o.resign() }
 		})
 		return
 	}
-	seat, version := o.election.ResignRecord()
-	rec := record.OwnerWrite{Record: seat, Version: version}
+	vacated, version := o.election.ResignRecord()
+	write := record.OwnerWrite{Record: vacated, Version: version}
 	if o.scheduler != nil {
-		rec.Progress = o.scheduler.Batch()
+		write.Progress = o.scheduler.Batch()
 	}
-	o.recordWriting = true
+	o.recordWriteInFlight = true
 	o.discardScheduler("the process is stopping")
 	o.async(func(ctx context.Context) func(*Owner, time.Time) {
-		_, err := o.records.Write(ctx, rec)
+		_, err := o.records.Write(ctx, write)
 		return func(o *Owner, _ time.Time) {
-			o.recordWriting = false
-			o.log.WithField("error", err).Info("seat given up")
+			o.recordWriteInFlight = false
+			o.log.WithField("error", err).Info("ownership released")
 			o.election.Drain()
 			o.peers.notifyResigned()
 			close(o.drained)
--- a/io/owner/orders.go
+++ b/io/owner/orders.go
@@ -10,12 +10,13 @@
 	"chicoryturn/io/clock"
 )
 
-// maxOrderAge is how long after its decision an order may still be sent, suspensions
-// and stops of the process included: goroutines start within a few ms, and an
-// owner that was stopped may have been replaced.
+// maxOrderAge is the longest time between the decision on an order and its
+// sending, including time during which the machine was suspended or the process
+// was stopped. Goroutines start within a few ms, so an older order means that the
+// process did not run and may have been replaced as the owner.
 const maxOrderAge = 300 * time.Millisecond
 
-// dispatch sends orders, each on a goroutine of its own.
+// dispatch sends each order on a separate goroutine.
 func (o *Owner) dispatch(orders []fleet.Order) {
 	decided := clock.BootTime()
 	for _, ord := range orders {
@@ -41,27 +42,30 @@
 	}
 }
 
+// callNames holds the values of the metric label "call" and of the log field
+// "order".
 var callNames = map[fleet.OrderKind]string{fleet.OrderStart: "start", fleet.OrderStop: "stop", fleet.OrderHeartbeat: "hold"}
 
-// replyHandler returns what to do with the outcome of an order.
-func (o *Owner) replyHandler(ord fleet.Order, sent time.Time, l fleet.RunLists, r fleet.Reply, err error) func(*Owner, time.Time) {
+// replyHandler returns the function that applies the outcome of an order to the
+// scheduler. It discards outcomes of orders from another epoch.
+func (o *Owner) replyHandler(ord fleet.Order, sent time.Time, lists fleet.RunLists, r fleet.Reply, err error) func(*Owner, time.Time) {
 	return func(o *Owner, now time.Time) {
 		if o.scheduler == nil || o.scheduler.Epoch() != ord.Epoch {
 			return
 		}
 		if err != nil {
-			o.log.WithError(err).WithFields(logrus.Fields{"worker": ord.Worker, "order": callNames[ord.Kind], "reply": r.String()}).Warn("order not confirmed")
+			o.log.WithError(err).WithFields(logrus.Fields{"worker": ord.Worker, "order": callNames[ord.Kind], "reply": r.String()}).Warn("order failed")
 		}
 		switch {
 		case r == fleet.ReplyFenced:
-			o.stepDown(now, "worker "+string(ord.Worker)+" knows a later owner")
+			o.stepDown(now, "worker "+string(ord.Worker)+" has seen a later owner")
 			return
 		case ord.Kind == fleet.OrderStart:
 			o.scheduler.StartAnswered(now, ord.Worker, ord.Task, ord.Run, r)
 		case ord.Kind == fleet.OrderStop:
 			o.scheduler.StopAnswered(now, ord.Worker, ord.Task, ord.Run, r)
 		case r == fleet.ReplyOK:
-			o.scheduler.HeartbeatAnswered(now, ord.Worker, sent, l)
+			o.scheduler.HeartbeatAnswered(now, ord.Worker, sent, lists)
 			o.stageRoster()
 		case r == fleet.ReplyOtherIncarnation:
 			o.scheduler.IncarnationEnded(now, ord.Worker)
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -1,5 +1,6 @@
-// Package owner runs the control goroutine that owns the fleet's jobs and
-// workers while its process holds the seat, and watches the seat otherwise.
+// Package owner runs the control goroutine that takes part in the leader election
+// of the fleet's owner. While its process holds the ownership record, it schedules
+// the fleet's jobs on the workers; otherwise it watches the record.
 package owner
 
 import (
@@ -20,30 +21,33 @@
 )
 
 const (
-	// workersInterval is the time between two readings of the list of workers. A
-	// leaving worker must get no more work after 2.5 s.
+	// workersInterval is the time between two reads of the worker list. A worker
+	// that announces its shutdown must receive no new work after 2.5 s.
 	workersInterval = 500 * time.Millisecond
-	// minChangesInterval and newsMost bound the time between two readings of what VMs
-	// have recorded. A VM that reaches the owner tells it at once; while jobs come
-	// from VMs that do not, the store is read more often.
+	// minChangesInterval and maxChangesInterval bound the time between two reads of
+	// the jobs and cancellations in the store. VMs that are connected to the owner
+	// notify it at once. While reads find jobs from VMs that are not, the interval is
+	// shorter.
 	minChangesInterval = 150 * time.Millisecond
 	maxChangesInterval = time.Second
-	// cleanupInterval is the time between two deletions of ended jobs, tidyMost how many
-	// go at once: ten a second, three times 250,000 a day.
+	// cleanupInterval is the time between two deletions of ended jobs; cleanupBatch
+	// bounds the jobs of one deletion. Together they allow ten jobs a second, which
+	// is more than three times 250,000 jobs a day.
 	cleanupInterval = 2 * time.Second
 	cleanupBatch    = 20
-	// retentionSlack is added to the time for which ended jobs are kept.
+	// retentionSlack is added to the retention period of ended jobs.
 	retentionSlack = 10 * time.Second
-	// writeInterval keeps the ends of one moment in one write; each is priced.
+	// writeInterval is the shortest time between two writes. It collects runs that
+	// end at the same time into one write, since the platform charges for each write.
 	writeInterval = 15 * time.Millisecond
-	// retryInterval is the time before a refused write or read is repeated.
+	// retryInterval is the time before a failed read or write is retried.
 	retryInterval = 150 * time.Millisecond
-	// tickDelay bounds how often placement runs, so that a burst of messages
-	// costs one pass.
+	// tickDelay is the time between a change and the scheduler's tick, so that a
+	// burst of messages leads to one placement pass.
 	tickDelay = 6 * time.Millisecond
 )
 
-// RecordStore is what the owner reads and writes.
+// RecordStore reads and writes the rows of the fleet.
 type RecordStore interface {
 	OwnerRecord(ctx context.Context) (elect.Observation, error)
 	Write(ctx context.Context, r record.OwnerWrite) (table.Done, error)
@@ -52,19 +56,21 @@
 	Delete(ctx context.Context, ids []core.JobID) error
 }
 
-// WorkerClient carries orders to workers.
+// WorkerClient sends orders to workers.
 type WorkerClient interface {
 	Start(ctx context.Context, o fleet.Order) (fleet.Reply, error)
 	Stop(ctx context.Context, o fleet.Order) (fleet.Reply, error)
 	Heartbeat(ctx context.Context, o fleet.Order) (fleet.RunLists, fleet.Reply, error)
 }
 
-// WorkerLister lists the workers.
+// WorkerLister lists the workers that the platform knows.
 type WorkerLister interface {
-	Workers(ctx context.Context) (hosts []fleet.WorkerInfo, left []error, err error)
+	// Workers returns the workers and one error for each list entry that could not
+	// be parsed.
+	Workers(ctx context.Context) (workers []fleet.WorkerInfo, skipped []error, err error)
 }
 
-// Meter takes in what operators want to see.
+// Meter records metrics.
 type Meter interface {
 	Counts(c fleet.Counts)
 	Call(kind string, reply string, took time.Duration)
@@ -83,59 +89,69 @@
 	log     *logrus.Entry
 
 	election *elect.Election
-	// claimDelay delays the claims of this process, whatever its way to the store.
+	// claimDelay is the configured part of the claim delay; the part that depends on
+	// the latency of the store is added to it.
 	claimDelay time.Duration
 	limits     fleet.Limits
 	policy     *policy.Policy
 	// scheduler is nil unless the process owns the fleet.
 	scheduler *fleet.Scheduler
-	// lastOwnedEpoch is the epoch under which the process last had a board.
+	// lastOwnedEpoch is the epoch of the last scheduler of this process.
 	lastOwnedEpoch core.Epoch
-	// yieldedTo is the latest owner named by a job that the process has given way to.
-	// If it holds the seat all the same, the job is at fault.
-	yieldedTo core.Epoch
-	peers     *peers
-	// onOwner is told who owns the fleet, whenever that changes.
-	onOwner   func(s elect.Record, mine bool)
-	announced elect.Record
-	// onWorkers is told the workers as last listed.
-	onWorkers    func([]fleet.WorkerInfo)
+	// yieldedToEpoch is the latest epoch, named by a job, for which the process has
+	// stepped down. If the process still holds the ownership record afterwards, the
+	// job is at fault, and the process schedules the other jobs.
+	yieldedToEpoch core.Epoch
+	peers          *peers
+	// onOwner is called when the owner of the fleet changes and when this process
+	// starts to schedule.
+	onOwner func(rec elect.Record, owning bool)
+	// announcedRecord is the ownership record last passed to onOwner.
+	announcedRecord elect.Record
+	// onWorkers is called with each new worker list.
+	onWorkers func([]fleet.WorkerInfo)
+	// workerList is the last worker list, workerListAt the time of its arrival.
 	workerList   []fleet.WorkerInfo
 	absence      *fleet.AbsenceTracker
 	workerListAt time.Time
 
-	recordReading, recordWriting, workersReading, changesReading, snapshotReading bool
-	nextRecordRead, nextWorkersRead, nextChangesRead                              time.Time
-	nextWrite, nextTick, nextHint                                                 time.Time
-	lastWrite                                                                     time.Time
-	// unappliedSnapshot is a record that has been read before any configuration was known, nil
-	// if there is none.
+	// At most one call of each kind is in flight.
+	recordReadInFlight, recordWriteInFlight, workersReadInFlight, changesReadInFlight, snapshotLoadInFlight bool
+	nextRecordRead, nextWorkersRead, nextChangesRead                                                        time.Time
+	nextWrite, nextTick, nextHint                                                                           time.Time
+	lastWrite                                                                                               time.Time
+	// unappliedSnapshot is a snapshot that was loaded before the process had a
+	// configuration, or nil.
 	unappliedSnapshot *loadedSnapshot
-	// nextCleanup is when ended jobs are looked for; drops are those whose progress
-	// the next record deletes.
-	nextCleanup     time.Time
-	progressDeletes []core.JobID
-	jobsDeleting    bool
+	// nextCleanup is the time of the next deletion of ended jobs. The next write
+	// deletes the progress rows of progressToDelete.
+	nextCleanup      time.Time
+	progressToDelete []core.JobID
+	deleteInFlight   bool
+	// changesVersion is the version after which the next read of changes starts.
 	changesVersion  uint64
 	changesInterval time.Duration
-	// unstoredRoster is the list of workers to be recorded, nil if the record is up
-	// to rosterVersion.
-	unstoredRoster []fleet.WorkerInfo
-	rosterVersion  uint64
-	draining       bool
-	drained        chan struct{}
+	// rosterToStore is the roster for the next write, nil if the store holds
+	// rosterVersion.
+	rosterToStore []fleet.WorkerInfo
+	rosterVersion uint64
+	draining      bool
+	drained       chan struct{}
 }
 
-// Option changes an owner under construction.
+// Option configures an owner.
 type Option func(*Owner)
 
-// WithOwnerHook has a function told who owns the fleet.
-func WithOwnerHook(f func(s elect.Record, mine bool)) Option { return func(o *Owner) { o.onOwner = f } }
+// WithOwnerHook sets a function that is called when the owner of the fleet changes
+// and when this process becomes the owner.
+func WithOwnerHook(f func(rec elect.Record, owning bool)) Option {
+	return func(o *Owner) { o.onOwner = f }
+}
 
-// WithWorkersHook has a function told the workers as last listed.
+// WithWorkersHook sets a function that is called with each new worker list.
 func WithWorkersHook(f func([]fleet.WorkerInfo)) Option { return func(o *Owner) { o.onWorkers = f } }
 
-// Deps is what the owner reaches.
+// Deps are the external dependencies of an owner.
 type Deps struct {
 	Records RecordStore
 	Workers WorkerClient
@@ -143,12 +159,13 @@
 	Meter   Meter
 }
 
-// New returns the control state of a process that has not read the seat yet.
-// Me is the seat as the process would hold it; patience delays its claims.
-func New(l *loop.Loop, out Deps, me elect.Record, patience time.Duration, limits fleet.Limits, log *logrus.Entry, opts ...Option) *Owner {
+// New returns the control state of a process that has not read the ownership record
+// yet. Self is the record with which the process claims ownership, claimDelay the
+// configured delay of its claims.
+func New(l *loop.Loop, deps Deps, self elect.Record, claimDelay time.Duration, limits fleet.Limits, log *logrus.Entry, opts ...Option) *Owner {
 	o := &Owner{
-		loop: l, records: out.Records, workers: out.Workers, lister: out.Lister, meter: out.Meter, log: log, limits: limits,
-		election: elect.New(me, patience), claimDelay: patience, peers: newPeers(), absence: fleet.NewAbsenceTracker(), changesInterval: maxChangesInterval,
+		loop: l, records: deps.Records, workers: deps.Workers, lister: deps.Lister, meter: deps.Meter, log: log, limits: limits,
+		election: elect.New(self, claimDelay), claimDelay: claimDelay, peers: newPeers(), absence: fleet.NewAbsenceTracker(), changesInterval: maxChangesInterval,
 		onOwner: func(elect.Record, bool) {}, onWorkers: func([]fleet.WorkerInfo) {},
 		drained: make(chan struct{}),
 	}
@@ -158,41 +175,42 @@
 	return o
 }
 
-// Run handles messages until the context ends.
+// Run handles messages until the context of the loop ends.
 func (o *Owner) Run() error { return o.loop.Run(o) }
 
-// Drained is closed once the process has given up the seat after Leave.
+// Drained returns a channel that is closed when the process has released the
+// ownership record after Drain.
 func (o *Owner) Drained() <-chan struct{} { return o.drained }
 
 // Handle implements loop.Handler.
 func (o *Owner) Handle(now time.Time, m loop.Message) {
-	if t, ok := m.(action); ok {
-		t.run(o, now)
+	if a, ok := m.(action); ok {
+		a.run(o, now)
 	}
 }
 
-// action is a message that carries what to do with it.
+// action is a message that the control goroutine runs.
 type action interface {
 	loop.Message
 	run(o *Owner, now time.Time)
 }
 
-// actionFunc is a turn made of a function.
+// actionFunc is an action that calls a function.
 type actionFunc func(o *Owner, now time.Time)
 
 // Message implements loop.Message.
 func (actionFunc) Message() {}
 
-func (d actionFunc) run(o *Owner, now time.Time) { d(o, now) }
+func (f actionFunc) run(o *Owner, now time.Time) { f(o, now) }
 
-// post sends a turn from a traffic goroutine.
+// post runs f on the control goroutine; traffic goroutines call it.
 func (o *Owner) post(f func(o *Owner, now time.Time)) {
-	// A stopped loop needs no messages.
+	// The error means that the loop has stopped, and the message is obsolete.
 	_ = o.loop.Post(actionFunc(f))
 }
 
-// async runs I/O on a goroutine of its own and what it returns on the control
-// goroutine.
+// async runs the function work, which does I/O, on a new goroutine and then the
+// function that work returns on the control goroutine.
 func (o *Owner) async(work func(ctx context.Context) func(o *Owner, now time.Time)) {
 	o.loop.Go(func(ctx context.Context) loop.Message {
 		if f := work(ctx); f != nil {
@@ -204,11 +222,11 @@
 
 // Wake implements loop.Handler.
 func (o *Owner) Wake(now time.Time) time.Time {
-	awake := o.election.CheckSuspension(clock.BootTime(), clock.Monotonic())
+	running := o.election.CheckSuspension(clock.BootTime(), clock.Monotonic())
 	o.readRecord(now)
 	o.readWorkers(now)
 	next := now.Add(elect.ReadInterval)
-	if o.scheduler != nil && awake && !o.draining {
+	if o.scheduler != nil && running && !o.draining {
 		o.readChanges(now)
 		o.deleteExpired(now)
 		if !now.Before(o.nextTick) {
@@ -225,7 +243,7 @@
 	return next
 }
 
-// tick lets the board decide and carries out what it has decided.
+// tick runs the scheduler and sends its orders, advice requests and room hints.
 func (o *Owner) tick(now time.Time) {
 	began := time.Now()
 	until := o.scheduler.Tick(now)
@@ -238,7 +256,7 @@
 	o.nextTick = until
 }
 
-// tickSoon has the board decide shortly.
+// tickSoon schedules the next tick after tickDelay, unless it is due earlier.
 func (o *Owner) tickSoon(now time.Time) {
 	if t := now.Add(tickDelay); o.nextTick.After(t) {
 		o.nextTick = t
@@ -246,50 +264,50 @@
 }
 
 func (o *Owner) logDecisions() {
-	for _, n := range o.scheduler.Decisions() {
-		f := logrus.Fields{"job": n.Job}
-		if n.Task != "" {
-			f["task"] = n.Task
+	for _, d := range o.scheduler.Decisions() {
+		f := logrus.Fields{"job": d.Job}
+		if d.Task != "" {
+			f["task"] = d.Task
 		}
-		if n.Run > 0 {
-			f["run"], f["worker"] = n.Run, n.Worker
+		if d.Run > 0 {
+			f["run"], f["worker"] = d.Run, d.Worker
 		}
-		if n.Wait > 0 {
-			f["after"] = n.Wait.Round(time.Millisecond).String()
+		if d.Wait > 0 {
+			f["after"] = d.Wait.Round(time.Millisecond).String()
 		}
-		if n.Reason != "" {
-			f["because"] = n.Reason
+		if d.Reason != "" {
+			f["because"] = d.Reason
 		}
-		o.log.WithFields(f).Info(n.Event)
+		o.log.WithFields(f).Info(d.Event)
 	}
 	for _, err := range o.scheduler.Refusals() {
-		o.log.WithError(err).Error("event refused")
+		o.log.WithError(err).Error("state chart refused an event")
 	}
 }
 
-// readWorkers reads the workers when it is time.
+// readWorkers reads the worker list if the next read is due.
 func (o *Owner) readWorkers(now time.Time) {
-	if o.workersReading || now.Before(o.nextWorkersRead) {
+	if o.workersReadInFlight || now.Before(o.nextWorkersRead) {
 		return
 	}
-	o.workersReading = true
+	o.workersReadInFlight = true
 	o.async(func(ctx context.Context) func(*Owner, time.Time) {
-		hosts, left, err := o.lister.Workers(ctx)
+		workers, skipped, err := o.lister.Workers(ctx)
 		return func(o *Owner, now time.Time) {
-			o.workersReading = false
+			o.workersReadInFlight = false
 			o.nextWorkersRead = now.Add(o.workersReadDelay())
 			if err != nil {
-				o.log.WithError(err).Warn("list of workers not read")
+				o.log.WithError(err).Warn("cannot read the worker list")
 				return
 			}
-			for _, e := range left {
-				o.log.WithError(e).Warn("worker left out")
+			for _, e := range skipped {
+				o.log.WithError(e).Warn("skipping a worker list entry")
 			}
-			o.workerList, o.workerListAt = hosts, now
-			o.absence.Observe(now, hosts)
-			o.onWorkers(hosts)
+			o.workerList, o.workerListAt = workers, now
+			o.absence.Observe(now, workers)
+			o.onWorkers(workers)
 			if o.scheduler != nil {
-				o.scheduler.SetWorkers(now, hosts)
+				o.scheduler.SetWorkers(now, workers)
 				o.stageRoster()
 				o.tickSoon(now)
 			}
@@ -297,8 +315,9 @@
 	})
 }
 
-// workersReadDelay is longer on VMs that own nothing: they need the list only to ask
-// for advice.
+// workersReadDelay returns the time until the next read of the worker list. It is
+// longer on VMs that do not own the fleet, which need the list only for advice
+// requests.
 func (o *Owner) workersReadDelay() time.Duration {
 	if o.election.IsHolder() {
 		return workersInterval
@@ -306,63 +325,66 @@
 	return 4 * workersInterval
 }
 
-// stageRoster has the list of workers recorded when it has changed.
+// stageRoster adds the roster to the next write if it has changed.
 func (o *Owner) stageRoster() {
 	if v := o.scheduler.RosterVersion(); v != o.rosterVersion {
-		o.rosterVersion, o.unstoredRoster = v, o.scheduler.Roster()
+		o.rosterVersion, o.rosterToStore = v, o.scheduler.Roster()
 	}
 }
 
-// readChanges reads what VMs have recorded when it is time.
+// readChanges reads the new jobs and cancellations in the store if the next read is
+// due.
 func (o *Owner) readChanges(now time.Time) {
-	if o.changesReading || o.snapshotReading || now.Before(o.nextChangesRead) {
+	if o.changesReadInFlight || o.snapshotLoadInFlight || now.Before(o.nextChangesRead) {
 		return
 	}
-	o.changesReading = true
+	o.changesReadInFlight = true
 	after, epoch := o.changesVersion, o.scheduler.Epoch()
 	o.async(func(ctx context.Context) func(*Owner, time.Time) {
-		n, err := o.records.Changes(ctx, after)
+		changes, err := o.records.Changes(ctx, after)
 		return func(o *Owner, now time.Time) {
-			o.changesReading = false
+			o.changesReadInFlight = false
 			o.nextChangesRead = now.Add(o.changesInterval)
 			if o.scheduler == nil || o.scheduler.Epoch() != epoch {
 				return
 			}
-			o.handleChanges(now, n, err)
+			o.handleChanges(now, changes, err)
 		}
 	})
 }
 
-func (o *Owner) handleChanges(now time.Time, n record.Snapshot, err error) {
+// handleChanges adds new jobs and cancellations to the scheduler. If the feed of
+// changes has been compacted past changesVersion, it loads a whole snapshot.
+func (o *Owner) handleChanges(now time.Time, changes record.Snapshot, err error) {
 	if err != nil {
-		o.log.WithError(err).Warn("news not read")
+		o.log.WithError(err).Warn("cannot read changes from the store")
 		if isCompacted(err) {
 			o.loadSnapshot()
 		}
 	}
 	o.changesInterval = min(2*o.changesInterval, maxChangesInterval)
-	for _, s := range n.Specs {
+	for _, s := range changes.Specs {
 		if o.scheduler.Accept(now, s) {
 			o.changesInterval = minChangesInterval
 			o.log.WithFields(logrus.Fields{"job": s.ID, "queue": s.Queue}).Info("job found in the store")
 		}
 	}
-	for _, id := range n.Cancelled {
+	for _, id := range changes.Cancelled {
 		o.scheduler.Cancel(now, id)
 	}
-	for _, e := range n.RowErrors {
-		o.log.WithError(e).Error("recorded job left out")
+	for _, e := range changes.RowErrors {
+		o.log.WithError(e).Error("skipping a job row that cannot be decoded")
 	}
-	o.changesVersion = max(o.changesVersion, n.Version)
+	o.changesVersion = max(o.changesVersion, changes.Version)
 	if !o.yieldToLaterOwner(now) {
 		o.tickSoon(now)
 	}
 }
 
-// deleteExpired deletes the rows of jobs that ended longer ago than clients may ask for
-// them.
+// deleteExpired deletes the rows of jobs whose retention period after their end has
+// passed.
 func (o *Owner) deleteExpired(now time.Time) {
-	if o.jobsDeleting || now.Before(o.nextCleanup) || len(o.progressDeletes) > 0 {
+	if o.deleteInFlight || now.Before(o.nextCleanup) || len(o.progressToDelete) > 0 {
 		return
 	}
 	o.nextCleanup = now.Add(cleanupInterval)
@@ -370,24 +392,24 @@
 	if len(ids) == 0 {
 		return
 	}
-	o.jobsDeleting = true
+	o.deleteInFlight = true
 	epoch := o.scheduler.Epoch()
 	o.async(func(ctx context.Context) func(*Owner, time.Time) {
 		err := o.records.Delete(ctx, ids)
 		return func(o *Owner, _ time.Time) {
-			o.jobsDeleting = false
+			o.deleteInFlight = false
 			if err != nil {
-				o.log.WithError(err).WithField("jobs", len(ids)).Warn("ended jobs not deleted; a later owner does")
+				o.log.WithError(err).WithField("jobs", len(ids)).Warn("cannot delete ended jobs; a later owner deletes them")
 				return
 			}
 			if o.scheduler != nil && o.scheduler.Epoch() == epoch {
-				o.progressDeletes = ids
+				o.progressToDelete = ids
 			}
 		}
 	})
 }
 
-// SetPolicy follows a newer configuration.
+// SetPolicy replaces the configuration.
 func (o *Owner) SetPolicy(p *policy.Policy) {
 	o.post(func(o *Owner, now time.Time) {
 		o.policy = p
@@ -401,7 +423,7 @@
 	})
 }
 
-// SetLimits follows changed settings.
+// SetLimits replaces the limits from the settings.
 func (o *Owner) SetLimits(l fleet.Limits) {
 	o.post(func(o *Owner, _ time.Time) {
 		o.limits = l
@@ -411,7 +433,7 @@
 	})
 }
 
-// Drain gives the seat up and claims it no more.
+// Drain releases the ownership record and ends all claims of this process.
 func (o *Owner) Drain() {
 	o.post(func(o *Owner, _ time.Time) {
 		o.draining = true
@@ -419,16 +441,16 @@
 	})
 }
 
-// jobState is the answer to a question about a job.
+// jobState holds the results of State.
 type jobState struct {
 	state  jobs.State
 	known  bool
 	owning bool
 }
 
-// State returns how a job is shown. Mine is false unless this process owns the
-// fleet, known is false for a job that it has not heard of.
-func (o *Owner) State(ctx context.Context, id core.JobID) (state jobs.State, known, mine bool, err error) {
+// State returns the state of a job as clients see it. Owning reports whether this
+// process owns the fleet, known whether its scheduler has the job.
+func (o *Owner) State(ctx context.Context, id core.JobID) (state jobs.State, known, owning bool, err error) {
 	s, err := query(ctx, o, func(o *Owner, _ time.Time) jobState {
 		if o.scheduler == nil {
 			return jobState{}
@@ -439,9 +461,9 @@
 	return s.state, s.known, s.owning, err
 }
 
-// Pending returns the length of a queue; ok is false unless this process owns
-// the fleet.
-func (o *Owner) Pending(ctx context.Context, q core.Queue) (n int, ok bool, err error) {
+// Pending returns how many jobs of a queue wait for their first start. Owning
+// reports whether this process owns the fleet.
+func (o *Owner) Pending(ctx context.Context, q core.Queue) (n int, owning bool, err error) {
 	n, err = query(ctx, o, func(o *Owner, _ time.Time) int {
 		if o.scheduler == nil {
 			return -1
@@ -451,15 +473,16 @@
 	return max(n, 0), n >= 0, err
 }
 
+// query runs f on the control goroutine and returns its result.
 func query[R any](ctx context.Context, o *Owner, f func(o *Owner, now time.Time) R) (R, error) {
 	return loop.Ask(ctx, o.loop, func(reply chan<- R) loop.Message {
 		return actionFunc(func(o *Owner, now time.Time) { reply <- f(o, now) })
 	})
 }
 
-// Accepted takes in a job that is in the store. Asking is the peer that is
-// asking for advice on its first phase; it may be empty.
-func (o *Owner) Accepted(spec jobs.Spec, asking string) {
+// Accepted adds a stored job to the scheduler. Advising names the VM that already
+// has a request for advice on the job's first phase in flight; it may be empty.
+func (o *Owner) Accepted(spec jobs.Spec, advising string) {
 	o.post(func(o *Owner, now time.Time) {
 		if o.scheduler == nil {
 			return
@@ -468,17 +491,17 @@
 		if o.yieldToLaterOwner(now) {
 			return
 		}
-		if id := (jobs.PhaseID{Job: spec.ID}); asking != "" {
+		if id := (jobs.PhaseID{Job: spec.ID}); advising != "" {
 			cost := o.scheduler.AdvicePending(now, id)
-			if l := o.peers.byName[asking]; l != nil && cost > 0 {
-				l.addRequest(now, id, cost)
+			if s := o.peers.byName[advising]; s != nil && cost > 0 {
+				s.addRequest(now, id, cost)
 			}
 		}
 		o.tickSoon(now)
 	})
 }
 
-// Cancelled takes in a cancellation that is in the store.
+// Cancelled cancels a job whose cancellation is stored.
 func (o *Owner) Cancelled(id core.JobID) {
 	o.post(func(o *Owner, now time.Time) {
 		if o.scheduler != nil {
--- a/io/owner/owner_test.go
+++ b/io/owner/owner_test.go
@@ -21,11 +21,12 @@
 	"chicoryturn/io/table"
 )
 
-// fakeDeps stands for the store and the workers of an owner. The feed of changes
-// has been cut for good, and reading the record takes a while.
+// fakeDeps is a fake of the store, the workers and the metrics of an owner. Its feed
+// of changes is always compacted, and loading a snapshot takes 1.3 s.
 type fakeDeps struct {
 	mu sync.Mutex
-	// loads counts the readings of the record, now those under way.
+	// loads counts the snapshot loads, loading those in flight, maxLoading the most
+	// that were in flight at once.
 	loads, loading, maxLoading int
 	feedReads                  int
 }
@@ -79,7 +80,7 @@
 func (*fakeDeps) Placement(time.Duration)            {}
 func (*fakeDeps) Own(bool)                           {}
 
-// allDeps is what an owner reaches, by one stand-in.
+// allDeps combines the dependencies of an owner.
 type allDeps interface {
 	owner.RecordStore
 	owner.WorkerClient
@@ -87,14 +88,14 @@
 	owner.Meter
 }
 
-// startOwner runs an owner until the test ends.
-func startOwner(t *testing.T, out allDeps, holder core.SessionID, p *policy.Policy) *owner.Owner {
+// startOwner starts an owner that runs until the test ends.
+func startOwner(t *testing.T, deps allDeps, holder core.SessionID, p *policy.Policy) *owner.Owner {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	o := owner.New(loop.New(ctx), owner.Deps{Records: out, Workers: out, Lister: out, Meter: out}, elect.Record{Holder: holder, VM: string(holder)}, 0,
+	o := owner.New(loop.New(ctx), owner.Deps{Records: deps, Workers: deps, Lister: deps, Meter: deps}, elect.Record{Holder: holder, VM: string(holder)}, 0,
 		fleet.Limits{Lease: 6 * time.Second, RemoteFactor: 1}, log.WithField("part", "owner"))
 	go func() { _ = o.Run() }()
 	if p != nil {
@@ -103,14 +104,14 @@
 	return o
 }
 
-// sharedRow is the seat's row in a store that several VMs reach.
+// sharedRow is the ownership record in a store that several processes share.
 type sharedRow struct {
 	mu      sync.Mutex
 	record  elect.Record
 	version uint64
 }
 
-// delayedStore is how one VM reaches the row, at some distance.
+// delayedStore is one process's view of the shared row; its calls take delay.
 type delayedStore struct {
 	*fakeDeps
 	row   *sharedRow
@@ -135,16 +136,17 @@
 	return table.Done{Version: w.row.version}, nil
 }
 
-// TestNearestProcessClaims has two VMs find the seat free, the one far from the store a
-// little earlier: the near one, whose records take less time, gets it.
+// TestNearestProcessClaims starts two processes while no process holds the ownership
+// record. The near one must claim it, although the far one starts 60 ms earlier,
+// since the claim delay grows with the latency of the store.
 func TestNearestProcessClaims(t *testing.T) {
 	is := is.New(t)
 	r := &sharedRow{}
 	for _, vm := range []struct {
-		name string
-		away time.Duration
+		name  string
+		delay time.Duration
 	}{{"far", 25 * time.Millisecond}, {"near", 2 * time.Millisecond}} {
-		w := &delayedStore{fakeDeps: &fakeDeps{}, row: r, delay: vm.away}
+		w := &delayedStore{fakeDeps: &fakeDeps{}, row: r, delay: vm.delay}
 		startOwner(t, w, core.SessionID(vm.name), nil)
 		time.Sleep(60 * time.Millisecond)
 	}
@@ -154,46 +156,46 @@
 	is.Equal(r.record.Holder, core.SessionID("near"))
 }
 
-// TestCompactedFeed has the feed of changes cut while the owner reads the whole
-// record: one reading runs at a time, and the feed is not asked meanwhile.
+// TestCompactedFeed compacts the feed of changes while the owner loads a snapshot.
+// One load must run at a time, and the owner must not read the feed during it.
 func TestCompactedFeed(t *testing.T) {
 	is := is.New(t)
-	out := &fakeDeps{}
-	startOwner(t, out, "a", policy.New(1, nil, nil, nil, 0))
+	deps := &fakeDeps{}
+	startOwner(t, deps, "a", policy.New(1, nil, nil, nil, 0))
 	time.Sleep(5 * time.Second)
-	out.mu.Lock()
-	defer out.mu.Unlock()
-	is.True(out.loads >= 2) // after the claim, and after the feed was cut
-	is.Equal(out.maxLoading, 1)
-	is.True(out.feedReads <= out.loads)
+	deps.mu.Lock()
+	defer deps.mu.Unlock()
+	is.True(deps.loads >= 2) // after the claim, and after the feed was compacted
+	is.Equal(deps.maxLoading, 1)
+	is.True(deps.feedReads <= deps.loads)
 }
 
-// quietStore is a store in which nothing happens.
+// quietStore is a store whose feed has no changes.
 type quietStore struct{ *fakeDeps }
 
 func (quietStore) Changes(context.Context, uint64) (record.Snapshot, error) {
 	return record.Snapshot{}, nil
 }
 
-// TestPolicyAfterSnapshot has the configuration come after the record has been read: the
-// owner decides at once, by that reading.
+// TestPolicyAfterSnapshot sets the configuration after the snapshot has been loaded.
+// The owner must start to schedule at once, without a second load.
 func TestPolicyAfterSnapshot(t *testing.T) {
 	is := is.New(t)
-	out := &fakeDeps{}
-	o := startOwner(t, quietStore{out}, "a", nil)
-	time.Sleep(2500 * time.Millisecond) // a claim and one reading
+	deps := &fakeDeps{}
+	o := startOwner(t, quietStore{deps}, "a", nil)
+	time.Sleep(2500 * time.Millisecond) // time for a claim and one load
 	o.SetPolicy(policy.New(1, nil, nil, nil, 0))
 	time.Sleep(100 * time.Millisecond)
-	_, _, mine, err := o.State(t.Context(), "j")
+	_, _, owning, err := o.State(t.Context(), "j")
 	is.NoErr(err)
-	is.True(mine)
-	out.mu.Lock()
-	defer out.mu.Unlock()
-	is.Equal(out.loads, 1)
+	is.True(owning)
+	deps.mu.Lock()
+	defer deps.mu.Unlock()
+	is.Equal(deps.loads, 1)
 }
 
-// laggingStore is a store whose feed names a job of a later owner, while the row still
-// names this one.
+// laggingStore is a store whose feed holds a job of epoch 2 while the ownership record
+// still names the owner of epoch 1.
 type laggingStore struct {
 	*fakeDeps
 	mu     sync.Mutex
@@ -219,9 +221,9 @@
 	return record.Snapshot{Version: 1, Specs: []jobs.Spec{{ID: "j", Team: "t", Queue: "q", FirstEpoch: 2, Phases: []jobs.Phase{{Count: 1}}}}}, nil
 }
 
-// TestJobOfLaterOwner has the feed name a job of a later owner: the process gives
-// its board up and reads the seat and the record again. As it holds the seat all
-// the same, it decides on the other jobs.
+// TestJobOfLaterOwner supplies a job of a later owner through the feed. The process
+// must step down, then read the ownership record and load a snapshot again. Since it
+// still holds the record, it must then schedule the other jobs.
 func TestJobOfLaterOwner(t *testing.T) {
 	is := is.New(t)
 	l := &laggingStore{fakeDeps: &fakeDeps{}}
@@ -230,21 +232,21 @@
 	l.fakeDeps.mu.Lock()
 	defer l.fakeDeps.mu.Unlock()
 	is.Equal(l.loads, 2)
-	_, known, mine, err := o.State(t.Context(), "j")
+	_, known, owning, err := o.State(t.Context(), "j")
 	is.NoErr(err)
-	is.True(mine)
+	is.True(owning)
 	is.True(!known)
 }
 
-// restartedWorker stands for a worker whose incarnation is newer than the platform's list
-// tells, and a store that takes its time.
+// restartedWorker is a fake of a worker whose incarnation is newer than the one in the
+// platform's list, and of a store whose writes take 150 ms.
 type restartedWorker struct {
 	quietStore
 	mu      sync.Mutex
 	version uint64
 	rosters [][]fleet.WorkerInfo
-	// rosterWritten is closed once a list of workers is being written.
-	rosterWritten chan struct{}
+	// rosterWriting is closed when the first write of a roster begins.
+	rosterWriting chan struct{}
 	once          sync.Once
 }
 
@@ -259,7 +261,7 @@
 
 func (r *restartedWorker) Heartbeat(ctx context.Context, _ fleet.Order) (fleet.RunLists, fleet.Reply, error) {
 	select {
-	case <-r.rosterWritten:
+	case <-r.rosterWriting:
 	case <-ctx.Done():
 	}
 	return fleet.RunLists{Clock: time.Second, Incarnation: newIncarnation}, fleet.ReplyOK, nil
@@ -267,7 +269,7 @@
 
 func (r *restartedWorker) Write(_ context.Context, rec record.OwnerWrite) (table.Done, error) {
 	if rec.Roster != nil {
-		r.once.Do(func() { close(r.rosterWritten) })
+		r.once.Do(func() { close(r.rosterWriting) })
 	}
 	time.Sleep(150 * time.Millisecond)
 	r.mu.Lock()
@@ -279,12 +281,12 @@
 	return table.Done{Version: r.version}, nil
 }
 
-// TestRosterChangesDuringWrite has a worker tell of a new incarnation while the
-// list that names the old one is being recorded: the new list is recorded after
-// it. A worker that is not recorded is never used.
+// TestRosterChangesDuringWrite answers a heartbeat with a new incarnation while a
+// write of the roster with the old incarnation is in flight. The owner must write the
+// new roster afterwards: it never uses a worker that is not in the stored roster.
 func TestRosterChangesDuringWrite(t *testing.T) {
 	is := is.New(t)
-	r := &restartedWorker{quietStore: quietStore{&fakeDeps{}}, rosterWritten: make(chan struct{})}
+	r := &restartedWorker{quietStore: quietStore{&fakeDeps{}}, rosterWriting: make(chan struct{})}
 	startOwner(t, r, "a", policy.New(1, nil, nil, []policy.Service{{Name: "s"}}, 0))
 	time.Sleep(4 * time.Second)
 	r.mu.Lock()
--- a/io/owner/peers.go
+++ b/io/owner/peers.go
@@ -14,203 +14,216 @@
 )
 
 const (
-	// longRequest is the length from which a call for advice is kept off half of
-	// the VMs, so that short calls need not wait behind it.
+	// longRequest is the expected duration from which an advice request is sent only
+	// to the first half of the VMs, so that short requests never queue behind it on
+	// the others.
 	longRequest = 200 * time.Millisecond
-	// maxPeerLoad is how much work a VM may have before it is given more: enough to
-	// keep it busy over the way between regions and back.
+	// maxPeerLoad is the load up to which a VM is sent another request. It keeps the
+	// VM busy for one round trip between regions.
 	maxPeerLoad = 80 * time.Millisecond
-	// lostFactor times the length of a call, and lostGrace more, is when its
-	// answer is no longer waited for.
+	// An answer counts as lost when lostFactor times the expected duration of the
+	// request plus lostGrace has passed.
 	lostFactor = 4
 	lostGrace  = 1500 * time.Millisecond
 )
 
-// Peer is a VM that lends its turn at the placement policy.
+// Peer is a VM that sends advice requests to the placement advisor for the owner.
+// The advisor serves one request of each VM at a time.
 type Peer interface {
 	Name() string
-	// RequestAdvice has the VM make a call; the result comes back by Advised.
-	RequestAdvice(a fleet.AdviceRequest)
-	// RoomHint tells which workers have room, for calls that the VM makes on its
-	// own for the jobs that it takes.
+	// RequestAdvice makes the VM send a request to the advisor. The VM reports the
+	// result with Owner.AdviceReceived.
+	RequestAdvice(r fleet.AdviceRequest)
+	// RoomHint sends the workers with free room to the VM, which uses them in
+	// requests for the jobs that it accepts.
 	RoomHint(ids []core.WorkerID)
-	// OwnerResigned tells that the seat is free.
+	// OwnerResigned notifies the VM that the owner has released the ownership record.
 	OwnerResigned()
 }
 
-// inFlightRequest is a call that a VM is making.
+// inFlightRequest is an advice request that a VM has not answered.
 type inFlightRequest struct {
-	cost     time.Duration
+	// cost is the expected duration of the request.
+	cost time.Duration
+	// deadline is when the answer counts as lost.
 	deadline time.Time
 }
 
-// peerState is what the owner knows of a peer's turn.
+// peerState holds the advice requests in flight on one VM.
 type peerState struct {
 	peer Peer
-	// load is the expected length of the calls that have not been answered.
+	// load is the sum of the costs of all requests in flight.
 	load     time.Duration
 	inFlight map[jobs.PhaseID]inFlightRequest
 }
 
-// peers are the VMs joined to the owner. It implements board.Turns.
+// peers holds the VMs that are connected to the owner. It implements fleet.Turns.
 type peers struct {
 	byName map[string]*peerState
 	// list is sorted by name.
 	list []*peerState
-	now  time.Time
+	// now is the time of the last call of expireRequests.
+	now time.Time
 }
 
 func newPeers() *peers { return &peers{byName: map[string]*peerState{}} }
 
 func (p *peers) add(peer Peer) {
 	p.remove(peer.Name())
-	l := &peerState{peer: peer, inFlight: map[jobs.PhaseID]inFlightRequest{}}
-	p.byName[peer.Name()] = l
-	p.list = append(p.list, l)
+	s := &peerState{peer: peer, inFlight: map[jobs.PhaseID]inFlightRequest{}}
+	p.byName[peer.Name()] = s
+	p.list = append(p.list, s)
 	slices.SortFunc(p.list, func(a, b *peerState) int { return cmp.Compare(a.peer.Name(), b.peer.Name()) })
 }
 
 func (p *peers) remove(name string) {
-	l := p.byName[name]
+	s := p.byName[name]
 	delete(p.byName, name)
-	p.list = slices.DeleteFunc(p.list, func(o *peerState) bool { return o == l })
+	p.list = slices.DeleteFunc(p.list, func(other *peerState) bool { return other == s })
 }
 
-// resetLoads drops the loads, since their answers will not be taken in.
+// resetLoads removes all requests in flight, since a process that is no longer the
+// owner ignores their answers.
 func (p *peers) resetLoads() {
-	for _, l := range p.list {
-		l.load, l.inFlight = 0, map[jobs.PhaseID]inFlightRequest{}
+	for _, s := range p.list {
+		s.load, s.inFlight = 0, map[jobs.PhaseID]inFlightRequest{}
 	}
 }
 
 func (p *peers) notifyResigned() {
-	for _, l := range p.list {
-		l.peer.OwnerResigned()
+	for _, s := range p.list {
+		s.peer.OwnerResigned()
 	}
 }
 
-func (l *peerState) addRequest(now time.Time, id jobs.PhaseID, cost time.Duration) {
-	l.removeRequest(id)
-	l.inFlight[id] = inFlightRequest{cost, now.Add(lostFactor*cost + lostGrace)}
-	l.load += cost
+func (s *peerState) addRequest(now time.Time, id jobs.PhaseID, cost time.Duration) {
+	s.removeRequest(id)
+	s.inFlight[id] = inFlightRequest{cost, now.Add(lostFactor*cost + lostGrace)}
+	s.load += cost
 }
 
-func (l *peerState) removeRequest(id jobs.PhaseID) {
-	l.load -= l.inFlight[id].cost
-	delete(l.inFlight, id)
+func (s *peerState) removeRequest(id jobs.PhaseID) {
+	s.load -= s.inFlight[id].cost
+	delete(s.inFlight, id)
 }
 
-// expireRequests forgets calls whose answers have been lost.
+// expireRequests removes the requests whose answers count as lost.
 func (p *peers) expireRequests(now time.Time) {
 	p.now = now
-	for _, l := range p.list {
-		for id, a := range l.inFlight {
-			if now.After(a.deadline) {
-				l.removeRequest(id)
+	for _, s := range p.list {
+		for id, r := range s.inFlight {
+			if now.After(r.deadline) {
+				s.removeRequest(id)
 			}
 		}
 	}
 }
 
-// leastLoaded returns the VM that would answer a call first, nil if all are busy.
-// Long calls use only the first half of the VMs.
+// leastLoaded returns the VM with the lowest load for a request of the given cost,
+// or nil if all loads exceed maxPeerLoad. Long requests use only the first half of
+// the VMs.
 func (p *peers) leastLoaded(cost time.Duration) *peerState {
 	list := p.list
 	if cost >= longRequest {
 		list = list[:(len(list)+1)/2]
 	}
 	var best *peerState
-	for _, l := range list {
-		// Short calls prefer the later VMs, which make no long ones.
-		if l.load <= maxPeerLoad && (best == nil || l.load <= best.load) {
-			best = l
+	for _, s := range list {
+		// Of equal loads the last one wins, since long requests never use the
+		// second half.
+		if s.load <= maxPeerLoad && (best == nil || s.load <= best.load) {
+			best = s
 		}
 	}
 	return best
 }
 
-// Free implements board.Turns.
+// Free implements fleet.Turns. It reports whether a VM accepts a request of the
+// given cost.
 func (p *peers) Free(cost time.Duration) bool { return p.leastLoaded(cost) != nil }
 
-// Spare implements board.Turns: it reports whether most VMs are idle.
+// Spare implements fleet.Turns. It reports whether most VMs are idle.
 func (p *peers) Spare() bool {
 	idle := 0
-	for _, l := range p.list {
-		if l.load == 0 {
+	for _, s := range p.list {
+		if s.load == 0 {
 			idle++
 		}
 	}
 	return idle > len(p.list)/2
 }
 
-// Take implements board.Turns.
-func (p *peers) Take(a fleet.AdviceRequest) {
-	l := p.leastLoaded(a.Cost)
-	if l == nil {
-		// A call may turn out longer than it seemed when its turn was asked for.
-		l = p.leastLoaded(0)
+// Take implements fleet.Turns. It sends a request to the least loaded VM.
+func (p *peers) Take(r fleet.AdviceRequest) {
+	s := p.leastLoaded(r.Cost)
+	if s == nil {
+		// The scheduler calls Free before it knows the final cost of the request,
+		// which may be long.
+		s = p.leastLoaded(0)
 	}
-	l.addRequest(p.now, a.Phase, a.Cost)
-	l.peer.RequestAdvice(a)
+	s.addRequest(p.now, r.Phase, r.Cost)
+	s.peer.RequestAdvice(r)
 }
 
-// AddPeer adds a VM that lends its turn.
+// AddPeer adds a VM that has connected to the owner.
 func (o *Owner) AddPeer(p Peer) {
 	o.post(func(o *Owner, now time.Time) {
-		o.log.WithField("vm", p.Name()).Info("VM joined")
+		o.log.WithField("vm", p.Name()).Info("VM connected")
 		o.peers.add(p)
 		o.tickSoon(now)
 	})
 }
 
-// RemovePeer removes a VM; calls that it has not answered are made by others.
+// RemovePeer removes a VM that has disconnected. The scheduler sends the requests
+// in flight there to other VMs.
 func (o *Owner) RemovePeer(p Peer) {
 	o.post(func(o *Owner, now time.Time) {
-		l := o.peers.byName[p.Name()]
-		if l == nil || l.peer != p {
+		s := o.peers.byName[p.Name()]
+		if s == nil || s.peer != p {
 			return
 		}
-		o.log.WithField("vm", p.Name()).Info("VM parted")
+		o.log.WithField("vm", p.Name()).Info("VM disconnected")
 		o.peers.remove(p.Name())
 		if o.scheduler == nil {
 			return
 		}
-		for id := range l.inFlight {
+		for id := range s.inFlight {
 			o.scheduler.AdviceFailed(now, id)
 		}
 		o.tickSoon(now)
 	})
 }
 
-// sendRoomHint tells the VMs where room is.
+// sendRoomHint sends the workers with free room to all VMs, once per
+// fleet.RoomHintInterval.
 func (o *Owner) sendRoomHint(now time.Time) {
 	if now.Before(o.nextHint) {
 		return
 	}
 	o.nextHint = now.Add(fleet.RoomHintInterval)
 	ids := o.scheduler.WorkersWithRoom(now)
-	for _, l := range o.peers.list {
-		l.peer.RoomHint(ids)
+	for _, s := range o.peers.list {
+		s.peer.RoomHint(ids)
 	}
 }
 
-// sendAdviceRequests hands the board's calls for advice to the VMs.
+// sendAdviceRequests sends the scheduler's advice requests to the VMs.
 func (o *Owner) sendAdviceRequests(now time.Time) {
 	o.peers.expireRequests(now)
 	o.scheduler.AdviceRequests(now, o.peers)
 }
 
-// AdviceReceived takes in the result of a call that a VM has made.
+// AdviceReceived handles the result of an advice request that a VM has made.
 func (o *Owner) AdviceReceived(vm string, r advice.Result) {
 	o.post(func(o *Owner, now time.Time) {
-		if l := o.peers.byName[vm]; l != nil {
-			l.removeRequest(r.Request.Phase)
+		if s := o.peers.byName[vm]; s != nil {
+			s.removeRequest(r.Request.Phase)
 		}
 		if o.scheduler == nil {
 			return
 		}
 		if r.Err != nil {
-			o.log.WithError(r.Err).WithFields(logrus.Fields{"job": r.Request.Phase.Job, "vm": vm}).Warn("no advice")
+			o.log.WithError(r.Err).WithFields(logrus.Fields{"job": r.Request.Phase.Job, "vm": vm}).Warn("advice request failed")
 			o.scheduler.AdviceFailed(now, r.Request.Phase)
 		} else {
 			o.scheduler.AdviceReceived(now, r.Request.Phase, r.Request.Workers, r.Allowed, r.TicketsLeft(now))
