--- a/io/record/accept.go
+++ b/io/record/accept.go
@@ -15,123 +15,123 @@
 )
 
 const (
-	// maxQueuedJobs bounds the jobs that wait for one partition's next write.
+	// maxQueuedJobs bounds the jobs that wait for the next write of one partition.
 	maxQueuedJobs = 256
-	// maxBatchJobs bounds the jobs of one write, well below the platform's 100
-	// entries and 1 MB for jobs of a few kilobytes.
+	// maxBatchJobs bounds the jobs of one write. With jobs of a few kilobytes this
+	// stays well below the platform's limits of 100 entries and 1 MB per transaction.
 	maxBatchJobs = 50
-	// refusalTimeout is how long a job is offered to a store that refuses it: its
-	// client then learns at once that it has not been taken.
+	// refusalTimeout is how long writes of a job are retried while the store refuses
+	// them. The client is then told that the job was not accepted.
 	refusalTimeout = 800 * time.Millisecond
-	// writeRetryDelay is the time before a refused or unanswered write is repeated.
+	// writeRetryDelay is the time before a refused or unanswered write is retried.
 	writeRetryDelay = 80 * time.Millisecond
 )
 
-// pendingJob is a job that waits to be recorded.
+// pendingJob is a job that waits to be stored.
 type pendingJob struct {
 	ctx  context.Context
 	spec jobs.Spec
 	put  table.Put
-	// maybeStored is set once a write that holds the job had no answer: it may take
-	// effect until a later write has seen the row.
+	// maybeStored is set after a write of the job had no answer. That write may still
+	// take effect until a later write has found the row.
 	maybeStored bool
 	queuedAt    time.Time
-	// answered is set once the caller has been answered; done holds the answer.
+	// answered is set once the caller has its answer, which result carries.
 	answered atomic.Bool
 	result   chan acceptResult
 }
 
-// answer answers the caller, once.
-func (a *pendingJob) answer(v acceptResult) {
-	if !a.answered.Swap(true) {
-		a.result <- v
+// answer sends the result to the caller; later calls have no effect.
+func (j *pendingJob) answer(r acceptResult) {
+	if !j.answered.Swap(true) {
+		j.result <- r
 	}
 }
 
-// acceptResult is the outcome of an acceptance: the job as it is recorded, or why it
-// is not known to be.
+// acceptResult is the outcome of Accept: the job as it is stored, or an error if the
+// job is not stored or the outcome is unknown.
 type acceptResult struct {
 	spec jobs.Spec
 	err  error
 }
 
-// partQueue holds the jobs that wait for one partition's next write. Most are empty,
-// so a writer lives only while there is work.
+// partQueue holds the jobs that wait for the next write of one partition. Most queues
+// are empty, so a writer goroutine exists only while jobs wait.
 type partQueue struct {
 	hasWriter bool
 	jobs      []*pendingJob
 }
 
-// Run records accepted jobs until the context ends; one write for each
-// partition is in flight, and what arrives meanwhile shares the next one.
-func (v *Store) Run(ctx context.Context) error {
+// Run stores accepted jobs until the context ends. One write per partition is in
+// flight; the jobs that arrive during it share the next write.
+func (s *Store) Run(ctx context.Context) error {
 	var g errgroup.Group
 	for {
 		select {
-		case part := <-v.writerStarts:
+		case part := <-s.writerStarts:
 			g.Go(func() error {
-				v.runWriter(ctx, part)
+				s.runWriter(ctx, part)
 				return nil
 			})
 		case <-ctx.Done():
 			err := g.Wait()
-			v.close()
+			s.close()
 			return err
 		}
 	}
 }
 
-// close refuses what was not written before the process ends.
-func (v *Store) close() {
-	var left []*pendingJob
-	v.mu.Lock()
-	v.closed = true
-	for i := range v.queues {
-		left = append(left, v.queues[i].jobs...)
-		v.queues[i].jobs = nil
+// close refuses all jobs that have not been written when Run ends.
+func (s *Store) close() {
+	var unwritten []*pendingJob
+	s.mu.Lock()
+	s.closed = true
+	for i := range s.queues {
+		unwritten = append(unwritten, s.queues[i].jobs...)
+		s.queues[i].jobs = nil
 	}
-	v.mu.Unlock()
-	v.answerExpired(left, true, false)
+	s.mu.Unlock()
+	s.answerExpired(unwritten, true, false)
 }
 
-// enqueue puts a job into its lane and has the lane's writer begin; it reports
-// whether there was room.
-func (v *Store) enqueue(part int, a *pendingJob) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	l := &v.queues[part]
-	if v.closed || len(l.jobs) >= maxQueuedJobs {
+// enqueue adds a job to the queue of its partition and starts a writer if there is
+// none. It reports whether the queue had room.
+func (s *Store) enqueue(part int, j *pendingJob) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	q := &s.queues[part]
+	if s.closed || len(q.jobs) >= maxQueuedJobs {
 		return false
 	}
-	l.jobs = append(l.jobs, a)
-	if !l.hasWriter {
-		l.hasWriter = true
-		v.writerStarts <- part
+	q.jobs = append(q.jobs, j)
+	if !q.hasWriter {
+		q.hasWriter = true
+		s.writerStarts <- part
 	}
 	return true
 }
 
-// nextBatch takes what the next write of a partition holds; left is what the last one
-// must write again. Its writer ends if there is nothing.
-func (v *Store) nextBatch(part int, left []*pendingJob) []*pendingJob {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	l := &v.queues[part]
-	n := min(max(maxBatchJobs-len(left), 0), len(l.jobs))
-	out := append(left, l.jobs[:n]...)
-	if l.jobs = l.jobs[n:]; len(l.jobs) == 0 {
-		l.jobs = nil
+// nextBatch removes the jobs of the next write from the queue of a partition and
+// returns them after the jobs to retry. If there are none, the writer must end.
+func (s *Store) nextBatch(part int, retry []*pendingJob) []*pendingJob {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	q := &s.queues[part]
+	n := min(max(maxBatchJobs-len(retry), 0), len(q.jobs))
+	batch := append(retry, q.jobs[:n]...)
+	if q.jobs = q.jobs[n:]; len(q.jobs) == 0 {
+		q.jobs = nil
 	}
-	if len(out) == 0 {
-		l.hasWriter = false
+	if len(batch) == 0 {
+		q.hasWriter = false
 	}
-	return out
+	return batch
 }
 
-// Accept records a job and returns it as it is in the store, where an earlier
-// call may have recorded it. A RefusalError with run "no" means that it is not
-// there and never will be; one with run "unknown" that it may be.
-func (v *Store) Accept(ctx context.Context, spec jobs.Spec) (jobs.Spec, error) {
+// Accept stores a job and returns it as it is in the store, where an earlier call may
+// have put it. After a RefusalError with the execution "no" the job is not stored and
+// never will be; with "unknown" it may be stored.
+func (s *Store) Accept(ctx context.Context, spec jobs.Spec) (jobs.Spec, error) {
 	put, err := encode(jobKey(spec.ID), spec)
 	if err != nil {
 		return spec, err
@@ -139,127 +139,131 @@
 	if len(put.Val) > maxRowBytes {
 		return spec, core.Refuse(core.CodeTooLarge, "the job takes %d bytes in the store, at most %d", len(put.Val), maxRowBytes)
 	}
-	if v.Unreachable() {
-		return spec, v.refusal(spec.ID, v.unreachableError())
+	if s.Unreachable() {
+		return spec, s.refusal(spec.ID, s.unreachableError())
 	}
-	a := &pendingJob{ctx: ctx, spec: spec, put: put, queuedAt: time.Now(), result: make(chan acceptResult, 1)}
-	if !v.enqueue(partOf(spec.ID), a) {
-		r := core.Refuse(core.CodeBusy, "%d jobs wait for the store", maxQueuedJobs)
-		r.RetryAfter = clientRetryAfter
-		return spec, v.refusal(spec.ID, r)
+	j := &pendingJob{ctx: ctx, spec: spec, put: put, queuedAt: time.Now(), result: make(chan acceptResult, 1)}
+	if !s.enqueue(partOf(spec.ID), j) {
+		busy := core.Refuse(core.CodeBusy, "%d jobs wait for the store", maxQueuedJobs)
+		busy.RetryAfter = clientRetryAfter
+		return spec, s.refusal(spec.ID, busy)
 	}
-	// The writer always answers, soon after the caller's time is up.
-	out := <-a.result
-	return out.spec, out.err
+	// The writer always answers, at the latest soon after the caller's deadline.
+	r := <-j.result
+	return r.spec, r.err
 }
 
-// runWriter records what waits in one lane until it is empty.
-func (v *Store) runWriter(ctx context.Context, part int) {
-	var left []*pendingJob
+// runWriter writes the jobs of one partition until its queue is empty.
+func (s *Store) runWriter(ctx context.Context, part int) {
+	var retry []*pendingJob
 	for {
-		waiting := v.nextBatch(part, left)
-		if len(waiting) == 0 {
+		batch := s.nextBatch(part, retry)
+		if len(batch) == 0 {
 			return
 		}
-		left = v.writeBatch(ctx, waiting)
-		if len(left) == len(waiting) {
+		retry = s.writeBatch(ctx, batch)
+		if len(retry) == len(batch) {
 			clock.Sleep(ctx, writeRetryDelay)
 		}
-		left = v.answerExpired(left, ctx.Err() != nil, v.Unreachable())
+		retry = s.answerExpired(retry, ctx.Err() != nil, s.Unreachable())
 	}
 }
 
-// writeBatch writes all that waits in one transaction and returns what must be
-// written again.
-func (v *Store) writeBatch(ctx context.Context, waiting []*pendingJob) []*pendingJob {
+// writeBatch writes jobs in one transaction and returns those that must be written
+// again. Of several jobs with the same name it writes the first and returns the
+// others.
+func (s *Store) writeBatch(ctx context.Context, batch []*pendingJob) []*pendingJob {
 	t := table.Txn{}
-	named := map[string]bool{}
-	var now, later []*pendingJob
-	for _, a := range waiting {
-		if a.answered.Load() {
+	names := map[string]bool{}
+	var written, retry []*pendingJob
+	for _, j := range batch {
+		if j.answered.Load() {
 			continue
 		}
-		if named[a.put.Name] {
-			later = append(later, a)
+		if names[j.put.Name] {
+			retry = append(retry, j)
 			continue
 		}
-		named[a.put.Name] = true
-		now = append(now, a)
-		t.Checks = append(t.Checks, table.Check{Key: a.put.Key})
-		t.Puts = append(t.Puts, a.put)
+		names[j.put.Name] = true
+		written = append(written, j)
+		t.Checks = append(t.Checks, table.Check{Key: j.put.Key})
+		t.Puts = append(t.Puts, j.put)
 	}
-	if len(now) == 0 {
+	if len(written) == 0 {
 		return nil
 	}
-	_, err := v.client.Write(table.WithLateHook(ctx, func(_ time.Duration, o table.Outcome) {
+	_, err := s.client.Write(table.WithLateHook(ctx, func(_ time.Duration, o table.Outcome) {
 		if o.Err() == nil {
-			confirm(now)
+			confirm(written)
 		}
 	}), t)
 	var conflict *table.ConflictError
 	switch {
 	case err == nil:
-		confirm(now)
-		return later
+		confirm(written)
+		return retry
 	case errors.As(err, &conflict):
-		for _, a := range now {
-			if r, ok := conflict.Find(a.put.Key); ok {
-				a.answer(a.resolveConflict(r))
+		for _, j := range written {
+			if row, ok := conflict.Find(j.put.Key); ok {
+				j.answer(j.resolveConflict(row))
 			} else {
-				later = append(later, a)
+				retry = append(retry, j)
 			}
 		}
-		return later
+		return retry
 	case Refused(err):
 	default:
-		for _, a := range now {
-			a.maybeStored = true
+		for _, j := range written {
+			j.maybeStored = true
 		}
 	}
-	return append(now, later...)
+	return append(written, retry...)
 }
 
-// confirm answers callers whose jobs are in the store.
-func confirm(list []*pendingJob) {
-	for _, a := range list {
-		a.answer(acceptResult{spec: a.spec})
+// confirm answers the callers of jobs that are stored.
+func confirm(stored []*pendingJob) {
+	for _, j := range stored {
+		j.answer(acceptResult{spec: j.spec})
 	}
 }
 
-// resolveConflict compares a job with the one recorded under its name: the same client's
-// repeated call is accepted, another team's is not.
-func (a *pendingJob) resolveConflict(r table.Row) acceptResult {
-	var s jobs.Spec
-	if err := decode(r, &s); err != nil {
+// resolveConflict compares a job with the row that has its name. A repeated call of
+// the same team for the same queue succeeds with the stored job; any other call is
+// refused.
+func (j *pendingJob) resolveConflict(row table.Row) acceptResult {
+	var stored jobs.Spec
+	if err := decode(row, &stored); err != nil {
 		return acceptResult{err: err}
 	}
-	if s.Team != a.spec.Team || s.Queue != a.spec.Queue {
-		return acceptResult{err: core.Refuse(core.CodeConflict, "the name %s belongs to another job", a.spec.ID)}
+	if stored.Team != j.spec.Team || stored.Queue != j.spec.Queue {
+		return acceptResult{err: core.Refuse(core.CodeConflict, "the name %s belongs to another job", j.spec.ID)}
 	}
-	return acceptResult{spec: s}
+	return acceptResult{spec: stored}
 }
 
-// answerExpired answers those whose callers have no time left, or whom the store has
-// only refused, and all while it is away: their callers can ask another VM.
-func (v *Store) answerExpired(waiting []*pendingJob, all, away bool) []*pendingJob {
-	var out []*pendingJob
-	for _, a := range waiting {
-		if a.answered.Load() {
+// answerExpired answers the jobs whose callers' deadlines have passed and those that
+// the store has refused for refusalTimeout, and returns the others. It answers every
+// job if the store is closing, or if it is unreachable, since callers can then retry
+// through another VM.
+func (s *Store) answerExpired(unstored []*pendingJob, closing, unreachable bool) []*pendingJob {
+	var retry []*pendingJob
+	for _, j := range unstored {
+		if j.answered.Load() {
 			continue
 		}
-		over := all || away || a.ctx.Err() != nil || !a.maybeStored && time.Since(a.queuedAt) > refusalTimeout
-		if !over {
-			out = append(out, a)
+		expired := closing || unreachable || j.ctx.Err() != nil || !j.maybeStored && time.Since(j.queuedAt) > refusalTimeout
+		if !expired {
+			retry = append(retry, j)
 			continue
 		}
-		if a.maybeStored {
-			v.markUnconfirmed(a.spec.ID)
-			a.answer(acceptResult{err: core.RefuseUnknown(core.CodeStore, a.ctx.Err(), "the store has not confirmed the job")})
+		if j.maybeStored {
+			s.markUnconfirmed(j.spec.ID)
+			j.answer(acceptResult{err: core.RefuseUnknown(core.CodeStore, j.ctx.Err(), "the store has not confirmed the job")})
 		} else {
 			r := core.Refuse(core.CodeStore, "the store takes no jobs at present")
 			r.RetryAfter = clientRetryAfter
-			a.answer(acceptResult{err: v.refusal(a.spec.ID, r)})
+			j.answer(acceptResult{err: s.refusal(j.spec.ID, r)})
 		}
 	}
-	return out
+	return retry
 }
--- a/io/record/store.go
+++ b/io/record/store.go
@@ -1,7 +1,8 @@
-// Package record lays out in the platform's table what the product records: the
-// accepted jobs and cancellations by name, and the owner's seat with the
-// progress of jobs and the roster of workers in one partition, so that every
-// record of an owner depends on its seat.
+// Package record maps the stored state to rows of the platform's table. Accepted
+// jobs and cancellations are spread over partitions by job name. The ownership
+// record, the progress of jobs and the roster of workers share one partition, so
+// that an owner can write them in one transaction on the condition that it still
+// holds the ownership record.
 package record
 
 import (
@@ -30,86 +31,86 @@
 	jobTable      = "job"
 	fleetTable    = "fleet"
 	progressTable = "progress"
-	// cancelSuffix marks the row of a cancellation, beside that of its job.
+	// cancelSuffix is appended to a job's name for the row of its cancellation.
 	cancelSuffix = "/cancel"
-	// fleetPart holds all that an owner writes.
+	// fleetPart is the partition of all rows that an owner writes.
 	fleetPart = "fleet"
 	ownerName = "seat"
-	// rosterName begins the names of the rows that list the workers in use, each
-	// with rosterPart of them: a row holds at most 64 KiB.
+	// rosterName is the prefix of the names of the roster's rows. Each row holds
+	// rosterPageSize workers, since the value of a row is limited to 64 KiB.
 	rosterName     = "roster"
 	rosterPageSize = 64
-	// maxRowBytes bounds the value of a row, in bytes; the platform's own bound is
-	// 65,536.
+	// maxRowBytes bounds the value of a row, in bytes. The platform's limit is 65,536.
 	maxRowBytes = 64 << 10
-	// jobParts divides the jobs by name. A partition takes its transactions one
-	// after another, in 8 ms each, and in some 80 times as long when the store is
-	// slow: 256 then carry 400 jobs a second, each from another VM.
+	// jobParts is the number of partitions of jobs, by hash of the name. A partition
+	// executes its transactions one after another, in 8 ms each, or about 80 times as
+	// long when the store is slow. Even then 256 partitions accept 400 jobs a second
+	// if each comes from a different VM and needs its own transaction.
 	jobParts = 256
-	// clientRetryAfter is when a client that was refused should come back: clients come
-	// back through any VM, and most cuts spare some.
+	// clientRetryAfter is the retry delay that refused clients are told. It is short
+	// because a retry may go through another VM, and most network partitions leave
+	// some VMs connected to the store.
 	clientRetryAfter = time.Second
-	// maxParallelReads bounds the partitions read side by side.
+	// maxParallelReads bounds the partitions that are read in parallel.
 	maxParallelReads = 32
 )
 
-// Reachability tells whether the table can be reached.
+// Reachability reports whether the table can be reached.
 type Reachability interface {
 	Unreachable() bool
 }
 
-// progressRangeStarts divide the names of jobs into ranges that are read side by side;
-// names are mostly hexadecimal.
+// progressRangeStarts divide the progress rows into ranges of job names that are read
+// in parallel. Names are mostly hexadecimal.
 var progressRangeStarts = [...]string{"", "1", "2", "3", "4", "5", "6", "7", "8", "9", "a", "b", "c", "d", "e", "f"}
 
-// Store reads and writes the product's rows.
+// Store reads and writes the rows of the fleet.
 type Store struct {
 	client       table.Client
 	reachability Reachability
 
-	// writerStarts names the partitions whose writers must begin.
+	// writerStarts carries the partitions for which Run must start a writer.
 	writerStarts chan int
-	// mu guards all below.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// unconfirmed holds since when jobs may have been recorded that clients were told
-	// are not known to be.
+	// unconfirmed holds the jobs that may have been stored although their clients
+	// were told that the outcome is unknown, each with the time of that answer.
 	unconfirmed map[core.JobID]time.Time
 	queues      [jobParts]partQueue
-	// closed is set once Run has, and nothing is written any more.
+	// closed is set when Run ends; enqueue then refuses all jobs.
 	closed bool
 }
 
-// Option changes a vault under construction.
+// Option configures a Store.
 type Option func(*Store)
 
-// WithReach has calls of clients refused at once while the store cannot be
-// reached.
-func WithReach(r Reachability) Option { return func(v *Store) { v.reachability = r } }
+// WithReach makes calls of clients fail at once while the table cannot be reached.
+func WithReach(r Reachability) Option { return func(s *Store) { s.reachability = r } }
 
-// New returns a vault over a store. Run must be called for jobs to be accepted.
-func New(s table.Client, opts ...Option) *Store {
-	v := &Store{client: s, writerStarts: make(chan int, jobParts), unconfirmed: map[core.JobID]time.Time{}}
+// New returns a Store on a table. Accept needs Run in another goroutine.
+func New(client table.Client, opts ...Option) *Store {
+	s := &Store{client: client, writerStarts: make(chan int, jobParts), unconfirmed: map[core.JobID]time.Time{}}
 	for _, o := range opts {
-		o(v)
+		o(s)
 	}
-	return v
+	return s
 }
 
-// Unreachable reports whether the store cannot be reached.
-func (v *Store) Unreachable() bool { return v.reachability != nil && v.reachability.Unreachable() }
+// Unreachable reports whether the table cannot be reached.
+func (s *Store) Unreachable() bool { return s.reachability != nil && s.reachability.Unreachable() }
 
-// unreachableError returns the refusal of a call that would only wait for a store that
-// cannot be reached; clients come back through other VMs.
-func (v *Store) unreachableError() *core.RefusalError {
+// unreachableError returns the refusal of a call while the table cannot be reached.
+// Clients can retry through other VMs at once, which is faster than waiting.
+func (s *Store) unreachableError() *core.RefusalError {
 	r := core.Refuse(core.CodeStore, "this VM does not reach the store")
 	r.RetryAfter = clientRetryAfter
 	return r
 }
 
-// Refused reports whether a call surely had no effect.
+// Refused reports whether err means that a call certainly had no effect.
 func Refused(err error) bool {
-	var r *table.RefusedError
-	return errors.As(err, &r)
+	var refused *table.RefusedError
+	return errors.As(err, &refused)
 }
 
 func partOf(id core.JobID) int { return int(xxhash.Sum64String(string(id)) % jobParts) }
@@ -134,15 +135,17 @@
 	return table.Key{Table: fleetTable, Part: fleetPart, Name: fmt.Sprintf("%s/%04d", rosterName, page)}
 }
 
-// rosterPage is one row of the list of workers in use.
+// rosterPage is one row of the roster.
 type rosterPage struct {
-	// Pages is how many rows the list has; later ones are of an older list.
+	// Pages is the number of rows of the roster. Rows beyond it belong to an older,
+	// longer roster.
 	Pages   int
 	Workers []fleet.WorkerInfo `json:"Hosts"`
 }
 
 func partName(i int) string { return "p" + strconv.Itoa(i) }
 
+// encode returns a write of val in JSON under a key.
 func encode(k table.Key, val any) (table.Put, error) {
 	text, err := json.Marshal(val)
 	if err != nil {
@@ -151,6 +154,7 @@
 	return table.Put{Key: k, Val: text}, nil
 }
 
+// decode parses the JSON value of a row.
 func decode(r table.Row, val any) error {
 	if err := json.Unmarshal(r.Val, val); err != nil {
 		return &table.FormatError{What: r.Table + "/" + r.Name, Err: err}
@@ -158,57 +162,58 @@
 	return nil
 }
 
-// get reads one row; version 0 means that there is none.
-func (v *Store) get(ctx context.Context, k table.Key) (table.Row, error) {
-	r, _, err := v.getWithClock(ctx, k)
+// get reads one row. Its version is 0 if there is no such row.
+func (s *Store) get(ctx context.Context, k table.Key) (table.Row, error) {
+	r, _, err := s.getWithClock(ctx, k)
 	return r, err
 }
 
-// getWithClock reads one row, and the store's clock.
-func (v *Store) getWithClock(ctx context.Context, k table.Key) (table.Row, time.Duration, error) {
-	p, err := v.client.Read(ctx, table.Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x01", Limit: 1})
+// getWithClock reads one row and the store's clock.
+func (s *Store) getWithClock(ctx context.Context, k table.Key) (table.Row, time.Duration, error) {
+	p, err := s.client.Read(ctx, table.Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x01", Limit: 1})
 	if err != nil || len(p.Rows) == 0 {
 		return table.Row{}, p.Now, err
 	}
 	return p.Rows[0], p.Now, nil
 }
 
-// OwnerRecord reads the owner's row.
-func (v *Store) OwnerRecord(ctx context.Context) (elect.Observation, error) {
-	r, now, err := v.getWithClock(ctx, ownerKey())
-	l := elect.Observation{Version: r.Version, Clock: now}
+// OwnerRecord reads the ownership record.
+func (s *Store) OwnerRecord(ctx context.Context) (elect.Observation, error) {
+	r, clock, err := s.getWithClock(ctx, ownerKey())
+	obs := elect.Observation{Version: r.Version, Clock: clock}
 	if err != nil || r.Version == 0 {
-		return l, err
+		return obs, err
 	}
-	return l, decode(r, &l.Record)
+	return obs, decode(r, &obs.Record)
 }
 
-// OwnerWrite is one write of an owner.
+// OwnerWrite is one transaction of an owner.
 type OwnerWrite struct {
 	Record elect.Record
-	// Version is that of the row that Seat replaces.
+	// Version is the version of the ownership record that Record replaces.
 	Version  uint64
 	Progress []jobs.Progress
-	// Deletes are jobs whose progress is deleted.
+	// Deletes are the jobs whose progress rows are deleted.
 	Deletes []core.JobID
 	// Roster is written if it is not nil.
 	Roster []fleet.WorkerInfo
 }
 
-// Write stores a record on the condition that the seat has not changed.
-func (v *Store) Write(ctx context.Context, r OwnerWrite) (table.Done, error) {
-	t := table.Txn{Checks: []table.Check{{Key: ownerKey(), Version: r.Version}}}
-	rows := map[table.Key]any{ownerKey(): r.Record}
-	if r.Roster != nil {
-		pages := slices.Collect(slices.Chunk(r.Roster, rosterPageSize))
-		for i, hosts := range pages {
-			rows[rosterKey(i)] = rosterPage{len(pages), hosts}
+// Write executes a transaction of an owner on the condition that the ownership record
+// has not changed since w.Version.
+func (s *Store) Write(ctx context.Context, w OwnerWrite) (table.Done, error) {
+	t := table.Txn{Checks: []table.Check{{Key: ownerKey(), Version: w.Version}}}
+	rows := map[table.Key]any{ownerKey(): w.Record}
+	if w.Roster != nil {
+		pages := slices.Collect(slices.Chunk(w.Roster, rosterPageSize))
+		for i, workers := range pages {
+			rows[rosterKey(i)] = rosterPage{len(pages), workers}
 		}
 		if len(pages) == 0 {
 			rows[rosterKey(0)] = rosterPage{}
 		}
 	}
-	for _, p := range r.Progress {
+	for _, p := range w.Progress {
 		rows[progressKey(p.Job)] = p
 	}
 	for k, val := range rows {
@@ -218,16 +223,16 @@
 		}
 		t.Puts = append(t.Puts, p)
 	}
-	for _, id := range r.Deletes {
+	for _, id := range w.Deletes {
 		t.Deletes = append(t.Deletes, progressKey(id))
 	}
-	return v.client.Write(ctx, t)
+	return s.client.Write(ctx, t)
 }
 
-// Delete deletes the rows of jobs that nobody may ask for any more, but for
-// their progress, which an owner's next record drops. What fails is left; a
-// later owner finds it again.
-func (v *Store) Delete(ctx context.Context, ids []core.JobID) error {
+// Delete deletes the job and cancellation rows of jobs whose retention period has
+// passed. The owner deletes their progress rows with its next write. After a failure
+// the remaining rows stay until a later owner finds and deletes them.
+func (s *Store) Delete(ctx context.Context, ids []core.JobID) error {
 	byPart := map[int]*table.Txn{}
 	for _, id := range ids {
 		p := partOf(id)
@@ -237,28 +242,29 @@
 		byPart[p].Deletes = append(byPart[p].Deletes, jobKey(id), cancelKey(id))
 	}
 	for _, t := range byPart {
-		if _, err := v.client.Write(ctx, *t); err != nil {
+		if _, err := s.client.Write(ctx, *t); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Snapshot is all that a new owner takes over.
+// Snapshot holds the stored state, or the changes to it since a version.
 type Snapshot struct {
 	Specs     []jobs.Spec
 	Progress  map[core.JobID]jobs.Progress
 	Cancelled []core.JobID
 	Roster    []fleet.WorkerInfo
-	// Version is where the feed of news goes on.
+	// Version is the version from which Changes continues.
 	Version uint64
-	// RowErrors are rows that could not be read; they are left out.
+	// RowErrors holds one error for each row that could not be decoded.
 	RowErrors []error
 }
 
-// Load reads all that is recorded. The partitions are read side by side; the
-// progress is read after the jobs, so that a job without progress had none.
-func (v *Store) Load(ctx context.Context) (*Snapshot, error) {
+// Load reads the whole stored state. It reads partitions in parallel. It reads the
+// progress after the jobs, so that a job without progress in the snapshot had none
+// when the job was read.
+func (s *Store) Load(ctx context.Context) (*Snapshot, error) {
 	out := &Snapshot{Progress: map[core.JobID]jobs.Progress{}}
 	var found [jobParts]Snapshot
 	g, sub := errgroup.WithContext(ctx)
@@ -266,13 +272,13 @@
 	for p := range jobParts {
 		g.Go(func() error {
 			var err error
-			found[p].Version, err = v.scan(sub, table.Range{Table: jobTable, Part: partName(p)}, found[p].addJob)
+			found[p].Version, err = s.scan(sub, table.Range{Table: jobTable, Part: partName(p)}, found[p].addJob)
 			return err
 		})
 	}
 	g.Go(func() error {
 		var err error
-		out.Roster, err = v.roster(sub)
+		out.Roster, err = s.roster(sub)
 		return err
 	})
 	if err := g.Wait(); err != nil {
@@ -294,7 +300,7 @@
 		}
 		progress[i].Progress = map[core.JobID]jobs.Progress{}
 		g.Go(func() error {
-			_, err := v.scan(sub, table.Range{Table: progressTable, Part: fleetPart, From: from, To: to}, progress[i].addProgress)
+			_, err := s.scan(sub, table.Range{Table: progressTable, Part: fleetPart, From: from, To: to}, progress[i].addProgress)
 			return err
 		})
 	}
@@ -308,9 +314,9 @@
 	return out, nil
 }
 
-// roster reads the list of workers in use.
-func (v *Store) roster(ctx context.Context) ([]fleet.WorkerInfo, error) {
-	p, err := v.client.Read(ctx, table.Range{Table: fleetTable, Part: fleetPart, From: rosterName, To: rosterName + "0"})
+// roster reads the roster of workers.
+func (s *Store) roster(ctx context.Context) ([]fleet.WorkerInfo, error) {
+	p, err := s.client.Read(ctx, table.Range{Table: fleetTable, Part: fleetPart, From: rosterName, To: rosterName + "0"})
 	if err != nil {
 		return nil, err
 	}
@@ -331,35 +337,36 @@
 	return out, nil
 }
 
-// addJob takes in a row of the table of jobs: a job or a cancellation.
-func (r *Snapshot) addJob(row table.Row) {
+// addJob adds a row of the job table, which is a job or a cancellation.
+func (s *Snapshot) addJob(row table.Row) {
 	if id, ok := strings.CutSuffix(row.Name, cancelSuffix); ok {
-		r.Cancelled = append(r.Cancelled, core.JobID(id))
+		s.Cancelled = append(s.Cancelled, core.JobID(id))
 		return
 	}
-	var s jobs.Spec
-	if err := decode(row, &s); err != nil {
-		r.RowErrors = append(r.RowErrors, err)
+	var spec jobs.Spec
+	if err := decode(row, &spec); err != nil {
+		s.RowErrors = append(s.RowErrors, err)
 		return
 	}
-	r.Specs = append(r.Specs, s)
+	s.Specs = append(s.Specs, spec)
 }
 
-func (r *Snapshot) addProgress(row table.Row) {
+// addProgress adds a row of the progress table.
+func (s *Snapshot) addProgress(row table.Row) {
 	var p jobs.Progress
 	if err := decode(row, &p); err != nil {
-		r.RowErrors = append(r.RowErrors, err)
+		s.RowErrors = append(s.RowErrors, err)
 		return
 	}
-	r.Progress[p.Job] = p
+	s.Progress[p.Job] = p
 }
 
-// scan reads all rows of a range and returns the version from which its feed
-// misses nothing.
-func (v *Store) scan(ctx context.Context, in table.Range, each func(table.Row)) (uint64, error) {
+// scan calls each for all rows of a range, page by page. It returns the version of the
+// first page, after which the feed holds every change that the scan may have missed.
+func (s *Store) scan(ctx context.Context, in table.Range, each func(table.Row)) (uint64, error) {
 	first := uint64(0)
 	for {
-		p, err := v.client.Read(ctx, in)
+		p, err := s.client.Read(ctx, in)
 		if err != nil {
 			return 0, err
 		}
@@ -376,12 +383,12 @@
 	}
 }
 
-// Changes reads the jobs and cancellations recorded since a version; those that
-// come back go on from its own. It catches what a VM that has died meanwhile
-// could not tell.
-func (v *Store) Changes(ctx context.Context, after uint64) (Snapshot, error) {
+// Changes reads the jobs and cancellations stored after a version. The next call
+// continues from the Version of the result. This way the owner learns of jobs whose
+// VM has failed before it notified the owner.
+func (s *Store) Changes(ctx context.Context, after uint64) (Snapshot, error) {
 	out := Snapshot{Version: after}
-	ch, err := v.client.Feed(ctx, table.Since{Table: jobTable, Version: after})
+	ch, err := s.client.Feed(ctx, table.Since{Table: jobTable, Version: after})
 	if err != nil {
 		return out, err
 	}
@@ -394,19 +401,19 @@
 	return out, nil
 }
 
-// State reads how a job is to be shown, from the record alone.
-func (v *Store) State(ctx context.Context, id core.JobID) (jobs.State, error) {
-	if v.Unreachable() {
-		return "", v.unreachableError()
+// State returns the state of a job as clients see it, from the stored rows alone.
+func (s *Store) State(ctx context.Context, id core.JobID) (jobs.State, error) {
+	if s.Unreachable() {
+		return "", s.unreachableError()
 	}
-	row, err := v.get(ctx, jobKey(id))
+	row, err := s.get(ctx, jobKey(id))
 	if err != nil {
 		return "", err
 	}
 	if row.Version == 0 {
 		return "", core.Refuse(core.CodeNoJob, "there is no job %s", id)
 	}
-	prog, err := v.get(ctx, progressKey(id))
+	prog, err := s.get(ctx, progressKey(id))
 	if err != nil {
 		return "", err
 	}
@@ -423,9 +430,9 @@
 	return jobs.Running, nil
 }
 
-// Cancel records a cancellation.
-func (v *Store) Cancel(ctx context.Context, id core.JobID, now time.Time) error {
-	row, err := v.get(ctx, jobKey(id))
+// Cancel stores a cancellation. Cancelling a job again has no effect.
+func (s *Store) Cancel(ctx context.Context, id core.JobID, now time.Time) error {
+	row, err := s.get(ctx, jobKey(id))
 	if err != nil {
 		return err
 	}
@@ -436,10 +443,10 @@
 	if err != nil {
 		return err
 	}
-	_, err = v.client.Write(ctx, table.Txn{Checks: []table.Check{{Key: cancelKey(id)}}, Puts: []table.Put{put}})
+	_, err = s.client.Write(ctx, table.Txn{Checks: []table.Check{{Key: cancelKey(id)}}, Puts: []table.Put{put}})
 	var conflict *table.ConflictError
 	if errors.As(err, &conflict) {
-		// The row exists: the job has been cancelled before.
+		// The row exists, so the job has been cancelled before.
 		return nil
 	}
 	return err
--- a/io/record/unconfirmed.go
+++ b/io/record/unconfirmed.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// unconfirmedTTL is how long a job that may have been recorded is remembered: the
-	// store carries writes out within seconds, and clients ask again at once.
+	// unconfirmedTTL is how long the store remembers a job whose write had no answer.
+	// A pending write takes effect within seconds, and clients retry at once.
 	unconfirmedTTL = time.Minute
-	// maxUnconfirmed bounds the jobs remembered, at some 100 bytes each.
+	// maxUnconfirmed is the number of remembered jobs, at about 100 bytes each, from
+	// which the store removes expired ones.
 	maxUnconfirmed = 4000
 )
 
-// markUnconfirmed remembers that a job may have been recorded though its client was told
-// that it is not known.
-func (v *Store) markUnconfirmed(id core.JobID) {
+// markUnconfirmed remembers a job that may have been stored although its client was
+// told that the outcome is unknown.
+func (s *Store) markUnconfirmed(id core.JobID) {
 	now := time.Now()
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if len(v.unconfirmed) >= maxUnconfirmed {
-		for id, at := range v.unconfirmed {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.unconfirmed) >= maxUnconfirmed {
+		for id, at := range s.unconfirmed {
 			if now.Sub(at) > unconfirmedTTL {
-				delete(v.unconfirmed, id)
+				delete(s.unconfirmed, id)
 			}
 		}
 	}
-	v.unconfirmed[id] = now
+	s.unconfirmed[id] = now
 }
 
-// refusal returns r, or that the outcome is not known if an earlier call for the
-// job may have been recorded.
-func (v *Store) refusal(id core.JobID, r *core.RefusalError) *core.RefusalError {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if at, ok := v.unconfirmed[id]; !ok || time.Since(at) > unconfirmedTTL {
+// refusal returns r, or a refusal with an unknown outcome if an earlier call may have
+// stored the job.
+func (s *Store) refusal(id core.JobID, r *core.RefusalError) *core.RefusalError {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if at, ok := s.unconfirmed[id]; !ok || time.Since(at) > unconfirmedTTL {
 		return r
 	}
 	return core.RefuseUnknown(r.Code, r, "an earlier call may have recorded the job")
