--- a/io/entry/advice_test.go
+++ b/io/entry/advice_test.go
@@ -14,36 +14,36 @@
 	"chicoryturn/core/policy"
 )
 
-// TestEarlyAdvice takes jobs on a VM of a large fleet. Its own call names a few
-// workers: of those with room if the owner has told lately, none if there are
-// none, or else any.
+// TestEarlyAdvice submits jobs on a VM of a large fleet. Its early advice request must
+// name a few workers: only workers of the room hint if there is one, and any workers
+// otherwise. It must send no request if the hint is empty.
 func TestEarlyAdvice(t *testing.T) {
 	is := is.New(t)
-	o := &fakeDeps{}
-	e := newEntry(o)
+	deps := &fakeDeps{}
+	e := newEntry(deps)
 	e.SetPolicy(policy.New(1, []policy.Queue{{
 		Name: "q", Host: "h", Prefix: "/", Service: "s",
 		Advice: core.Some(policy.Advice{Base: 10 * time.Millisecond, PerWorker: 500 * time.Microsecond, Valid: time.Second}),
 	}}, nil, []policy.Service{{Name: "s"}}, 0))
-	var hosts []fleet.WorkerInfo
+	var workers []fleet.WorkerInfo
 	for i := range 350 {
-		hosts = append(hosts, fleet.WorkerInfo{VM: core.VM{Name: fmt.Sprintf("w%03d", i), Service: "s", Room: core.Resources{Cores: 64000}}})
+		workers = append(workers, fleet.WorkerInfo{VM: core.VM{Name: fmt.Sprintf("w%03d", i), Service: "s", Room: core.Resources{Cores: 64000}}})
 	}
-	e.SetWorkers(hosts)
+	e.SetWorkers(workers)
 	submit := func(id string) []core.WorkerID {
-		o.requests = nil
+		deps.requests = nil
 		is.NoErr(e.Submit(context.Background(), jobs.Spec{ID: core.JobID(id), Queue: "q", Phases: []jobs.Phase{{Count: 3, Need: core.Resources{Cores: 9900}}}}))
-		if len(o.requests) == 0 {
+		if len(deps.requests) == 0 {
 			return nil
 		}
-		return o.requests[0].Workers
+		return deps.requests[0].Workers
 	}
 	first, second := submit("a"), submit("b")
 	is.True(len(first) >= 8 && len(first) <= 20)
-	is.True(fmt.Sprint(first) != fmt.Sprint(second)) // jobs do not crowd on some workers
-	o.delay = 600 * time.Millisecond
-	is.Equal(len(submit("busy")), 0) // another VM answers sooner
-	o.delay = 0
+	is.True(fmt.Sprint(first) != fmt.Sprint(second)) // different jobs name different workers
+	deps.delay = 600 * time.Millisecond
+	is.Equal(len(submit("busy")), 0) // the owner's request to another VM is answered sooner
+	deps.delay = 0
 	e.SetRoomHint([]core.WorkerID{"w300", "w200"})
 	is.Equal(len(submit("c")), 2)
 	e.SetRoomHint(nil)
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry serves clients on every VM: it checks their calls, records
-// jobs and cancellations, and answers questions through the owner or, without
-// one, from the record.
+// Package entry serves client calls on every VM. It checks the calls, stores jobs and
+// cancellations, and notifies the owner. It reads the state of a job from the owner
+// or, if the owner does not know it or does not answer, from the store.
 package entry
 
 import (
@@ -23,52 +23,63 @@
 )
 
 const (
-	// maxEarlyCost is the length up to which the VM that has taken a job asks for
-	// advice itself, while the job is being recorded.
+	// maxEarlyCost is the longest expected duration of an advice request that the VM
+	// sends itself while it stores a new job.
 	maxEarlyCost = 50 * time.Millisecond
-	// maxEarlyDelay is up to which delay by calls before it a VM's own call is worth
-	// making: the owner's way to an idle VM takes as long.
+	// maxEarlyDelay is the longest time that such a request may wait behind other
+	// requests of this VM. The owner reaches an idle VM in about that time.
 	maxEarlyDelay = 30 * time.Millisecond
-	// clientRetryAfter is when a client that was refused should come back.
+	// clientRetryAfter is the retry delay that refused clients are told.
 	clientRetryAfter = time.Second
-	// cancelRetryDelay is the pause before a cancellation is recorded again.
+	// cancelRetryDelay is the time before a failed write of a cancellation is retried.
 	cancelRetryDelay = 100 * time.Millisecond
 )
 
-// RecordStore records and reads what lasts.
+// RecordStore stores jobs and cancellations.
 type RecordStore interface {
+	// Accept stores a job and returns it as it is in the store, where an earlier call
+	// may have put it.
 	Accept(ctx context.Context, spec jobs.Spec) (jobs.Spec, error)
 	Cancel(ctx context.Context, id core.JobID, now time.Time) error
+	// State returns the state of a job from the stored rows alone.
 	State(ctx context.Context, id core.JobID) (jobs.State, error)
 	// Unreachable reports whether the store cannot be reached.
 	Unreachable() bool
 }
 
-// OwnerLink reaches the owner.
+// OwnerLink connects the VM to the owner.
 type OwnerLink interface {
-	Accepted(spec jobs.Spec, asking bool)
+	// Accepted notifies the owner of a stored job. AdvicePending reports that this VM
+	// has an advice request for the job's first phase in flight; Advised follows with
+	// its result.
+	Accepted(spec jobs.Spec, advicePending bool)
 	Advised(r advice.Result)
+	// Cancelled notifies the owner of a stored cancellation.
 	Cancelled(id core.JobID)
+	// State returns the state of a job; known reports whether the owner has the job.
 	State(ctx context.Context, id core.JobID) (state jobs.State, known bool, err error)
+	// Pending returns how many jobs of a queue wait for their first start; known is
+	// false if no owner answers.
 	Pending(ctx context.Context, q core.Queue) (n int, known bool, err error)
-	// Connected reports whether another VM can be reached.
+	// Connected reports whether this VM can reach any other VM.
 	Connected() bool
 }
 
-// Advisor asks the placement policy.
+// Advisor sends advice requests of this VM to the placement advisor.
 type Advisor interface {
-	Request(a fleet.AdviceRequest, then func(advice.Result))
-	// Delay returns how long a call would wait for those before it.
+	// Request queues a request and calls then with its result.
+	Request(r fleet.AdviceRequest, then func(advice.Result))
+	// Delay returns how long a new request would wait behind earlier ones.
 	Delay() time.Duration
 }
 
-// Meter takes in what operators want to see.
+// Meter records metrics.
 type Meter interface {
 	Call(kind, result string, took time.Duration)
 }
 
-// Entry is the state that the traffic goroutines of a VM share. All of it is
-// replaced whole.
+// Entry serves client calls. The traffic goroutines of a VM share its state, each part
+// of which is replaced atomically as a whole.
 type Entry struct {
 	records RecordStore
 	link    OwnerLink
@@ -78,52 +89,55 @@
 
 	policy  atomic.Pointer[policy.Policy]
 	workers atomic.Pointer[[]fleet.WorkerInfo]
-	// maxRoom holds the most of each resource that any worker of a service has had
-	// since the process began: workers that are away may come back.
+	// maxRoom holds, for each service, the most of each resource that any of its
+	// workers has had since the process started. It includes workers that are no
+	// longer listed, since they may return.
 	maxRoom atomic.Pointer[map[core.Service]core.Resources]
-	// roomHint is the owner's last hint of the workers that have room.
+	// roomHint is the last room hint of the owner.
 	roomHint atomic.Pointer[roomHint]
-	// firstEpoch is the epoch of the first owner that may start what is taken now.
+	// firstEpoch is the epoch of the first owner that may start a job accepted now.
 	firstEpoch atomic.Uint64
 	draining   atomic.Bool
-	// inFlight counts the calls being answered.
+	// inFlight counts the calls that have not been answered.
 	inFlight atomic.Int64
 }
 
-// roomHint names workers that had room at a time.
+// roomHint names the workers that had free room when the owner sent it.
 type roomHint struct {
 	workers    core.Set[core.WorkerID]
 	receivedAt time.Time
 }
 
-// SetRoomHint follows the owner's hint of the workers that have room.
+// SetRoomHint replaces the room hint of the owner.
 func (e *Entry) SetRoomHint(ids []core.WorkerID) {
 	e.roomHint.Store(&roomHint{core.NewSet(ids...), time.Now()})
 }
 
-// SetOwner follows the seat as this VM last saw it. An owner that has resigned
-// starts nothing more.
-func (e *Entry) SetOwner(s elect.Record) {
-	from := s.Epoch
-	if s.Holder == "" {
-		from++
+// SetOwner updates the first epoch for new jobs from the ownership record as this VM
+// last saw it. An owner that has resigned starts no more jobs, so the next one is
+// the first.
+func (e *Entry) SetOwner(rec elect.Record) {
+	first := rec.Epoch
+	if rec.Holder == "" {
+		first++
 	}
-	e.firstEpoch.Store(uint64(from))
+	e.firstEpoch.Store(uint64(first))
 }
 
-// New returns an entry without a configuration; it refuses all calls.
-func New(v RecordStore, l OwnerLink, a Advisor, m Meter, log *logrus.Entry) *Entry {
-	return &Entry{records: v, link: l, advisor: a, meter: m, log: log}
+// New returns an entry without a configuration. Visit refuses all calls until
+// SetPolicy is called.
+func New(records RecordStore, link OwnerLink, advisor Advisor, meter Meter, log *logrus.Entry) *Entry {
+	return &Entry{records: records, link: link, advisor: advisor, meter: meter, log: log}
 }
 
-// SetPolicy follows a newer configuration; an older one changes nothing.
+// SetPolicy replaces the configuration if p is newer.
 func (e *Entry) SetPolicy(p *policy.Policy) {
 	if old := e.policy.Load(); old == nil || p.Version > old.Version {
 		e.policy.Store(p)
 	}
 }
 
-// Version returns that of the configuration in force; 0 means none.
+// Version returns the version of the current configuration, or 0 if there is none.
 func (e *Entry) Version() core.Version {
 	if p := e.policy.Load(); p != nil {
 		return p.Version
@@ -131,34 +145,34 @@
 	return 0
 }
 
-// SetWorkers follows a new list of workers. It is called by one goroutine.
-func (e *Entry) SetWorkers(hosts []fleet.WorkerInfo) {
-	e.workers.Store(&hosts)
-	rooms := map[core.Service]core.Resources{}
+// SetWorkers replaces the worker list. Only one goroutine may call it.
+func (e *Entry) SetWorkers(workers []fleet.WorkerInfo) {
+	e.workers.Store(&workers)
+	maxRoom := map[core.Service]core.Resources{}
 	if old := e.maxRoom.Load(); old != nil {
-		maps.Copy(rooms, *old)
+		maps.Copy(maxRoom, *old)
 	}
-	for _, h := range hosts {
-		rooms[h.Service] = rooms[h.Service].Max(h.Room)
+	for _, w := range workers {
+		maxRoom[w.Service] = maxRoom[w.Service].Max(w.Room)
 	}
-	e.maxRoom.Store(&rooms)
+	e.maxRoom.Store(&maxRoom)
 }
 
-// Drain has the VM report that it takes no more clients.
+// Drain makes Ready report false.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
-// InFlight returns how many calls are being answered.
+// InFlight returns the number of calls that have not been answered.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
-// Ready reports whether clients should be sent here: not while this VM is cut off
-// from the store and from the other VMs. An outage of the store alone is the
-// same for all.
+// Ready reports whether the load balancer should send clients to this VM. A VM that
+// can reach neither the store nor another VM is not ready. A VM that only cannot
+// reach the store is, because an outage of the store affects all VMs alike.
 func (e *Entry) Ready() bool {
-	cutOff := e.records.Unreachable() && !e.link.Connected()
-	return !e.draining.Load() && e.policy.Load() != nil && !cutOff
+	isolated := e.records.Unreachable() && !e.link.Connected()
+	return !e.draining.Load() && e.policy.Load() != nil && !isolated
 }
 
-// MaxBody bounds a submission, in bytes; 0 means no configured bound.
+// MaxBody returns the size limit of a submission in bytes, or 0 if none is configured.
 func (e *Entry) MaxBody() int64 {
 	if p := e.policy.Load(); p != nil {
 		return p.MaxBody
@@ -166,13 +180,14 @@
 	return 0
 }
 
-// Visit finds the queue of a call and checks its key.
+// Visit returns the queue, the team and the remaining path of a call. It refuses calls
+// without a queue, and calls without a valid key unless the queue is public.
 func (e *Entry) Visit(host, path, key string) (*policy.Queue, core.Team, string, error) {
 	p := e.policy.Load()
 	if p == nil {
-		r := core.Refuse(core.CodeConfig, "this VM has no configuration yet")
-		r.RetryAfter = clientRetryAfter
-		return nil, "", "", r
+		refusal := core.Refuse(core.CodeConfig, "this VM has no configuration yet")
+		refusal.RetryAfter = clientRetryAfter
+		return nil, "", "", refusal
 	}
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -191,22 +206,23 @@
 	return nil, "", "", core.Refuse(core.CodeBadKey, "the key belongs to no team in version %d", p.Version)
 }
 
-// track counts a call and logs its outcome.
+// track runs f as a call of a kind, counts it and logs its outcome. It does not log
+// successful reads of a job's state.
 func (e *Entry) track(kind string, id core.JobID, f func() (string, error)) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	began := time.Now()
-	what, err := f()
+	result, err := f()
 	took := time.Since(began)
 	if err != nil {
-		what = "failed"
-		var r *core.RefusalError
-		if errors.As(err, &r) {
-			what = string(r.Code)
+		result = "failed"
+		var refusal *core.RefusalError
+		if errors.As(err, &refusal) {
+			result = string(refusal.Code)
 		}
 	}
-	e.meter.Call(kind, what, took)
-	l := e.log.WithFields(logrus.Fields{"job": id, "result": what, "took": took.Round(time.Millisecond).String()})
+	e.meter.Call(kind, result, took)
+	l := e.log.WithFields(logrus.Fields{"job": id, "result": result, "took": took.Round(time.Millisecond).String()})
 	if err != nil {
 		l = l.WithError(err)
 	}
@@ -216,8 +232,8 @@
 	return err
 }
 
-// Submit records a job and tells the owner. A nil error means that the job
-// will be run.
+// Submit stores a job and notifies the owner. A nil error means that the job will be
+// run.
 func (e *Entry) Submit(ctx context.Context, spec jobs.Spec) error {
 	return e.track("submit", spec.ID, func() (string, error) {
 		if err := spec.Validate(); err != nil {
@@ -228,11 +244,11 @@
 		}
 		early := e.requestEarlyAdvice(&spec)
 		spec.FirstEpoch = core.Epoch(e.firstEpoch.Load())
-		recorded, err := e.records.Accept(ctx, spec)
+		stored, err := e.records.Accept(ctx, spec)
 		if err != nil {
 			return "", err
 		}
-		e.link.Accepted(recorded, early != nil)
+		e.link.Accepted(stored, early != nil)
 		if early != nil {
 			go func() { e.link.Advised(<-early) }()
 		}
@@ -240,54 +256,56 @@
 	})
 }
 
-// checkRoom refuses a job with a task that no worker of its service has had room
-// for, however empty it was.
+// checkRoom refuses a job with a task that would not fit even on an idle worker of its
+// service.
 func (e *Entry) checkRoom(spec *jobs.Spec) error {
-	q, rooms := e.policy.Load().Queues[spec.Queue], e.maxRoom.Load()
-	if q == nil || rooms == nil {
+	q, maxRoom := e.policy.Load().Queues[spec.Queue], e.maxRoom.Load()
+	if q == nil || maxRoom == nil {
 		return nil
 	}
-	most, known := (*rooms)[q.Service]
+	room, known := (*maxRoom)[q.Service]
 	for i, ph := range spec.Phases {
-		if known && !ph.Need.Fits(most) {
+		if known && !ph.Need.Fits(room) {
 			return core.Refuse(core.CodeTooLarge, "no worker of the service has room for a task of phase %d", i)
 		}
 	}
 	return nil
 }
 
-// requestEarlyAdvice asks for advice on the first phase while the job is being recorded,
-// if the call is short, its turn comes soon and some worker has room. The channel
-// yields one result.
+// requestEarlyAdvice sends an advice request for the first phase of a new job, so that
+// it is in flight while the job is stored. It sends none if the request would be
+// long or would wait, or if no worker has room. The returned channel receives one
+// result; it is nil if no request was sent.
 func (e *Entry) requestEarlyAdvice(spec *jobs.Spec) <-chan advice.Result {
-	p, hosts := e.policy.Load(), e.workers.Load()
+	p, workers := e.policy.Load(), e.workers.Load()
 	q := p.Queues[spec.Queue]
-	if q == nil || hosts == nil || spec.Repeat > 0 {
+	if q == nil || workers == nil || spec.Repeat > 0 {
 		return nil
 	}
 	a, ok := q.Advice.Get()
 	if !ok || e.advisor.Delay() > maxEarlyDelay {
 		return nil
 	}
-	room := e.roomHint.Load()
-	hinted := room != nil && time.Since(room.receivedAt) < fleet.RoomHintTTL
+	hint := e.roomHint.Load()
+	hintValid := hint != nil && time.Since(hint.receivedAt) < fleet.RoomHintTTL
 	var candidates []core.WorkerID
-	for _, h := range *hosts {
-		if h.Service == q.Service && !h.Leaving && (!hinted || room.workers.Has(h.ID())) {
-			candidates = append(candidates, h.ID())
+	for _, w := range *workers {
+		if w.Service == q.Service && !w.Leaving && (!hintValid || hint.workers.Has(w.ID())) {
+			candidates = append(candidates, w.ID())
 		}
 	}
-	ask := fleet.AdviceRequest{Phase: jobs.PhaseID{Job: spec.ID}, Workers: fleet.EarlyCandidates(spec, a, candidates)}
-	ask.Cost = a.Cost(len(ask.Workers))
-	if len(ask.Workers) == 0 || ask.Cost > maxEarlyCost {
+	req := fleet.AdviceRequest{Phase: jobs.PhaseID{Job: spec.ID}, Workers: fleet.EarlyCandidates(spec, a, candidates)}
+	req.Cost = a.Cost(len(req.Workers))
+	if len(req.Workers) == 0 || req.Cost > maxEarlyCost {
 		return nil
 	}
 	out := make(chan advice.Result, 1)
-	e.advisor.Request(ask, func(r advice.Result) { out <- r })
+	e.advisor.Request(req, func(r advice.Result) { out <- r })
 	return out
 }
 
-// State returns how a job is shown. Only the record tells that there is none.
+// State returns the state of a job. It reads the store if the owner does not answer or
+// does not know the job, since only the store shows that a job does not exist.
 func (e *Entry) State(ctx context.Context, id core.JobID) (jobs.State, error) {
 	var state jobs.State
 	err := e.track("state", id, func() (string, error) {
@@ -302,28 +320,29 @@
 	return state, err
 }
 
-// refuseUnavailable turns a failure of the store into a refusal.
+// refuseUnavailable returns a refusal for an error of the store that is not one.
 func (e *Entry) refuseUnavailable(err error) error {
-	var r *core.RefusalError
-	if err == nil || errors.As(err, &r) {
+	var refusal *core.RefusalError
+	if err == nil || errors.As(err, &refusal) {
 		return err
 	}
-	out := core.Refuse(core.CodeStore, "the store does not answer")
-	out.Err, out.RetryAfter = err, clientRetryAfter
-	return out
+	unavailable := core.Refuse(core.CodeStore, "the store does not answer")
+	unavailable.Err, unavailable.RetryAfter = err, clientRetryAfter
+	return unavailable
 }
 
-// Cancel records a cancellation and tells the owner.
+// Cancel stores a cancellation, with retries until the context ends, and notifies the
+// owner.
 func (e *Entry) Cancel(ctx context.Context, id core.JobID) error {
 	return e.track("cancel", id, func() (string, error) {
 		for {
 			err := e.records.Cancel(ctx, id, time.Now())
-			var r *core.RefusalError
+			var refusal *core.RefusalError
 			if err == nil {
 				e.link.Cancelled(id)
 				return "cancelled", nil
 			}
-			if errors.As(err, &r) {
+			if errors.As(err, &refusal) {
 				return "", err
 			}
 			if !clock.Sleep(ctx, cancelRetryDelay) {
@@ -341,9 +360,9 @@
 		var err error
 		n, known, err = e.link.Pending(ctx, q)
 		if err != nil || !known {
-			r := core.Refuse(core.CodeOwner, "no owner answers at present")
-			r.Err, r.RetryAfter = err, clientRetryAfter
-			return "", r
+			refusal := core.Refuse(core.CodeOwner, "no owner answers at present")
+			refusal.Err, refusal.RetryAfter = err, clientRetryAfter
+			return "", refusal
 		}
 		return "owner", nil
 	})
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -19,35 +19,38 @@
 	"chicoryturn/io/entry"
 )
 
-// fakeDeps stands for the store, the owner, the placement policy and the metrics.
+// fakeDeps is a fake of the store, the owner, the advisor and the metrics.
 type fakeDeps struct {
+	// accepted holds the stored jobs, notified the jobs of which the owner was notified.
 	accepted     []core.JobID
 	notified     []core.JobID
 	storedStates map[core.JobID]jobs.State
-	// connected is set while the owner answers, knows what it knows of.
+	// connected is set if the owner answers; ownerStates holds the jobs that it has.
 	connected   bool
 	ownerStates map[core.JobID]jobs.State
-	err         error
-	requests    []fleet.AdviceRequest
-	// firstEpochs are the owners that the accepted jobs name.
+	// err is returned by all calls of the store.
+	err      error
+	requests []fleet.AdviceRequest
+	// firstEpochs are the first epochs of the accepted jobs.
 	firstEpochs []core.Epoch
-	// delay is that of calls to the placement policy.
+	// delay is how long a new advice request would wait.
 	delay time.Duration
-	// unreachable is set while the store cannot be reached.
+	// unreachable is set if the store cannot be reached.
 	unreachable bool
 }
 
-func (o *fakeDeps) Accept(_ context.Context, s jobs.Spec) (jobs.Spec, error) {
-	if o.err == nil {
-		o.accepted = append(o.accepted, s.ID)
-		o.firstEpochs = append(o.firstEpochs, s.FirstEpoch)
+func (d *fakeDeps) Accept(_ context.Context, s jobs.Spec) (jobs.Spec, error) {
+	if d.err == nil {
+		d.accepted = append(d.accepted, s.ID)
+		d.firstEpochs = append(d.firstEpochs, s.FirstEpoch)
 	}
-	return s, o.err
+	return s, d.err
 }
 
-func (o *fakeDeps) Cancel(context.Context, core.JobID, time.Time) error { return o.err }
+func (d *fakeDeps) Cancel(context.Context, core.JobID, time.Time) error { return d.err }
 
-// fakeRecords answers questions about jobs, as the store does.
+// fakeRecords is the store of fakeDeps. It returns the state of jobs as the store has
+// it, while fakeDeps itself returns it as the owner has it.
 type fakeRecords struct{ *fakeDeps }
 
 func (r fakeRecords) State(_ context.Context, id core.JobID) (jobs.State, error) {
@@ -60,49 +63,51 @@
 	return "", core.Refuse(core.CodeNoJob, "no job")
 }
 
-func (o *fakeDeps) Accepted(s jobs.Spec, _ bool) { o.notified = append(o.notified, s.ID) }
+func (d *fakeDeps) Accepted(s jobs.Spec, _ bool) { d.notified = append(d.notified, s.ID) }
 
-func (o *fakeDeps) Advised(advice.Result) {}
+func (d *fakeDeps) Advised(advice.Result) {}
 
-func (o *fakeDeps) Connected() bool { return o.connected }
+func (d *fakeDeps) Connected() bool { return d.connected }
 
-func (o *fakeDeps) Unreachable() bool { return o.unreachable }
+func (d *fakeDeps) Unreachable() bool { return d.unreachable }
 
-func (o *fakeDeps) Cancelled(id core.JobID) { o.notified = append(o.notified, id) }
+func (d *fakeDeps) Cancelled(id core.JobID) { d.notified = append(d.notified, id) }
 
-func (o *fakeDeps) State(_ context.Context, id core.JobID) (jobs.State, bool, error) {
-	if !o.connected {
+func (d *fakeDeps) State(_ context.Context, id core.JobID) (jobs.State, bool, error) {
+	if !d.connected {
 		return "", false, context.DeadlineExceeded
 	}
-	s, ok := o.ownerStates[id]
+	s, ok := d.ownerStates[id]
 	return s, ok, nil
 }
 
-func (o *fakeDeps) Pending(context.Context, core.Queue) (int, bool, error) {
-	return 3, o.connected, nil
+func (d *fakeDeps) Pending(context.Context, core.Queue) (int, bool, error) {
+	return 3, d.connected, nil
 }
 
-func (o *fakeDeps) Request(a fleet.AdviceRequest, then func(advice.Result)) {
-	o.requests = append(o.requests, a)
-	then(advice.Result{Request: a})
+func (d *fakeDeps) Request(r fleet.AdviceRequest, then func(advice.Result)) {
+	d.requests = append(d.requests, r)
+	then(advice.Result{Request: r})
 }
 
-func (o *fakeDeps) Delay() time.Duration { return o.delay }
+func (d *fakeDeps) Delay() time.Duration { return d.delay }
 
-func (o *fakeDeps) Call(string, string, time.Duration) {}
+func (d *fakeDeps) Call(string, string, time.Duration) {}
 
-func newEntry(o *fakeDeps) *entry.Entry {
+func newEntry(deps *fakeDeps) *entry.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return entry.New(fakeRecords{o}, o, o, o, log.WithField("part", "entry"))
+	return entry.New(fakeRecords{deps}, deps, deps, deps, log.WithField("part", "entry"))
 }
 
+// newPolicy returns a configuration with a team that has one key.
 func newPolicy(version core.Version, key string) *policy.Policy {
 	return policy.New(version,
 		[]policy.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s"}, {Name: "deep", Host: "h", Prefix: "/q/deep/", Service: "s", Public: true}},
 		[]policy.Team{{Name: "t", Keys: []string{key}}}, []policy.Service{{Name: "s"}}, 0)
 }
 
+// code returns the code of a RefusalError.
 func code(err error) core.Code {
 	var r *core.RefusalError
 	if errors.As(err, &r) {
@@ -111,12 +116,12 @@
 	return ""
 }
 
-// TestFirstEpoch has rows: the seat as the VM last saw it, and the first owner that
-// may start a job taken then.
+// TestFirstEpoch sets an ownership record and checks the epoch of the first owner that
+// may start a job submitted afterwards.
 func TestFirstEpoch(t *testing.T) {
 	for name, c := range map[string]struct {
-		seat elect.Record
-		from core.Epoch
+		record elect.Record
+		first  core.Epoch
 	}{
 		"no seat seen":       {elect.Record{}, 1},
 		"an owner":           {elect.Record{Holder: "a/1", Epoch: 3}, 3},
@@ -124,12 +129,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := &fakeDeps{connected: true}
-			e := newEntry(o)
+			deps := &fakeDeps{connected: true}
+			e := newEntry(deps)
 			e.SetPolicy(newPolicy(5, "k"))
-			e.SetOwner(c.seat)
+			e.SetOwner(c.record)
 			is.NoErr(e.Submit(context.Background(), jobs.Spec{ID: "a", Queue: "q", Phases: []jobs.Phase{{Count: 1}}}))
-			is.Equal(o.firstEpochs, []core.Epoch{c.from})
+			is.Equal(deps.firstEpochs, []core.Epoch{c.first})
 		})
 	}
 }
@@ -166,36 +171,36 @@
 		return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s", Room: core.Resources{Cores: cores}}}}
 	}
 	for name, c := range map[string]struct {
-		hosts []fleet.WorkerInfo
-		err   error
-		code  core.Code
+		workers []fleet.WorkerInfo
+		err     error
+		code    core.Code
 	}{
-		"accepted":          {hosts: room(1000)},
+		"accepted":          {workers: room(1000)},
 		"no list yet":       {},
-		"larger than any":   {hosts: room(800), code: core.CodeTooLarge},
-		"the store refuses": {hosts: room(1000), err: core.Refuse(core.CodeStore, "away"), code: core.CodeStore},
+		"larger than any":   {workers: room(800), code: core.CodeTooLarge},
+		"the store refuses": {workers: room(1000), err: core.Refuse(core.CodeStore, "away"), code: core.CodeStore},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := &fakeDeps{err: c.err}
-			e := newEntry(o)
+			deps := &fakeDeps{err: c.err}
+			e := newEntry(deps)
 			e.SetPolicy(newPolicy(1, "k"))
-			if c.hosts != nil {
-				e.SetWorkers(c.hosts)
+			if c.workers != nil {
+				e.SetWorkers(c.workers)
 			}
 			is.Equal(code(e.Submit(context.Background(), spec)), c.code)
-			is.Equal(len(o.notified) == 1, c.code == "") // the owner hears only of what is in the store
+			is.Equal(len(deps.notified) == 1, c.code == "") // the owner must be notified only of stored jobs
 		})
 	}
 }
 
-// TestState asks for jobs that the owner knows, that only the record knows, and
-// that neither does; only the record may say that there is none.
+// TestState reads jobs that the owner knows, that only the store knows, and that neither
+// knows. Only the store may report that a job does not exist.
 func TestState(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	o := &fakeDeps{connected: true, ownerStates: map[core.JobID]jobs.State{"a": jobs.Running}, storedStates: map[core.JobID]jobs.State{"a": jobs.Queued, "b": jobs.Completed}}
-	e := newEntry(o)
+	deps := &fakeDeps{connected: true, ownerStates: map[core.JobID]jobs.State{"a": jobs.Running}, storedStates: map[core.JobID]jobs.State{"a": jobs.Queued, "b": jobs.Completed}}
+	e := newEntry(deps)
 	s, err := e.State(ctx, "a")
 	is.NoErr(err)
 	is.Equal(s, jobs.Running)
@@ -204,26 +209,26 @@
 	is.Equal(s, jobs.Completed)
 	_, err = e.State(ctx, "c")
 	is.Equal(code(err), core.CodeNoJob)
-	o.connected = false
+	deps.connected = false
 	s, err = e.State(ctx, "a")
 	is.NoErr(err)
 	is.Equal(s, jobs.Queued)
 	_, err = e.Pending(ctx, "q")
 	is.Equal(code(err), core.CodeOwner)
-	o.err = context.DeadlineExceeded
+	deps.err = context.DeadlineExceeded
 	_, err = e.State(ctx, "c")
-	is.Equal(code(err), core.CodeStore) // unsure is not "none"
+	is.Equal(code(err), core.CodeStore) // a failed read must not report that the job does not exist
 }
 
-// TestReadyWhileUnreachable tells the balancer to send clients elsewhere only if this
-// VM reaches neither the store nor another VM.
+// TestReadyWhileUnreachable checks that a VM is not ready only if it can reach neither
+// the store nor another VM.
 func TestReadyWhileUnreachable(t *testing.T) {
 	is := is.New(t)
-	for _, c := range []struct{ away, linked, ready bool }{
+	for _, c := range []struct{ unreachable, connected, ready bool }{
 		{false, true, true}, {false, false, true}, {true, true, true}, {true, false, false},
 	} {
-		o := &fakeDeps{unreachable: c.away, connected: c.linked}
-		e := newEntry(o)
+		deps := &fakeDeps{unreachable: c.unreachable, connected: c.connected}
+		e := newEntry(deps)
 		e.SetPolicy(newPolicy(1, "k"))
 		is.Equal(e.Ready(), c.ready)
 	}
