--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -29,7 +29,7 @@
 	// maxEarlyDelay is the longest time that such a request may wait behind other
 	// requests of this VM. The owner reaches an idle VM in about that time.
 	maxEarlyDelay = 30 * time.Millisecond
-	// clientRetryAfter is the retry delay that refused clients are told.
+	// clientRetryAfter is the delay after which refused clients should retry.
 	clientRetryAfter = time.Second
 	// cancelRetryDelay is the time before a failed write of a cancellation is retried.
 	cancelRetryDelay = 100 * time.Millisecond
@@ -50,9 +50,9 @@
 // OwnerLink connects the VM to the owner.
 type OwnerLink interface {
 	// Accepted notifies the owner of a stored job. AdvicePending reports that this VM
-	// has an advice request for the job's first phase in flight; Advised follows with
-	// its result.
+	// has an advice request for the job's first phase in flight.
 	Accepted(spec jobs.Spec, advicePending bool)
+	// Advised sends the result of that request to the owner.
 	Advised(r advice.Result)
 	// Cancelled notifies the owner of a stored cancellation.
 	Cancelled(id core.JobID)
@@ -102,7 +102,7 @@
 	inFlight atomic.Int64
 }
 
-// roomHint names the workers that had free room when the owner sent it.
+// roomHint names the workers that had room when the owner sent it.
 type roomHint struct {
 	workers    core.Set[core.WorkerID]
 	receivedAt time.Time
@@ -158,7 +158,7 @@
 	e.maxRoom.Store(&maxRoom)
 }
 
-// Drain makes Ready report false.
+// Drain makes Ready report false, so that clients are sent to other VMs.
 func (e *Entry) Drain() { e.draining.Store(true) }
 
 // InFlight returns the number of calls that have not been answered.
@@ -320,7 +320,8 @@
 	return state, err
 }
 
-// refuseUnavailable returns a refusal for an error of the store that is not one.
+// refuseUnavailable wraps an error of the store in a refusal. It returns refusals
+// unchanged.
 func (e *Entry) refuseUnavailable(err error) error {
 	var refusal *core.RefusalError
 	if err == nil || errors.As(err, &refusal) {
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -123,9 +123,9 @@
 		record elect.Record
 		first  core.Epoch
 	}{
-		"no seat seen":       {elect.Record{}, 1},
-		"an owner":           {elect.Record{Holder: "a/1", Epoch: 3}, 3},
-		"an owner that left": {elect.Record{Epoch: 3}, 4},
+		"no record seen":         {elect.Record{}, 1},
+		"an owner":               {elect.Record{Holder: "a/1", Epoch: 3}, 3},
+		"an owner that resigned": {elect.Record{Epoch: 3}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/io/owner/orders.go
+++ b/io/owner/orders.go
@@ -54,7 +54,7 @@
 			return
 		}
 		if err != nil {
-			o.log.WithError(err).WithFields(logrus.Fields{"worker": ord.Worker, "order": callNames[ord.Kind], "reply": r.String()}).Warn("order failed")
+			o.log.WithError(err).WithFields(logrus.Fields{"worker": ord.Worker, "order": callNames[ord.Kind], "reply": r.String()}).Warn("order not confirmed")
 		}
 		switch {
 		case r == fleet.ReplyFenced:
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -47,7 +47,8 @@
 	tickDelay = 6 * time.Millisecond
 )
 
-// RecordStore reads and writes the rows of the fleet.
+// RecordStore reads and writes the stored state of the fleet. Package record describes
+// its methods.
 type RecordStore interface {
 	OwnerRecord(ctx context.Context) (elect.Observation, error)
 	Write(ctx context.Context, r record.OwnerWrite) (table.Done, error)
@@ -65,8 +66,8 @@
 
 // WorkerLister lists the workers that the platform knows.
 type WorkerLister interface {
-	// Workers returns the workers and one error for each list entry that could not
-	// be parsed.
+	// Workers returns the workers and one error for each list entry that describes no
+	// usable worker.
 	Workers(ctx context.Context) (workers []fleet.WorkerInfo, skipped []error, err error)
 }
 
@@ -111,11 +112,14 @@
 	// onWorkers is called with each new worker list.
 	onWorkers func([]fleet.WorkerInfo)
 	// workerList is the last worker list, workerListAt the time of its arrival.
-	workerList   []fleet.WorkerInfo
+	workerList []fleet.WorkerInfo
+	// absence tracks workers that the platform no longer lists, also while another
+	// process owns the fleet.
 	absence      *fleet.AbsenceTracker
 	workerListAt time.Time
 
-	// At most one call of each kind is in flight.
+	// At most one call of each kind is in flight. The next one starts no earlier than
+	// its time below.
 	recordReadInFlight, recordWriteInFlight, workersReadInFlight, changesReadInFlight, snapshotLoadInFlight bool
 	nextRecordRead, nextWorkersRead, nextChangesRead                                                        time.Time
 	nextWrite, nextTick, nextHint                                                                           time.Time
--- a/io/owner/peers.go
+++ b/io/owner/peers.go
@@ -34,7 +34,7 @@
 	// RequestAdvice makes the VM send a request to the advisor. The VM reports the
 	// result with Owner.AdviceReceived.
 	RequestAdvice(r fleet.AdviceRequest)
-	// RoomHint sends the workers with free room to the VM, which uses them in
+	// RoomHint sends the workers with room to the VM, which uses them in
 	// requests for the jobs that it accepts.
 	RoomHint(ids []core.WorkerID)
 	// OwnerResigned notifies the VM that the owner has released the ownership record.
@@ -194,7 +194,7 @@
 	})
 }
 
-// sendRoomHint sends the workers with free room to all VMs, once per
+// sendRoomHint sends the workers with room to all VMs, once per
 // fleet.RoomHintInterval.
 func (o *Owner) sendRoomHint(now time.Time) {
 	if now.Before(o.nextHint) {
--- a/io/record/accept.go
+++ b/io/record/accept.go
@@ -32,11 +32,11 @@
 	ctx  context.Context
 	spec jobs.Spec
 	put  table.Put
-	// maybeStored is set after a write of the job had no answer. That write may still
-	// take effect until a later write has found the row.
+	// maybeStored is set when a write of the job has had no answer. That write may
+	// still take effect until a later write has found the row.
 	maybeStored bool
 	queuedAt    time.Time
-	// answered is set once the caller has its answer, which result carries.
+	// answered is set when the answer has been sent on result.
 	answered atomic.Bool
 	result   chan acceptResult
 }
--- a/io/record/store.go
+++ b/io/record/store.go
@@ -35,6 +35,7 @@
 	cancelSuffix = "/cancel"
 	// fleetPart is the partition of all rows that an owner writes.
 	fleetPart = "fleet"
+	// ownerName is the name of the row of the ownership record.
 	ownerName = "seat"
 	// rosterName is the prefix of the names of the roster's rows. Each row holds
 	// rosterPageSize workers, since the value of a row is limited to 64 KiB.
@@ -47,8 +48,8 @@
 	// long when the store is slow. Even then 256 partitions accept 400 jobs a second
 	// if each comes from a different VM and needs its own transaction.
 	jobParts = 256
-	// clientRetryAfter is the retry delay that refused clients are told. It is short
-	// because a retry may go through another VM, and most network partitions leave
+	// clientRetryAfter is the delay after which refused clients should retry. It is
+	// short because a retry may go through another VM, and most network partitions leave
 	// some VMs connected to the store.
 	clientRetryAfter = time.Second
 	// maxParallelReads bounds the partitions that are read in parallel.
@@ -84,7 +85,8 @@
 // Option configures a Store.
 type Option func(*Store)
 
-// WithReach makes calls of clients fail at once while the table cannot be reached.
+// WithReach makes Accept and State refuse calls at once while the table cannot be
+// reached.
 func WithReach(r Reachability) Option { return func(s *Store) { s.reachability = r } }
 
 // New returns a Store on a table. Accept needs Run in another goroutine.
@@ -100,7 +102,7 @@
 func (s *Store) Unreachable() bool { return s.reachability != nil && s.reachability.Unreachable() }
 
 // unreachableError returns the refusal of a call while the table cannot be reached.
-// Clients can retry through other VMs at once, which is faster than waiting.
+// Clients can retry through another VM instead of waiting for the table.
 func (s *Store) unreachableError() *core.RefusalError {
 	r := core.Refuse(core.CodeStore, "this VM does not reach the store")
 	r.RetryAfter = clientRetryAfter
@@ -361,9 +363,9 @@
 	s.Progress[p.Job] = p
 }
 
-// scan calls each for all rows of a range, page by page. It returns the version of the
+// scan calls add with each row of a range, page by page. It returns the version of the
 // first page, after which the feed holds every change that the scan may have missed.
-func (s *Store) scan(ctx context.Context, in table.Range, each func(table.Row)) (uint64, error) {
+func (s *Store) scan(ctx context.Context, in table.Range, add func(table.Row)) (uint64, error) {
 	first := uint64(0)
 	for {
 		p, err := s.client.Read(ctx, in)
@@ -374,7 +376,7 @@
 			first = p.Version
 		}
 		for _, r := range p.Rows {
-			each(r)
+			add(r)
 		}
 		if !p.More || len(p.Rows) == 0 {
 			return first, nil
