--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -19,90 +19,95 @@
 	"chicoryturn/io/entry"
 )
 
-// outside stands for the store, the owner, the placement policy and the metrics.
-type outside struct {
-	accepted []core.JobID
-	told     []core.JobID
-	states   map[core.JobID]jobs.State
-	// linked is set while the owner answers, knows what it knows of.
-	linked bool
-	knows  map[core.JobID]jobs.State
-	err    error
-	asks   []fleet.AdviceRequest
-	// from are the owners that the accepted jobs name.
-	from []core.Epoch
-	// delay is that of calls to the placement policy.
+// fakeDeps is a fake of the store, the owner, the advisor and the metrics.
+type fakeDeps struct {
+	// accepted holds the stored jobs, notified the jobs of which the owner was notified.
+	accepted     []core.JobID
+	notified     []core.JobID
+	storedStates map[core.JobID]jobs.State
+	// connected is set if the owner answers; ownerStates holds the jobs that it has.
+	connected   bool
+	ownerStates map[core.JobID]jobs.State
+	// err is returned by all calls of the store.
+	err      error
+	requests []fleet.AdviceRequest
+	// firstEpochs are the first epochs of the accepted jobs.
+	firstEpochs []core.Epoch
+	// delay is how long a new advice request would wait.
 	delay time.Duration
-	// away is set while the store cannot be reached.
-	away bool
+	// unreachable is set if the store cannot be reached.
+	unreachable bool
 }
 
-func (o *outside) Accept(_ context.Context, s jobs.Spec) (jobs.Spec, error) {
-	if o.err == nil {
-		o.accepted = append(o.accepted, s.ID)
-		o.from = append(o.from, s.FirstEpoch)
+func (d *fakeDeps) Accept(_ context.Context, s jobs.Spec) (jobs.Spec, error) {
+	if d.err == nil {
+		d.accepted = append(d.accepted, s.ID)
+		d.firstEpochs = append(d.firstEpochs, s.FirstEpoch)
 	}
-	return s, o.err
+	return s, d.err
 }
 
-func (o *outside) Cancel(context.Context, core.JobID, time.Time) error { return o.err }
+func (d *fakeDeps) Cancel(context.Context, core.JobID, time.Time) error { return d.err }
 
-// record answers questions about jobs, as the store does.
-type record struct{ *outside }
+// fakeRecords is the store of fakeDeps. It returns the state of jobs as the store has
+// it, while fakeDeps itself returns it as the owner has it.
+type fakeRecords struct{ *fakeDeps }
 
-func (r record) State(_ context.Context, id core.JobID) (jobs.State, error) {
+func (r fakeRecords) State(_ context.Context, id core.JobID) (jobs.State, error) {
 	if r.err != nil {
 		return "", r.err
 	}
-	if s, ok := r.states[id]; ok {
+	if s, ok := r.storedStates[id]; ok {
 		return s, nil
 	}
 	return "", core.Refuse(core.CodeNoJob, "no job")
 }
 
-func (o *outside) Accepted(s jobs.Spec, _ bool) { o.told = append(o.told, s.ID) }
+func (d *fakeDeps) Accepted(s jobs.Spec, _ bool) { d.notified = append(d.notified, s.ID) }
 
-func (o *outside) Advised(advice.Result) {}
+func (d *fakeDeps) Advised(advice.Result) {}
 
-func (o *outside) Connected() bool { return o.linked }
+func (d *fakeDeps) Connected() bool { return d.connected }
 
-func (o *outside) Unreachable() bool { return o.away }
+func (d *fakeDeps) Unreachable() bool { return d.unreachable }
 
-func (o *outside) Cancelled(id core.JobID) { o.told = append(o.told, id) }
+func (d *fakeDeps) Cancelled(id core.JobID) { d.notified = append(d.notified, id) }
 
-func (o *outside) State(_ context.Context, id core.JobID) (jobs.State, bool, error) {
-	if !o.linked {
+func (d *fakeDeps) State(_ context.Context, id core.JobID) (jobs.State, bool, error) {
+	if !d.connected {
 		return "", false, context.DeadlineExceeded
 	}
-	s, ok := o.knows[id]
+	s, ok := d.ownerStates[id]
 	return s, ok, nil
 }
 
-func (o *outside) Pending(context.Context, core.Queue) (int, bool, error) {
-	return 3, o.linked, nil
+func (d *fakeDeps) Pending(context.Context, core.Queue) (int, bool, error) {
+	return 3, d.connected, nil
 }
 
-func (o *outside) Request(a fleet.AdviceRequest, then func(advice.Result)) {
-	o.asks = append(o.asks, a)
-	then(advice.Result{Request: a})
+func (d *fakeDeps) Request(r fleet.AdviceRequest, then func(advice.Result)) {
+	d.requests = append(d.requests, r)
+	then(advice.Result{Request: r})
 }
 
-func (o *outside) Delay() time.Duration { return o.delay }
+func (d *fakeDeps) Delay() time.Duration { return d.delay }
 
-func (o *outside) Call(string, string, time.Duration) {}
+func (d *fakeDeps) Call(string, string, time.Duration) {}
 
-func newEntry(o *outside) *entry.Entry {
+func newEntry(deps *fakeDeps) *entry.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return entry.New(record{o}, o, o, o, log.WithField("part", "entry"))
+	return entry.New(fakeRecords{deps}, deps, deps, deps, log.WithField("part", "entry"))
 }
 
-func rules(version core.Version, key string) *policy.Policy {
+// newPolicy returns a configuration with a team that has one key.
+func newPolicy(version core.Version, key string) *policy.Policy {
 	return policy.New(version,
 		[]policy.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s"}, {Name: "deep", Host: "h", Prefix: "/q/deep/", Service: "s", Public: true}},
 		[]policy.Team{{Name: "t", Keys: []string{key}}}, []policy.Service{{Name: "s"}}, 0)
 }
 
+// code returns the code of a RefusalError.
 func code(err error) core.Code {
 	var r *core.RefusalError
 	if errors.As(err, &r) {
@@ -111,36 +116,36 @@
 	return ""
 }
 
-// TestFirstOwner has rows: the seat as the VM last saw it, and the first owner that
-// may start a job taken then.
-func TestFirstOwner(t *testing.T) {
+// TestFirstEpoch sets an ownership record and checks the epoch of the first owner that
+// may start a job submitted afterwards.
+func TestFirstEpoch(t *testing.T) {
 	for name, c := range map[string]struct {
-		seat elect.Record
-		from core.Epoch
+		record elect.Record
+		first  core.Epoch
 	}{
-		"no seat seen":       {elect.Record{}, 1},
-		"an owner":           {elect.Record{Holder: "a/1", Epoch: 3}, 3},
-		"an owner that left": {elect.Record{Epoch: 3}, 4},
+		"no record seen":         {elect.Record{}, 1},
+		"an owner":               {elect.Record{Holder: "a/1", Epoch: 3}, 3},
+		"an owner that resigned": {elect.Record{Epoch: 3}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := &outside{linked: true}
-			e := newEntry(o)
-			e.SetPolicy(rules(5, "k"))
-			e.SetOwner(c.seat)
+			deps := &fakeDeps{connected: true}
+			e := newEntry(deps)
+			e.SetPolicy(newPolicy(5, "k"))
+			e.SetOwner(c.record)
 			is.NoErr(e.Submit(context.Background(), jobs.Spec{ID: "a", Queue: "q", Phases: []jobs.Phase{{Count: 1}}}))
-			is.Equal(o.from, []core.Epoch{c.from})
+			is.Equal(deps.firstEpochs, []core.Epoch{c.first})
 		})
 	}
 }
 
 func TestVisit(t *testing.T) {
 	is := is.New(t)
-	e := newEntry(&outside{})
+	e := newEntry(&fakeDeps{})
 	_, _, _, err := e.Visit("h", "/q/1", "k")
 	is.Equal(code(err), core.CodeConfig)
 	is.True(!e.Ready())
-	e.SetPolicy(rules(5, "k"))
+	e.SetPolicy(newPolicy(5, "k"))
 	is.True(e.Ready())
 	q, team, rest, err := e.Visit("h:80", "/q/1", "k")
 	is.NoErr(err)
@@ -155,7 +160,7 @@
 	is.Equal(code(err), core.CodeBadKey)
 	_, _, _, err = e.Visit("other", "/q/1", "k")
 	is.Equal(code(err), core.CodeNoQueue)
-	e.SetPolicy(rules(4, "old")) // an older one changes nothing
+	e.SetPolicy(newPolicy(4, "old")) // an older one changes nothing
 	_, _, _, err = e.Visit("h", "/q/1", "old")
 	is.Equal(code(err), core.CodeBadKey)
 }
@@ -166,36 +171,36 @@
 		return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s", Room: core.Resources{Cores: cores}}}}
 	}
 	for name, c := range map[string]struct {
-		hosts []fleet.WorkerInfo
-		err   error
-		code  core.Code
+		workers []fleet.WorkerInfo
+		err     error
+		code    core.Code
 	}{
-		"accepted":          {hosts: room(1000)},
+		"accepted":          {workers: room(1000)},
 		"no list yet":       {},
-		"larger than any":   {hosts: room(800), code: core.CodeTooLarge},
-		"the store refuses": {hosts: room(1000), err: core.Refuse(core.CodeStore, "away"), code: core.CodeStore},
+		"larger than any":   {workers: room(800), code: core.CodeTooLarge},
+		"the store refuses": {workers: room(1000), err: core.Refuse(core.CodeStore, "away"), code: core.CodeStore},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := &outside{err: c.err}
-			e := newEntry(o)
-			e.SetPolicy(rules(1, "k"))
-			if c.hosts != nil {
-				e.SetWorkers(c.hosts)
+			deps := &fakeDeps{err: c.err}
+			e := newEntry(deps)
+			e.SetPolicy(newPolicy(1, "k"))
+			if c.workers != nil {
+				e.SetWorkers(c.workers)
 			}
 			is.Equal(code(e.Submit(context.Background(), spec)), c.code)
-			is.Equal(len(o.told) == 1, c.code == "") // the owner hears only of what is in the store
+			is.Equal(len(deps.notified) == 1, c.code == "") // the owner must be notified only of stored jobs
 		})
 	}
 }
 
-// TestState asks for jobs that the owner knows, that only the record knows, and
-// that neither does; only the record may say that there is none.
+// TestState reads jobs that the owner knows, that only the store knows, and that neither
+// knows. Only the store may report that a job does not exist.
 func TestState(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	o := &outside{linked: true, knows: map[core.JobID]jobs.State{"a": jobs.Running}, states: map[core.JobID]jobs.State{"a": jobs.Queued, "b": jobs.Completed}}
-	e := newEntry(o)
+	deps := &fakeDeps{connected: true, ownerStates: map[core.JobID]jobs.State{"a": jobs.Running}, storedStates: map[core.JobID]jobs.State{"a": jobs.Queued, "b": jobs.Completed}}
+	e := newEntry(deps)
 	s, err := e.State(ctx, "a")
 	is.NoErr(err)
 	is.Equal(s, jobs.Running)
@@ -204,27 +209,27 @@
 	is.Equal(s, jobs.Completed)
 	_, err = e.State(ctx, "c")
 	is.Equal(code(err), core.CodeNoJob)
-	o.linked = false
+	deps.connected = false
 	s, err = e.State(ctx, "a")
 	is.NoErr(err)
 	is.Equal(s, jobs.Queued)
 	_, err = e.Pending(ctx, "q")
 	is.Equal(code(err), core.CodeOwner)
-	o.err = context.DeadlineExceeded
+	deps.err = context.DeadlineExceeded
 	_, err = e.State(ctx, "c")
-	is.Equal(code(err), core.CodeStore) // unsure is not "none"
+	is.Equal(code(err), core.CodeStore) // a failed read must not report that the job does not exist
 }
 
-// TestReadyWhileCutOff tells the balancer to send clients elsewhere only if this
-// VM reaches neither the store nor another VM.
-func TestReadyWhileCutOff(t *testing.T) {
+// TestReadyWhileUnreachable checks that a VM is not ready only if it can reach neither
+// the store nor another VM.
+func TestReadyWhileUnreachable(t *testing.T) {
 	is := is.New(t)
-	for _, c := range []struct{ away, linked, ready bool }{
+	for _, c := range []struct{ unreachable, connected, ready bool }{
 		{false, true, true}, {false, false, true}, {true, true, true}, {true, false, false},
 	} {
-		o := &outside{away: c.away, linked: c.linked}
-		e := newEntry(o)
-		e.SetPolicy(rules(1, "k"))
+		deps := &fakeDeps{unreachable: c.unreachable, connected: c.connected}
+		e := newEntry(deps)
+		e.SetPolicy(newPolicy(1, "k"))
 		is.Equal(e.Ready(), c.ready)
 	}
 }
--- a/io/owner/dump.go
+++ b/io/owner/dump.go
@@ -8,28 +8,28 @@
 	"chicoryturn/core/fleet"
 )
 
-// Dump is the control state for people.
+// Dump is the control state as operators read it.
 type Dump struct {
-	State   string
-	Record  elect.Record `json:"Seat"`
-	Version uint64
-	Leaving bool
-	// AdviceLoad is the expected length of the calls for advice that each VM has
-	// not answered.
+	State    string
+	Record   elect.Record `json:"Seat"`
+	Version  uint64
+	Draining bool `json:"Leaving"`
+	// AdviceLoad is the expected duration of the advice requests in flight on each
+	// VM.
 	AdviceLoad map[string]string `json:"Calls"`
 	Scheduler  *fleet.Dump       `json:"Board,omitempty"`
 }
 
 // Dump returns the control state.
 func (o *Owner) Dump(ctx context.Context) (Dump, error) {
-	return ask(ctx, o, func(o *Owner, _ time.Time) Dump {
-		d := Dump{State: o.reign.State(), Leaving: o.leaving, AdviceLoad: map[string]string{}}
-		d.Record, d.Version = o.reign.Record()
-		for name, l := range o.peers.byName {
-			d.AdviceLoad[name] = l.load.String()
+	return query(ctx, o, func(o *Owner, _ time.Time) Dump {
+		d := Dump{State: o.election.State(), Draining: o.draining, AdviceLoad: map[string]string{}}
+		d.Record, d.Version = o.election.Record()
+		for name, s := range o.peers.byName {
+			d.AdviceLoad[name] = s.load.String()
 		}
-		if o.board != nil {
-			d.Scheduler = o.board.Dump()
+		if o.scheduler != nil {
+			d.Scheduler = o.scheduler.Dump()
 		}
 		return d
 	})
--- /dev/null
+++ b/io/owner/election.go
@@ -0,0 +1,378 @@
+package owner
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"chicoryturn/core"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
+	"chicoryturn/io/clock"
+	"chicoryturn/io/record"
+	"chicoryturn/io/table"
+)
+
+// The claim delay includes claimDelayFactor times the latency of a read of the
+// store, so that the process nearest to the store becomes the owner: each write of
+// an owner takes one such round trip, and loading a snapshot about ten. A slow
+// store must not delay claims by more than maxStoreDelay.
+const (
+	claimDelayFactor = 3
+	maxStoreDelay    = 300 * time.Millisecond
+)
+
+// maxProgressRows bounds the progress rows that one write stores and deletes; with
+// more, the deletes wait for a later write. The platform accepts 100 entries per
+// transaction, which include the ownership record and the roster.
+const maxProgressRows = 80
+
+// isCompacted reports whether the feed of changes has been compacted past the
+// requested version.
+func isCompacted(err error) bool {
+	var compacted *table.CompactedError
+	return errors.As(err, &compacted)
+}
+
+// readRecord reads the ownership record if the next read is due: every
+// elect.ReadInterval while another process holds it, and after a suspension or an
+// unanswered write of this process.
+func (o *Owner) readRecord(now time.Time) {
+	needed := !o.election.IsHolder() || o.election.MustRead() || o.election.Suspended()
+	if o.recordReadInFlight || o.recordWriteInFlight || o.draining || !needed || now.Before(o.nextRecordRead) {
+		return
+	}
+	o.recordReadInFlight = true
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		began := time.Now()
+		obs, err := o.records.OwnerRecord(ctx)
+		took := time.Since(began)
+		return func(o *Owner, now time.Time) {
+			o.recordReadInFlight = false
+			o.nextRecordRead = now.Add(elect.ReadInterval)
+			if err != nil {
+				o.nextRecordRead = now.Add(retryInterval)
+				o.election.ReadFailed(now)
+				o.log.WithError(err).Warn("cannot read the ownership record")
+				return
+			}
+			o.handleObservation(now, obs, took)
+		}
+	})
+}
+
+// handleObservation handles the ownership record as read from the store; took is
+// the latency of the read.
+func (o *Owner) handleObservation(now time.Time, obs elect.Observation, took time.Duration) {
+	wasHolder := o.election.IsHolder()
+	rec := obs.Record
+	o.election.SetClaimDelay(o.claimDelay + min(claimDelayFactor*took, maxStoreDelay))
+	claim := o.election.Observe(now, obs)
+	if wasHolder && !o.election.IsHolder() {
+		o.discardScheduler("another process holds the ownership record")
+	}
+	o.announceOwner()
+	switch {
+	case claim:
+		o.log.WithFields(logrus.Fields{"epoch": rec.Epoch + 1, "last": rec.VM, "version": obs.Version, "took": took.String()}).Info("claiming ownership")
+		o.nextWrite = now
+		o.writeRecord(now)
+	case o.election.Loading() && !wasHolder:
+		o.loadSnapshot()
+	case !o.election.IsHolder() && (rec.Holder == "" || o.election.HolderSuspect()):
+		// The record may be claimed soon: read it again after the shorter interval.
+		o.nextRecordRead = now.Add(retryInterval)
+	}
+}
+
+// announceOwner calls the owner hook if the owner or its epoch has changed.
+func (o *Owner) announceOwner() {
+	rec, _ := o.election.Record()
+	if rec.Holder == o.announcedRecord.Holder && rec.Epoch == o.announcedRecord.Epoch {
+		return
+	}
+	o.announcedRecord = rec
+	o.log.WithFields(logrus.Fields{"epoch": rec.Epoch, "owner": rec.VM}).Info("new owner")
+	o.onOwner(rec, o.election.IsHolder())
+}
+
+// OwnerLost reads the ownership record at once because its holder does not answer.
+// Ended reports that the holder's process has probably ended, so that a claim need
+// not wait until the record expires.
+func (o *Owner) OwnerLost(holder core.SessionID, ended bool) {
+	o.post(func(o *Owner, now time.Time) {
+		o.nextRecordRead = now
+		o.election.MarkSuspect(holder)
+		if ended {
+			o.election.MarkEnded(holder)
+		}
+	})
+}
+
+// OwnerFound removes the suspicion of OwnerLost, since the owner answers.
+func (o *Owner) OwnerFound() {
+	o.post(func(o *Owner, _ time.Time) { o.election.MarkSuspect("") })
+}
+
+// discardScheduler drops the scheduler when the process no longer owns the fleet.
+func (o *Owner) discardScheduler(reason string) {
+	if o.scheduler == nil {
+		return
+	}
+	o.log.WithFields(logrus.Fields{"epoch": o.scheduler.Epoch(), "because": reason}).Warn("no longer the owner")
+	o.scheduler = nil
+	o.rosterToStore, o.rosterVersion, o.progressToDelete = nil, 0, nil
+	o.meter.Own(false)
+	o.peers.resetLoads()
+}
+
+// stepDown ends this process's ownership because a later owner exists.
+func (o *Owner) stepDown(now time.Time, reason string) {
+	o.election.Superseded()
+	o.discardScheduler(reason)
+	o.nextRecordRead = now
+}
+
+// yieldToLaterOwner steps down if a job names a later owner than this one, and
+// reports whether it did. It does so once for each later epoch.
+func (o *Owner) yieldToLaterOwner(now time.Time) bool {
+	later := o.scheduler.LaterEpoch()
+	if later <= o.yieldedToEpoch {
+		return false
+	}
+	o.yieldedToEpoch = later
+	o.stepDown(now, "a job names a later owner")
+	return true
+}
+
+// writeRecord writes the ownership record if a claim or renewal is due or if
+// progress, deletes or a roster wait to be stored. One transaction holds all of them.
+func (o *Owner) writeRecord(now time.Time) {
+	if o.recordWriteInFlight || o.recordReadInFlight || o.draining || o.election.MustRead() || now.Before(o.nextWrite) {
+		return
+	}
+	claiming := o.election.State() == "claiming"
+	if !claiming && !o.election.IsHolder() {
+		return
+	}
+	next, version := o.election.NextRecord(now)
+	write := record.OwnerWrite{Record: next, Version: version}
+	if o.scheduler != nil {
+		write.Progress = o.scheduler.Batch()
+		write.Roster = o.rosterToStore
+		if len(write.Progress)+len(o.progressToDelete) <= maxProgressRows {
+			write.Deletes = o.progressToDelete
+		}
+	}
+	due := claiming || len(write.Progress) > 0 || len(write.Deletes) > 0 || write.Roster != nil || now.Sub(o.lastWrite) >= elect.RenewInterval
+	if !due {
+		return
+	}
+	o.recordWriteInFlight = true
+	epoch, rosterVersion := next.Epoch, o.rosterVersion
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		began := time.Now()
+		done, err := o.records.Write(ctx, write)
+		took := time.Since(began)
+		return func(o *Owner, now time.Time) {
+			o.recordWriteInFlight = false
+			o.meter.Record(len(write.Progress), took)
+			o.handleWrite(now, write, rosterVersion, done, epoch, err)
+		}
+	})
+}
+
+// handleWrite handles the outcome of a write by the owner of an epoch.
+// RosterVersion is the version of the roster in the write.
+func (o *Owner) handleWrite(now time.Time, write record.OwnerWrite, rosterVersion uint64, done table.Done, epoch core.Epoch, err error) {
+	sameEpoch := o.scheduler != nil && o.scheduler.Epoch() == epoch
+	o.nextWrite = now.Add(writeInterval)
+	var conflict *table.ConflictError
+	switch {
+	case err == nil:
+		wasHolder := o.election.IsHolder()
+		o.election.WriteSucceeded(now, write.Record, done.Version, done.Now)
+		o.lastWrite = now
+		o.announceOwner()
+		if !wasHolder && o.election.Loading() {
+			o.loadSnapshot()
+		}
+		if sameEpoch {
+			o.scheduler.BatchStored(now)
+			o.handleRosterStored(write.Roster, rosterVersion)
+			if write.Deletes != nil {
+				o.progressToDelete = nil
+			}
+			o.tickSoon(now)
+		}
+		return
+	case errors.As(err, &conflict):
+		// Either another process holds the ownership record, or an earlier write of
+		// this process, which had no answer, took effect late. Reading the record
+		// shows which.
+		o.log.WithError(err).Warn("ownership record has changed")
+		o.election.WriteUnknown()
+		o.nextRecordRead = now
+	case record.Refused(err):
+		o.log.WithError(err).Warn("store refused the owner's write")
+		o.election.WriteRefused()
+		o.nextWrite = now.Add(retryInterval)
+	default:
+		o.log.WithError(err).Warn("owner's write not confirmed")
+		o.election.WriteUnknown()
+		o.nextRecordRead = now
+		o.nextWrite = now.Add(retryInterval)
+	}
+	if sameEpoch {
+		// Even if the write took effect, writing the same progress again is harmless.
+		o.scheduler.BatchFailed()
+	}
+}
+
+// handleRosterStored handles the write of a roster, nil if the write held none. If
+// the roster has changed since, rosterToStore keeps the newer one.
+func (o *Owner) handleRosterStored(roster []fleet.WorkerInfo, version uint64) {
+	if roster == nil {
+		return
+	}
+	if version == o.rosterVersion {
+		o.rosterToStore = nil
+	}
+	o.scheduler.RosterStored(roster)
+	o.stageRoster()
+}
+
+// loadSnapshot loads all stored rows, after a claim or when the feed of changes has
+// been compacted. It takes seconds on a full store, so one load runs at a time.
+func (o *Owner) loadSnapshot() {
+	if o.snapshotLoadInFlight {
+		return
+	}
+	o.snapshotLoadInFlight = true
+	current, _ := o.election.Record()
+	epoch := current.Epoch
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		began := time.Now()
+		snapshot, err := o.records.Load(ctx)
+		took := time.Since(began)
+		return func(o *Owner, now time.Time) {
+			o.snapshotLoadInFlight = false
+			if !o.election.IsHolder() {
+				return
+			}
+			if current, _ := o.election.Record(); current.Epoch != epoch {
+				o.loadSnapshot()
+				return
+			}
+			if err != nil {
+				o.log.WithError(err).Warn("cannot load the snapshot")
+				o.retryLoad()
+				return
+			}
+			o.handleSnapshot(now, loadedSnapshot{epoch, snapshot, took})
+		}
+	})
+}
+
+// loadedSnapshot is a snapshot that the owner of an epoch has loaded; took is the
+// duration of the load.
+type loadedSnapshot struct {
+	epoch    core.Epoch
+	snapshot *record.Snapshot
+	took     time.Duration
+}
+
+// retryLoad loads the snapshot again after retryInterval.
+func (o *Owner) retryLoad() {
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		if !clock.Sleep(ctx, retryInterval) {
+			return nil
+		}
+		return func(o *Owner, _ time.Time) {
+			if o.election.IsHolder() {
+				o.loadSnapshot()
+			}
+		}
+	})
+}
+
+// handleSnapshot passes a loaded snapshot to the scheduler, which it creates after a
+// claim.
+func (o *Owner) handleSnapshot(now time.Time, loaded loadedSnapshot) {
+	o.unappliedSnapshot = nil
+	epoch, snapshot := loaded.epoch, loaded.snapshot
+	if current, _ := o.election.Record(); !o.election.IsHolder() || current.Epoch != epoch {
+		return
+	}
+	for _, e := range snapshot.RowErrors {
+		o.log.WithError(e).Error("skipping a row that cannot be decoded")
+	}
+	if o.policy == nil {
+		// Nothing can be scheduled without a configuration. The feed of changes
+		// supplies the rows that are written until there is one.
+		o.unappliedSnapshot = &loaded
+		return
+	}
+	if o.scheduler == nil {
+		var opts []fleet.Option
+		if epoch == o.lastOwnedEpoch {
+			opts = append(opts, fleet.WithLostState())
+		}
+		o.scheduler, o.lastOwnedEpoch = fleet.New(now, epoch, o.limits, o.policy, opts...), epoch
+		o.scheduler.Recover(snapshot.Roster, o.absence.Since())
+		o.rosterToStore, o.rosterVersion = nil, 0
+		o.meter.Own(true)
+	}
+	o.scheduler.Load(now, snapshot.Specs, snapshot.Progress)
+	for _, id := range snapshot.Cancelled {
+		o.scheduler.Cancel(now, id)
+	}
+	if o.yieldToLaterOwner(now) {
+		return
+	}
+	if !o.workerListAt.IsZero() {
+		o.scheduler.SetWorkers(now, o.workerList)
+	}
+	o.stageRoster()
+	o.changesVersion = snapshot.Version
+	o.nextWorkersRead, o.nextChangesRead, o.nextTick = now, now, now
+	o.election.StateLoaded()
+	o.log.WithFields(logrus.Fields{"epoch": epoch, "jobs": len(snapshot.Specs), "workers": len(o.workerList), "took": loaded.took.Round(time.Millisecond).String()}).Info("owning the fleet")
+	o.onOwner(o.announcedRecord, true)
+}
+
+// resign releases the ownership record, stores the last progress and closes drained.
+func (o *Owner) resign() {
+	if !o.election.IsHolder() {
+		o.election.Drain()
+		close(o.drained)
+		return
+	}
+	if o.recordWriteInFlight {
+		// The next write needs the version that results from the one in flight.
+		o.async(func(ctx context.Context) func(*Owner, time.Time) {
+			clock.Sleep(ctx, writeInterval)
+			return func(o *Owner, _ time.Time) { o.resign() }
+		})
+		return
+	}
+	vacated, version := o.election.ResignRecord()
+	write := record.OwnerWrite{Record: vacated, Version: version}
+	if o.scheduler != nil {
+		write.Progress = o.scheduler.Batch()
+	}
+	o.recordWriteInFlight = true
+	o.discardScheduler("the process is stopping")
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		_, err := o.records.Write(ctx, write)
+		return func(o *Owner, _ time.Time) {
+			o.recordWriteInFlight = false
+			o.log.WithField("error", err).Info("ownership released")
+			o.election.Drain()
+			o.peers.notifyResigned()
+			close(o.drained)
+		}
+	})
+}
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -1,5 +1,6 @@
-// Package owner runs the control goroutine that owns the fleet's jobs and
-// workers while its process holds the seat, and watches the seat otherwise.
+// Package owner runs the control goroutine that takes part in the leader election
+// of the fleet's owner. While its process holds the ownership record, it schedules
+// the fleet's jobs on the workers; otherwise it watches the record.
 package owner
 
 import (
@@ -20,30 +21,34 @@
 )
 
 const (
-	// hostsPause is the time between two readings of the list of workers. A
-	// leaving worker must get no more work after 2.5 s.
-	hostsPause = 500 * time.Millisecond
-	// newsLeast and newsMost bound the time between two readings of what VMs
-	// have recorded. A VM that reaches the owner tells it at once; while jobs come
-	// from VMs that do not, the store is read more often.
-	newsLeast = 150 * time.Millisecond
-	newsMost  = time.Second
-	// tidyPause is the time between two deletions of ended jobs, tidyMost how many
-	// go at once: ten a second, three times 250,000 a day.
-	tidyPause = 2 * time.Second
-	tidyMost  = 20
-	// keepSlack is added to the time for which ended jobs are kept.
-	keepSlack = 10 * time.Second
-	// recordPause keeps the ends of one moment in one write; each is priced.
-	recordPause = 15 * time.Millisecond
-	// retryPause is the time before a refused write or read is repeated.
-	retryPause = 150 * time.Millisecond
-	// planPause bounds how often placement runs, so that a burst of messages
-	// costs one pass.
-	planPause = 6 * time.Millisecond
+	// workersInterval is the time between two reads of the worker list. A worker
+	// that announces its shutdown must receive no new work after 2.5 s.
+	workersInterval = 500 * time.Millisecond
+	// minChangesInterval and maxChangesInterval bound the time between two reads of
+	// the jobs and cancellations in the store. VMs that are connected to the owner
+	// notify it at once. While reads find jobs from VMs that are not, the interval is
+	// shorter.
+	minChangesInterval = 150 * time.Millisecond
+	maxChangesInterval = time.Second
+	// cleanupInterval is the time between two deletions of ended jobs; cleanupBatch
+	// bounds the jobs of one deletion. Together they allow ten jobs a second, which
+	// is more than three times 250,000 jobs a day.
+	cleanupInterval = 2 * time.Second
+	cleanupBatch    = 20
+	// retentionSlack is added to the retention period of ended jobs.
+	retentionSlack = 10 * time.Second
+	// writeInterval is the shortest time between two writes. It collects runs that
+	// end at the same time into one write, since the platform charges for each write.
+	writeInterval = 15 * time.Millisecond
+	// retryInterval is the time before a failed read or write is retried.
+	retryInterval = 150 * time.Millisecond
+	// tickDelay is the time between a change and the scheduler's tick, so that a
+	// burst of messages leads to one placement pass.
+	tickDelay = 6 * time.Millisecond
 )
 
-// RecordStore is what the owner reads and writes.
+// RecordStore reads and writes the stored state of the fleet. Package record describes
+// its methods.
 type RecordStore interface {
 	OwnerRecord(ctx context.Context) (elect.Observation, error)
 	Write(ctx context.Context, r record.OwnerWrite) (table.Done, error)
@@ -52,19 +57,21 @@
 	Delete(ctx context.Context, ids []core.JobID) error
 }
 
-// WorkerClient carries orders to workers.
+// WorkerClient sends orders to workers.
 type WorkerClient interface {
 	Start(ctx context.Context, o fleet.Order) (fleet.Reply, error)
 	Stop(ctx context.Context, o fleet.Order) (fleet.Reply, error)
 	Heartbeat(ctx context.Context, o fleet.Order) (fleet.RunLists, fleet.Reply, error)
 }
 
-// WorkerLister lists the workers.
+// WorkerLister lists the workers that the platform knows.
 type WorkerLister interface {
-	Workers(ctx context.Context) (hosts []fleet.WorkerInfo, left []error, err error)
+	// Workers returns the workers and one error for each list entry that describes no
+	// usable worker.
+	Workers(ctx context.Context) (workers []fleet.WorkerInfo, skipped []error, err error)
 }
 
-// Meter takes in what operators want to see.
+// Meter records metrics.
 type Meter interface {
 	Counts(c fleet.Counts)
 	Call(kind string, reply string, took time.Duration)
@@ -76,66 +83,79 @@
 // Owner is the control state of one process.
 type Owner struct {
 	loop    *loop.Loop
-	vault   RecordStore
+	records RecordStore
 	workers WorkerClient
-	hosts   WorkerLister
+	lister  WorkerLister
 	meter   Meter
 	log     *logrus.Entry
 
-	reign *elect.Election
-	// patience delays the claims of this process, whatever its way to the store.
-	patience time.Duration
-	limits   fleet.Limits
-	policy   *policy.Policy
-	// board is nil unless the process owns the fleet.
-	board *fleet.Scheduler
-	// reigned is the epoch under which the process last had a board.
-	reigned core.Epoch
-	// heeded is the latest owner named by a job that the process has given way to.
-	// If it holds the seat all the same, the job is at fault.
-	heeded core.Epoch
-	peers  *peers
-	// onSeat is told who owns the fleet, whenever that changes.
-	onSeat   func(s elect.Record, mine bool)
-	lastSeat elect.Record
-	// onHosts is told the workers as last listed.
-	onHosts func([]fleet.WorkerInfo)
-	listed  []fleet.WorkerInfo
-	absence *fleet.AbsenceTracker
-	hostsAt time.Time
-
-	reading, writing, listing, asking, reloading bool
-	nextLook, nextHosts, nextNews                time.Time
-	nextWrite, nextPlan, nextHint                time.Time
-	wroteAt                                      time.Time
-	// unruled is a record that has been read before any configuration was known, nil
-	// if there is none.
-	unruled *reading
-	// nextTidy is when ended jobs are looked for; drops are those whose progress
-	// the next record deletes.
-	nextTidy  time.Time
-	drops     []core.JobID
-	tidying   bool
-	newsAfter uint64
-	newsPause time.Duration
-	// newRoster is the list of workers to be recorded, nil if the record is up
-	// to rosterVersion.
-	newRoster     []fleet.WorkerInfo
+	election *elect.Election
+	// claimDelay is the configured part of the claim delay; the part that depends on
+	// the latency of the store is added to it.
+	claimDelay time.Duration
+	limits     fleet.Limits
+	policy     *policy.Policy
+	// scheduler is nil unless the process owns the fleet.
+	scheduler *fleet.Scheduler
+	// lastOwnedEpoch is the epoch of the last scheduler of this process.
+	lastOwnedEpoch core.Epoch
+	// yieldedToEpoch is the latest epoch, named by a job, for which the process has
+	// stepped down. If the process still holds the ownership record afterwards, the
+	// job is at fault, and the process schedules the other jobs.
+	yieldedToEpoch core.Epoch
+	peers          *peers
+	// onOwner is called when the owner of the fleet changes and when this process
+	// starts to schedule.
+	onOwner func(rec elect.Record, owning bool)
+	// announcedRecord is the ownership record last passed to onOwner.
+	announcedRecord elect.Record
+	// onWorkers is called with each new worker list.
+	onWorkers func([]fleet.WorkerInfo)
+	// workerList is the last worker list, workerListAt the time of its arrival.
+	workerList []fleet.WorkerInfo
+	// absence tracks workers that the platform no longer lists, also while another
+	// process owns the fleet.
+	absence      *fleet.AbsenceTracker
+	workerListAt time.Time
+
+	// At most one call of each kind is in flight. The next one starts no earlier than
+	// its time below.
+	recordReadInFlight, recordWriteInFlight, workersReadInFlight, changesReadInFlight, snapshotLoadInFlight bool
+	nextRecordRead, nextWorkersRead, nextChangesRead                                                        time.Time
+	nextWrite, nextTick, nextHint                                                                           time.Time
+	lastWrite                                                                                               time.Time
+	// unappliedSnapshot is a snapshot that was loaded before the process had a
+	// configuration, or nil.
+	unappliedSnapshot *loadedSnapshot
+	// nextCleanup is the time of the next deletion of ended jobs. The next write
+	// deletes the progress rows of progressToDelete.
+	nextCleanup      time.Time
+	progressToDelete []core.JobID
+	deleteInFlight   bool
+	// changesVersion is the version after which the next read of changes starts.
+	changesVersion  uint64
+	changesInterval time.Duration
+	// rosterToStore is the roster for the next write, nil if the store holds
+	// rosterVersion.
+	rosterToStore []fleet.WorkerInfo
 	rosterVersion uint64
-	leaving       bool
-	left          chan struct{}
+	draining      bool
+	drained       chan struct{}
 }
 
-// Option changes an owner under construction.
+// Option configures an owner.
 type Option func(*Owner)
 
-// WithOwnerHook has a function told who owns the fleet.
-func WithOwnerHook(f func(s elect.Record, mine bool)) Option { return func(o *Owner) { o.onSeat = f } }
+// WithOwnerHook sets a function that is called when the owner of the fleet changes
+// and when this process becomes the owner.
+func WithOwnerHook(f func(rec elect.Record, owning bool)) Option {
+	return func(o *Owner) { o.onOwner = f }
+}
 
-// WithWorkersHook has a function told the workers as last listed.
-func WithWorkersHook(f func([]fleet.WorkerInfo)) Option { return func(o *Owner) { o.onHosts = f } }
+// WithWorkersHook sets a function that is called with each new worker list.
+func WithWorkersHook(f func([]fleet.WorkerInfo)) Option { return func(o *Owner) { o.onWorkers = f } }
 
-// Deps is what the owner reaches.
+// Deps are the external dependencies of an owner.
 type Deps struct {
 	Records RecordStore
 	Workers WorkerClient
@@ -143,14 +163,15 @@
 	Meter   Meter
 }
 
-// New returns the control state of a process that has not read the seat yet.
-// Me is the seat as the process would hold it; patience delays its claims.
-func New(l *loop.Loop, out Deps, me elect.Record, patience time.Duration, limits fleet.Limits, log *logrus.Entry, opts ...Option) *Owner {
+// New returns the control state of a process that has not read the ownership record
+// yet. Self is the record with which the process claims ownership, claimDelay the
+// configured delay of its claims.
+func New(l *loop.Loop, deps Deps, self elect.Record, claimDelay time.Duration, limits fleet.Limits, log *logrus.Entry, opts ...Option) *Owner {
 	o := &Owner{
-		loop: l, vault: out.Records, workers: out.Workers, hosts: out.Lister, meter: out.Meter, log: log, limits: limits,
-		reign: elect.New(me, patience), patience: patience, peers: newPeers(), absence: fleet.NewAbsenceTracker(), newsPause: newsMost,
-		onSeat: func(elect.Record, bool) {}, onHosts: func([]fleet.WorkerInfo) {},
-		left: make(chan struct{}),
+		loop: l, records: deps.Records, workers: deps.Workers, lister: deps.Lister, meter: deps.Meter, log: log, limits: limits,
+		election: elect.New(self, claimDelay), claimDelay: claimDelay, peers: newPeers(), absence: fleet.NewAbsenceTracker(), changesInterval: maxChangesInterval,
+		onOwner: func(elect.Record, bool) {}, onWorkers: func([]fleet.WorkerInfo) {},
+		drained: make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(o)
@@ -158,45 +179,46 @@
 	return o
 }
 
-// Run handles messages until the context ends.
+// Run handles messages until the context of the loop ends.
 func (o *Owner) Run() error { return o.loop.Run(o) }
 
-// Drained is closed once the process has given up the seat after Leave.
-func (o *Owner) Drained() <-chan struct{} { return o.left }
+// Drained returns a channel that is closed when the process has released the
+// ownership record after Drain.
+func (o *Owner) Drained() <-chan struct{} { return o.drained }
 
 // Handle implements loop.Handler.
 func (o *Owner) Handle(now time.Time, m loop.Message) {
-	if t, ok := m.(turn); ok {
-		t.run(o, now)
+	if a, ok := m.(action); ok {
+		a.run(o, now)
 	}
 }
 
-// turn is a message that carries what to do with it.
-type turn interface {
+// action is a message that the control goroutine runs.
+type action interface {
 	loop.Message
 	run(o *Owner, now time.Time)
 }
 
-// do is a turn made of a function.
-type do func(o *Owner, now time.Time)
+// actionFunc is an action that calls a function.
+type actionFunc func(o *Owner, now time.Time)
 
 // Message implements loop.Message.
-func (do) Message() {}
+func (actionFunc) Message() {}
 
-func (d do) run(o *Owner, now time.Time) { d(o, now) }
+func (f actionFunc) run(o *Owner, now time.Time) { f(o, now) }
 
-// post sends a turn from a traffic goroutine.
+// post runs f on the control goroutine; traffic goroutines call it.
 func (o *Owner) post(f func(o *Owner, now time.Time)) {
-	// A stopped loop needs no messages.
-	_ = o.loop.Post(do(f))
+	// The error means that the loop has stopped, and the message is obsolete.
+	_ = o.loop.Post(actionFunc(f))
 }
 
-// call runs I/O on a goroutine of its own and what it returns on the control
-// goroutine.
-func (o *Owner) call(work func(ctx context.Context) func(o *Owner, now time.Time)) {
+// async runs the function work, which does I/O, on a new goroutine and then the
+// function that work returns on the control goroutine.
+func (o *Owner) async(work func(ctx context.Context) func(o *Owner, now time.Time)) {
 	o.loop.Go(func(ctx context.Context) loop.Message {
 		if f := work(ctx); f != nil {
-			return do(f)
+			return actionFunc(f)
 		}
 		return nil
 	})
@@ -204,20 +226,20 @@
 
 // Wake implements loop.Handler.
 func (o *Owner) Wake(now time.Time) time.Time {
-	awake := o.reign.CheckSuspension(clock.BootTime(), clock.Monotonic())
-	o.look(now)
-	o.list(now)
+	running := o.election.CheckSuspension(clock.BootTime(), clock.Monotonic())
+	o.readRecord(now)
+	o.readWorkers(now)
 	next := now.Add(elect.ReadInterval)
-	if o.board != nil && awake && !o.leaving {
-		o.news(now)
-		o.tidy(now)
-		if !now.Before(o.nextPlan) {
-			o.plan(now)
+	if o.scheduler != nil && running && !o.draining {
+		o.readChanges(now)
+		o.deleteExpired(now)
+		if !now.Before(o.nextTick) {
+			o.tick(now)
 		}
-		next = o.nextPlan.Add(time.Millisecond)
+		next = o.nextTick.Add(time.Millisecond)
 	}
-	o.write(now)
-	for _, t := range []time.Time{o.nextLook, o.nextHosts, o.nextWrite} {
+	o.writeRecord(now)
+	for _, t := range []time.Time{o.nextRecordRead, o.nextWorkersRead, o.nextWrite} {
 		if t.After(now) && t.Before(next) {
 			next = t
 		}
@@ -225,265 +247,270 @@
 	return next
 }
 
-// plan lets the board decide and carries out what it has decided.
-func (o *Owner) plan(now time.Time) {
+// tick runs the scheduler and sends its orders, advice requests and room hints.
+func (o *Owner) tick(now time.Time) {
 	began := time.Now()
-	until := o.board.Tick(now)
-	o.dispatch(o.board.Orders())
-	o.advise(now)
-	o.hint(now)
+	until := o.scheduler.Tick(now)
+	o.dispatch(o.scheduler.Orders())
+	o.sendAdviceRequests(now)
+	o.sendRoomHint(now)
 	o.meter.Placement(time.Since(began))
-	o.meter.Counts(o.board.Counts())
-	o.logNotes()
-	o.nextPlan = until
+	o.meter.Counts(o.scheduler.Counts())
+	o.logDecisions()
+	o.nextTick = until
 }
 
-// soon has the board decide shortly.
-func (o *Owner) soon(now time.Time) {
-	if t := now.Add(planPause); o.nextPlan.After(t) {
-		o.nextPlan = t
+// tickSoon schedules the next tick after tickDelay, unless it is due earlier.
+func (o *Owner) tickSoon(now time.Time) {
+	if t := now.Add(tickDelay); o.nextTick.After(t) {
+		o.nextTick = t
 	}
 }
 
-func (o *Owner) logNotes() {
-	for _, n := range o.board.Decisions() {
-		f := logrus.Fields{"job": n.Job}
-		if n.Task != "" {
-			f["task"] = n.Task
+func (o *Owner) logDecisions() {
+	for _, d := range o.scheduler.Decisions() {
+		f := logrus.Fields{"job": d.Job}
+		if d.Task != "" {
+			f["task"] = d.Task
 		}
-		if n.Run > 0 {
-			f["run"], f["worker"] = n.Run, n.Worker
+		if d.Run > 0 {
+			f["run"], f["worker"] = d.Run, d.Worker
 		}
-		if n.Wait > 0 {
-			f["after"] = n.Wait.Round(time.Millisecond).String()
+		if d.Wait > 0 {
+			f["after"] = d.Wait.Round(time.Millisecond).String()
 		}
-		if n.Reason != "" {
-			f["because"] = n.Reason
+		if d.Reason != "" {
+			f["because"] = d.Reason
 		}
-		o.log.WithFields(f).Info(n.Event)
+		o.log.WithFields(f).Info(d.Event)
 	}
-	for _, err := range o.board.Refusals() {
-		o.log.WithError(err).Error("event refused")
+	for _, err := range o.scheduler.Refusals() {
+		o.log.WithError(err).Error("state chart refused an event")
 	}
 }
 
-// list reads the workers when it is time.
-func (o *Owner) list(now time.Time) {
-	if o.listing || now.Before(o.nextHosts) {
+// readWorkers reads the worker list if the next read is due.
+func (o *Owner) readWorkers(now time.Time) {
+	if o.workersReadInFlight || now.Before(o.nextWorkersRead) {
 		return
 	}
-	o.listing = true
-	o.call(func(ctx context.Context) func(*Owner, time.Time) {
-		hosts, left, err := o.hosts.Workers(ctx)
+	o.workersReadInFlight = true
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		workers, skipped, err := o.lister.Workers(ctx)
 		return func(o *Owner, now time.Time) {
-			o.listing = false
-			o.nextHosts = now.Add(o.hostsPause())
+			o.workersReadInFlight = false
+			o.nextWorkersRead = now.Add(o.workersReadDelay())
 			if err != nil {
-				o.log.WithError(err).Warn("list of workers not read")
+				o.log.WithError(err).Warn("cannot read the worker list")
 				return
 			}
-			for _, e := range left {
-				o.log.WithError(e).Warn("worker left out")
+			for _, e := range skipped {
+				o.log.WithError(e).Warn("skipping a worker list entry")
 			}
-			o.listed, o.hostsAt = hosts, now
-			o.absence.Observe(now, hosts)
-			o.onHosts(hosts)
-			if o.board != nil {
-				o.board.SetWorkers(now, hosts)
-				o.checkRoster()
-				o.soon(now)
+			o.workerList, o.workerListAt = workers, now
+			o.absence.Observe(now, workers)
+			o.onWorkers(workers)
+			if o.scheduler != nil {
+				o.scheduler.SetWorkers(now, workers)
+				o.stageRoster()
+				o.tickSoon(now)
 			}
 		}
 	})
 }
 
-// hostsPause is longer on VMs that own nothing: they need the list only to ask
-// for advice.
-func (o *Owner) hostsPause() time.Duration {
-	if o.reign.IsHolder() {
-		return hostsPause
+// workersReadDelay returns the time until the next read of the worker list. It is
+// longer on VMs that do not own the fleet, which need the list only for advice
+// requests.
+func (o *Owner) workersReadDelay() time.Duration {
+	if o.election.IsHolder() {
+		return workersInterval
 	}
-	return 4 * hostsPause
+	return 4 * workersInterval
 }
 
-// checkRoster has the list of workers recorded when it has changed.
-func (o *Owner) checkRoster() {
-	if v := o.board.RosterVersion(); v != o.rosterVersion {
-		o.rosterVersion, o.newRoster = v, o.board.Roster()
+// stageRoster adds the roster to the next write if it has changed.
+func (o *Owner) stageRoster() {
+	if v := o.scheduler.RosterVersion(); v != o.rosterVersion {
+		o.rosterVersion, o.rosterToStore = v, o.scheduler.Roster()
 	}
 }
 
-// news reads what VMs have recorded when it is time.
-func (o *Owner) news(now time.Time) {
-	if o.asking || o.reloading || now.Before(o.nextNews) {
+// readChanges reads the new jobs and cancellations in the store if the next read is
+// due.
+func (o *Owner) readChanges(now time.Time) {
+	if o.changesReadInFlight || o.snapshotLoadInFlight || now.Before(o.nextChangesRead) {
 		return
 	}
-	o.asking = true
-	after, epoch := o.newsAfter, o.board.Epoch()
-	o.call(func(ctx context.Context) func(*Owner, time.Time) {
-		n, err := o.vault.Changes(ctx, after)
+	o.changesReadInFlight = true
+	after, epoch := o.changesVersion, o.scheduler.Epoch()
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		changes, err := o.records.Changes(ctx, after)
 		return func(o *Owner, now time.Time) {
-			o.asking = false
-			o.nextNews = now.Add(o.newsPause)
-			if o.board == nil || o.board.Epoch() != epoch {
+			o.changesReadInFlight = false
+			o.nextChangesRead = now.Add(o.changesInterval)
+			if o.scheduler == nil || o.scheduler.Epoch() != epoch {
 				return
 			}
-			o.takeNews(now, n, err)
+			o.handleChanges(now, changes, err)
 		}
 	})
 }
 
-func (o *Owner) takeNews(now time.Time, n record.Snapshot, err error) {
+// handleChanges adds new jobs and cancellations to the scheduler. If the feed of
+// changes has been compacted past changesVersion, it loads a whole snapshot.
+func (o *Owner) handleChanges(now time.Time, changes record.Snapshot, err error) {
 	if err != nil {
-		o.log.WithError(err).Warn("news not read")
-		if isTrimmed(err) {
-			o.reload()
+		o.log.WithError(err).Warn("cannot read changes from the store")
+		if isCompacted(err) {
+			o.loadSnapshot()
 		}
 	}
-	o.newsPause = min(2*o.newsPause, newsMost)
-	for _, s := range n.Specs {
-		if o.board.Accept(now, s) {
-			o.newsPause = newsLeast
+	o.changesInterval = min(2*o.changesInterval, maxChangesInterval)
+	for _, s := range changes.Specs {
+		if o.scheduler.Accept(now, s) {
+			o.changesInterval = minChangesInterval
 			o.log.WithFields(logrus.Fields{"job": s.ID, "queue": s.Queue}).Info("job found in the store")
 		}
 	}
-	for _, id := range n.Cancelled {
-		o.board.Cancel(now, id)
+	for _, id := range changes.Cancelled {
+		o.scheduler.Cancel(now, id)
 	}
-	for _, e := range n.Unread {
-		o.log.WithError(e).Error("recorded job left out")
+	for _, e := range changes.RowErrors {
+		o.log.WithError(e).Error("skipping a job row that cannot be decoded")
 	}
-	o.newsAfter = max(o.newsAfter, n.Version)
-	if !o.yields(now) {
-		o.soon(now)
+	o.changesVersion = max(o.changesVersion, changes.Version)
+	if !o.yieldToLaterOwner(now) {
+		o.tickSoon(now)
 	}
 }
 
-// tidy deletes the rows of jobs that ended longer ago than clients may ask for
-// them.
-func (o *Owner) tidy(now time.Time) {
-	if o.tidying || now.Before(o.nextTidy) || len(o.drops) > 0 {
+// deleteExpired deletes the rows of jobs whose retention period after their end has
+// passed.
+func (o *Owner) deleteExpired(now time.Time) {
+	if o.deleteInFlight || now.Before(o.nextCleanup) || len(o.progressToDelete) > 0 {
 		return
 	}
-	o.nextTidy = now.Add(tidyPause)
-	ids := o.board.Expired(now, o.limits.Retention+keepSlack, tidyMost)
+	o.nextCleanup = now.Add(cleanupInterval)
+	ids := o.scheduler.Expired(now, o.limits.Retention+retentionSlack, cleanupBatch)
 	if len(ids) == 0 {
 		return
 	}
-	o.tidying = true
-	epoch := o.board.Epoch()
-	o.call(func(ctx context.Context) func(*Owner, time.Time) {
-		err := o.vault.Delete(ctx, ids)
+	o.deleteInFlight = true
+	epoch := o.scheduler.Epoch()
+	o.async(func(ctx context.Context) func(*Owner, time.Time) {
+		err := o.records.Delete(ctx, ids)
 		return func(o *Owner, _ time.Time) {
-			o.tidying = false
+			o.deleteInFlight = false
 			if err != nil {
-				o.log.WithError(err).WithField("jobs", len(ids)).Warn("ended jobs not deleted; a later owner does")
+				o.log.WithError(err).WithField("jobs", len(ids)).Warn("cannot delete ended jobs; a later owner deletes them")
 				return
 			}
-			if o.board != nil && o.board.Epoch() == epoch {
-				o.drops = ids
+			if o.scheduler != nil && o.scheduler.Epoch() == epoch {
+				o.progressToDelete = ids
 			}
 		}
 	})
 }
 
-// SetPolicy follows a newer configuration.
+// SetPolicy replaces the configuration.
 func (o *Owner) SetPolicy(p *policy.Policy) {
 	o.post(func(o *Owner, now time.Time) {
 		o.policy = p
-		if r := o.unruled; r != nil {
-			o.loaded(now, *r)
+		if r := o.unappliedSnapshot; r != nil {
+			o.handleSnapshot(now, *r)
 		}
-		if o.board != nil {
-			o.board.SetPolicy(p)
-			o.soon(now)
+		if o.scheduler != nil {
+			o.scheduler.SetPolicy(p)
+			o.tickSoon(now)
 		}
 	})
 }
 
-// SetLimits follows changed settings.
+// SetLimits replaces the limits from the settings.
 func (o *Owner) SetLimits(l fleet.Limits) {
 	o.post(func(o *Owner, _ time.Time) {
 		o.limits = l
-		if o.board != nil {
-			o.board.SetLimits(l)
+		if o.scheduler != nil {
+			o.scheduler.SetLimits(l)
 		}
 	})
 }
 
-// Drain gives the seat up and claims it no more.
+// Drain releases the ownership record and ends all claims of this process.
 func (o *Owner) Drain() {
 	o.post(func(o *Owner, _ time.Time) {
-		o.leaving = true
+		o.draining = true
 		o.resign()
 	})
 }
 
-// jobState is the answer to a question about a job.
+// jobState holds the results of State.
 type jobState struct {
-	state jobs.State
-	known bool
-	mine  bool
+	state  jobs.State
+	known  bool
+	owning bool
 }
 
-// State returns how a job is shown. Mine is false unless this process owns the
-// fleet, known is false for a job that it has not heard of.
-func (o *Owner) State(ctx context.Context, id core.JobID) (state jobs.State, known, mine bool, err error) {
-	s, err := ask(ctx, o, func(o *Owner, _ time.Time) jobState {
-		if o.board == nil {
+// State returns the state of a job as clients see it. Owning reports whether this
+// process owns the fleet, known whether its scheduler has the job.
+func (o *Owner) State(ctx context.Context, id core.JobID) (state jobs.State, known, owning bool, err error) {
+	s, err := query(ctx, o, func(o *Owner, _ time.Time) jobState {
+		if o.scheduler == nil {
 			return jobState{}
 		}
-		st, ok := o.board.State(id)
+		st, ok := o.scheduler.State(id)
 		return jobState{st, ok, true}
 	})
-	return s.state, s.known, s.mine, err
+	return s.state, s.known, s.owning, err
 }
 
-// Pending returns the length of a queue; ok is false unless this process owns
-// the fleet.
-func (o *Owner) Pending(ctx context.Context, q core.Queue) (n int, ok bool, err error) {
-	n, err = ask(ctx, o, func(o *Owner, _ time.Time) int {
-		if o.board == nil {
+// Pending returns how many jobs of a queue wait for their first start. Owning
+// reports whether this process owns the fleet.
+func (o *Owner) Pending(ctx context.Context, q core.Queue) (n int, owning bool, err error) {
+	n, err = query(ctx, o, func(o *Owner, _ time.Time) int {
+		if o.scheduler == nil {
 			return -1
 		}
-		return o.board.Pending()[q]
+		return o.scheduler.Pending()[q]
 	})
 	return max(n, 0), n >= 0, err
 }
 
-func ask[R any](ctx context.Context, o *Owner, f func(o *Owner, now time.Time) R) (R, error) {
+// query runs f on the control goroutine and returns its result.
+func query[R any](ctx context.Context, o *Owner, f func(o *Owner, now time.Time) R) (R, error) {
 	return loop.Ask(ctx, o.loop, func(reply chan<- R) loop.Message {
-		return do(func(o *Owner, now time.Time) { reply <- f(o, now) })
+		return actionFunc(func(o *Owner, now time.Time) { reply <- f(o, now) })
 	})
 }
 
-// Accepted takes in a job that is in the store. Asking is the peer that is
-// asking for advice on its first phase; it may be empty.
-func (o *Owner) Accepted(spec jobs.Spec, asking string) {
+// Accepted adds a stored job to the scheduler. Advising names the VM that already
+// has a request for advice on the job's first phase in flight; it may be empty.
+func (o *Owner) Accepted(spec jobs.Spec, advising string) {
 	o.post(func(o *Owner, now time.Time) {
-		if o.board == nil {
+		if o.scheduler == nil {
 			return
 		}
-		o.board.Accept(now, spec)
-		if o.yields(now) {
+		o.scheduler.Accept(now, spec)
+		if o.yieldToLaterOwner(now) {
 			return
 		}
-		if id := (jobs.PhaseID{Job: spec.ID}); asking != "" {
-			cost := o.board.AdvicePending(now, id)
-			if l := o.peers.byName[asking]; l != nil && cost > 0 {
-				l.lend(now, id, cost)
+		if id := (jobs.PhaseID{Job: spec.ID}); advising != "" {
+			cost := o.scheduler.AdvicePending(now, id)
+			if s := o.peers.byName[advising]; s != nil && cost > 0 {
+				s.addRequest(now, id, cost)
 			}
 		}
-		o.soon(now)
+		o.tickSoon(now)
 	})
 }
 
-// Cancelled takes in a cancellation that is in the store.
+// Cancelled cancels a job whose cancellation is stored.
 func (o *Owner) Cancelled(id core.JobID) {
 	o.post(func(o *Owner, now time.Time) {
-		if o.board != nil {
-			o.board.Cancel(now, id)
-			o.soon(now)
+		if o.scheduler != nil {
+			o.scheduler.Cancel(now, id)
+			o.tickSoon(now)
 		}
 	})
 }
--- a/io/owner/owner_test.go
+++ b/io/owner/owner_test.go
@@ -21,28 +21,29 @@
 	"chicoryturn/io/table"
 )
 
-// outside stands for the store and the workers of an owner. The feed of changes
-// has been cut for good, and reading the record takes a while.
-type outside struct {
+// fakeDeps is a fake of the store, the workers and the metrics of an owner. Its feed
+// of changes is always compacted, and loading a snapshot takes 1.3 s.
+type fakeDeps struct {
 	mu sync.Mutex
-	// loads counts the readings of the record, now those under way.
-	loads, now, most int
-	asked            int
+	// loads counts the snapshot loads, loading those in flight, maxLoading the most
+	// that were in flight at once.
+	loads, loading, maxLoading int
+	feedReads                  int
 }
 
-func (*outside) OwnerRecord(context.Context) (elect.Observation, error) {
+func (*fakeDeps) OwnerRecord(context.Context) (elect.Observation, error) {
 	return elect.Observation{}, nil
 }
 
-func (*outside) Write(context.Context, record.OwnerWrite) (table.Done, error) {
+func (*fakeDeps) Write(context.Context, record.OwnerWrite) (table.Done, error) {
 	return table.Done{Version: 1}, nil
 }
 
-func (o *outside) Load(ctx context.Context) (*record.Snapshot, error) {
+func (o *fakeDeps) Load(ctx context.Context) (*record.Snapshot, error) {
 	o.mu.Lock()
 	o.loads++
-	o.now++
-	o.most = max(o.most, o.now)
+	o.loading++
+	o.maxLoading = max(o.maxLoading, o.loading)
 	o.mu.Unlock()
 	select {
 	case <-ctx.Done():
@@ -50,51 +51,51 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.now--
+	o.loading--
 	return &record.Snapshot{}, nil
 }
 
-func (o *outside) Changes(context.Context, uint64) (record.Snapshot, error) {
+func (o *fakeDeps) Changes(context.Context, uint64) (record.Snapshot, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.asked++
+	o.feedReads++
 	return record.Snapshot{}, &table.CompactedError{Version: 1}
 }
 
-func (*outside) Delete(context.Context, []core.JobID) error { return nil }
+func (*fakeDeps) Delete(context.Context, []core.JobID) error { return nil }
 
-func (*outside) Start(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
+func (*fakeDeps) Start(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
 
-func (*outside) Stop(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
+func (*fakeDeps) Stop(context.Context, fleet.Order) (fleet.Reply, error) { return fleet.ReplyOK, nil }
 
-func (*outside) Heartbeat(context.Context, fleet.Order) (fleet.RunLists, fleet.Reply, error) {
+func (*fakeDeps) Heartbeat(context.Context, fleet.Order) (fleet.RunLists, fleet.Reply, error) {
 	return fleet.RunLists{}, fleet.ReplyOK, nil
 }
 
-func (*outside) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) { return nil, nil, nil }
+func (*fakeDeps) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) { return nil, nil, nil }
 
-func (*outside) Counts(fleet.Counts)                {}
-func (*outside) Call(string, string, time.Duration) {}
-func (*outside) Record(int, time.Duration)          {}
-func (*outside) Placement(time.Duration)            {}
-func (*outside) Own(bool)                           {}
+func (*fakeDeps) Counts(fleet.Counts)                {}
+func (*fakeDeps) Call(string, string, time.Duration) {}
+func (*fakeDeps) Record(int, time.Duration)          {}
+func (*fakeDeps) Placement(time.Duration)            {}
+func (*fakeDeps) Own(bool)                           {}
 
-// all is what an owner reaches, by one stand-in.
-type all interface {
+// allDeps combines the dependencies of an owner.
+type allDeps interface {
 	owner.RecordStore
 	owner.WorkerClient
 	owner.WorkerLister
 	owner.Meter
 }
 
-// begin runs an owner until the test ends.
-func begin(t *testing.T, out all, holder core.SessionID, p *policy.Policy) *owner.Owner {
+// startOwner starts an owner that runs until the test ends.
+func startOwner(t *testing.T, deps allDeps, holder core.SessionID, p *policy.Policy) *owner.Owner {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	o := owner.New(loop.New(ctx), owner.Deps{Records: out, Workers: out, Lister: out, Meter: out}, elect.Record{Holder: holder, VM: string(holder)}, 0,
+	o := owner.New(loop.New(ctx), owner.Deps{Records: deps, Workers: deps, Lister: deps, Meter: deps}, elect.Record{Holder: holder, VM: string(holder)}, 0,
 		fleet.Limits{Lease: 6 * time.Second, RemoteFactor: 1}, log.WithField("part", "owner"))
 	go func() { _ = o.Run() }()
 	if p != nil {
@@ -103,169 +104,172 @@
 	return o
 }
 
-// row is the seat's row in a store that several VMs reach.
-type row struct {
+// sharedRow is the ownership record in a store that several processes share.
+type sharedRow struct {
 	mu      sync.Mutex
-	seat    elect.Record
+	record  elect.Record
 	version uint64
 }
 
-// way is how one VM reaches the row, at some distance.
-type way struct {
-	*outside
-	row  *row
-	away time.Duration
+// delayedStore is one process's view of the shared row; its calls take delay.
+type delayedStore struct {
+	*fakeDeps
+	row   *sharedRow
+	delay time.Duration
 }
 
-func (w *way) OwnerRecord(context.Context) (elect.Observation, error) {
-	time.Sleep(w.away)
+func (w *delayedStore) OwnerRecord(context.Context) (elect.Observation, error) {
+	time.Sleep(w.delay)
 	w.row.mu.Lock()
 	defer w.row.mu.Unlock()
-	return elect.Observation{Record: w.row.seat, Version: w.row.version}, nil
+	return elect.Observation{Record: w.row.record, Version: w.row.version}, nil
 }
 
-func (w *way) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
-	time.Sleep(w.away)
+func (w *delayedStore) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
+	time.Sleep(w.delay)
 	w.row.mu.Lock()
 	defer w.row.mu.Unlock()
 	if r.Version != w.row.version {
 		return table.Done{}, &table.ConflictError{}
 	}
-	w.row.seat, w.row.version = r.Record, w.row.version+1
+	w.row.record, w.row.version = r.Record, w.row.version+1
 	return table.Done{Version: w.row.version}, nil
 }
 
-// TestNearestClaims has two VMs find the seat free, the one far from the store a
-// little earlier: the near one, whose records take less time, gets it.
-func TestNearestClaims(t *testing.T) {
+// TestNearestProcessClaims starts two processes while no process holds the ownership
+// record. The near one must claim it, although the far one starts 60 ms earlier,
+// since the claim delay grows with the latency of the store.
+func TestNearestProcessClaims(t *testing.T) {
 	is := is.New(t)
-	r := &row{}
+	r := &sharedRow{}
 	for _, vm := range []struct {
-		name string
-		away time.Duration
+		name  string
+		delay time.Duration
 	}{{"far", 25 * time.Millisecond}, {"near", 2 * time.Millisecond}} {
-		w := &way{outside: &outside{}, row: r, away: vm.away}
-		begin(t, w, core.SessionID(vm.name), nil)
+		w := &delayedStore{fakeDeps: &fakeDeps{}, row: r, delay: vm.delay}
+		startOwner(t, w, core.SessionID(vm.name), nil)
 		time.Sleep(60 * time.Millisecond)
 	}
 	time.Sleep(time.Second)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	is.Equal(r.seat.Holder, core.SessionID("near"))
+	is.Equal(r.record.Holder, core.SessionID("near"))
 }
 
-// TestTrimmedFeed has the feed of changes cut while the owner reads the whole
-// record: one reading runs at a time, and the feed is not asked meanwhile.
-func TestTrimmedFeed(t *testing.T) {
+// TestCompactedFeed compacts the feed of changes while the owner loads a snapshot.
+// One load must run at a time, and the owner must not read the feed during it.
+func TestCompactedFeed(t *testing.T) {
 	is := is.New(t)
-	out := &outside{}
-	begin(t, out, "a", policy.New(1, nil, nil, nil, 0))
+	deps := &fakeDeps{}
+	startOwner(t, deps, "a", policy.New(1, nil, nil, nil, 0))
 	time.Sleep(5 * time.Second)
-	out.mu.Lock()
-	defer out.mu.Unlock()
-	is.True(out.loads >= 2) // after the claim, and after the feed was cut
-	is.Equal(out.most, 1)
-	is.True(out.asked <= out.loads)
+	deps.mu.Lock()
+	defer deps.mu.Unlock()
+	is.True(deps.loads >= 2) // after the claim, and after the feed was compacted
+	is.Equal(deps.maxLoading, 1)
+	is.True(deps.feedReads <= deps.loads)
 }
 
-// calm is a store in which nothing happens.
-type calm struct{ *outside }
+// quietStore is a store whose feed has no changes.
+type quietStore struct{ *fakeDeps }
 
-func (calm) Changes(context.Context, uint64) (record.Snapshot, error) { return record.Snapshot{}, nil }
+func (quietStore) Changes(context.Context, uint64) (record.Snapshot, error) {
+	return record.Snapshot{}, nil
+}
 
-// TestLatePolicy has the configuration come after the record has been read: the
-// owner decides at once, by that reading.
-func TestLatePolicy(t *testing.T) {
+// TestPolicyAfterSnapshot sets the configuration after the snapshot has been loaded.
+// The owner must start to schedule at once, without a second load.
+func TestPolicyAfterSnapshot(t *testing.T) {
 	is := is.New(t)
-	out := &outside{}
-	o := begin(t, calm{out}, "a", nil)
-	time.Sleep(2500 * time.Millisecond) // a claim and one reading
+	deps := &fakeDeps{}
+	o := startOwner(t, quietStore{deps}, "a", nil)
+	time.Sleep(2500 * time.Millisecond) // time for a claim and one load
 	o.SetPolicy(policy.New(1, nil, nil, nil, 0))
 	time.Sleep(100 * time.Millisecond)
-	_, _, mine, err := o.State(t.Context(), "j")
+	_, _, owning, err := o.State(t.Context(), "j")
 	is.NoErr(err)
-	is.True(mine)
-	out.mu.Lock()
-	defer out.mu.Unlock()
-	is.Equal(out.loads, 1)
+	is.True(owning)
+	deps.mu.Lock()
+	defer deps.mu.Unlock()
+	is.Equal(deps.loads, 1)
 }
 
-// lagging is a store whose feed names a job of a later owner, while the row still
-// names this one.
-type lagging struct {
-	*outside
-	mu   sync.Mutex
-	seat elect.Record
+// laggingStore is a store whose feed holds a job of epoch 2 while the ownership record
+// still names the owner of epoch 1.
+type laggingStore struct {
+	*fakeDeps
+	mu     sync.Mutex
+	record elect.Record
 }
 
-func (l *lagging) OwnerRecord(context.Context) (elect.Observation, error) {
+func (l *laggingStore) OwnerRecord(context.Context) (elect.Observation, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return elect.Observation{Record: l.seat, Version: uint64(l.seat.Beat)}, nil
+	return elect.Observation{Record: l.record, Version: uint64(l.record.Beat)}, nil
 }
 
-func (l *lagging) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
+func (l *laggingStore) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seat = r.Record
+	l.record = r.Record
 	return table.Done{Version: uint64(r.Record.Beat)}, nil
 }
 
-func (l *lagging) Changes(context.Context, uint64) (record.Snapshot, error) {
+func (l *laggingStore) Changes(context.Context, uint64) (record.Snapshot, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return record.Snapshot{Version: 1, Specs: []jobs.Spec{{ID: "j", Team: "t", Queue: "q", FirstEpoch: 2, Phases: []jobs.Phase{{Count: 1}}}}}, nil
 }
 
-// TestJobOfLaterOwner has the feed name a job of a later owner: the process gives
-// its board up and reads the seat and the record again. As it holds the seat all
-// the same, it decides on the other jobs.
+// TestJobOfLaterOwner supplies a job of a later owner through the feed. The process
+// must step down, then read the ownership record and load a snapshot again. Since it
+// still holds the record, it must then schedule the other jobs.
 func TestJobOfLaterOwner(t *testing.T) {
 	is := is.New(t)
-	l := &lagging{outside: &outside{}}
-	o := begin(t, l, "a", policy.New(1, nil, nil, nil, 0))
+	l := &laggingStore{fakeDeps: &fakeDeps{}}
+	o := startOwner(t, l, "a", policy.New(1, nil, nil, nil, 0))
 	time.Sleep(5 * time.Second)
-	l.outside.mu.Lock()
-	defer l.outside.mu.Unlock()
+	l.fakeDeps.mu.Lock()
+	defer l.fakeDeps.mu.Unlock()
 	is.Equal(l.loads, 2)
-	_, known, mine, err := o.State(t.Context(), "j")
+	_, known, owning, err := o.State(t.Context(), "j")
 	is.NoErr(err)
-	is.True(mine)
+	is.True(owning)
 	is.True(!known)
 }
 
-// renamed stands for a worker whose incarnation is newer than the platform's list
-// tells, and a store that takes its time.
-type renamed struct {
-	calm
+// restartedWorker is a fake of a worker whose incarnation is newer than the one in the
+// platform's list, and of a store whose writes take 150 ms.
+type restartedWorker struct {
+	quietStore
 	mu      sync.Mutex
 	version uint64
 	rosters [][]fleet.WorkerInfo
-	// first is closed once a list of workers is being written.
-	first chan struct{}
-	once  sync.Once
+	// rosterWriting is closed when the first write of a roster begins.
+	rosterWriting chan struct{}
+	once          sync.Once
 }
 
 var (
-	listed = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	reborn = listed.Add(time.Minute)
+	oldIncarnation = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	newIncarnation = oldIncarnation.Add(time.Minute)
 )
 
-func (*renamed) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) {
-	return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s"}, Incarnation: listed}}, nil, nil
+func (*restartedWorker) Workers(context.Context) ([]fleet.WorkerInfo, []error, error) {
+	return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s"}, Incarnation: oldIncarnation}}, nil, nil
 }
 
-func (r *renamed) Heartbeat(ctx context.Context, _ fleet.Order) (fleet.RunLists, fleet.Reply, error) {
+func (r *restartedWorker) Heartbeat(ctx context.Context, _ fleet.Order) (fleet.RunLists, fleet.Reply, error) {
 	select {
-	case <-r.first:
+	case <-r.rosterWriting:
 	case <-ctx.Done():
 	}
-	return fleet.RunLists{Clock: time.Second, Incarnation: reborn}, fleet.ReplyOK, nil
+	return fleet.RunLists{Clock: time.Second, Incarnation: newIncarnation}, fleet.ReplyOK, nil
 }
 
-func (r *renamed) Write(_ context.Context, rec record.OwnerWrite) (table.Done, error) {
+func (r *restartedWorker) Write(_ context.Context, rec record.OwnerWrite) (table.Done, error) {
 	if rec.Roster != nil {
-		r.once.Do(func() { close(r.first) })
+		r.once.Do(func() { close(r.rosterWriting) })
 	}
 	time.Sleep(150 * time.Millisecond)
 	r.mu.Lock()
@@ -277,16 +281,16 @@
 	return table.Done{Version: r.version}, nil
 }
 
-// TestRosterChangesDuringWrite has a worker tell of a new incarnation while the
-// list that names the old one is being recorded: the new list is recorded after
-// it. A worker that is not recorded is never used.
+// TestRosterChangesDuringWrite answers a heartbeat with a new incarnation while a
+// write of the roster with the old incarnation is in flight. The owner must write the
+// new roster afterwards: it never uses a worker that is not in the stored roster.
 func TestRosterChangesDuringWrite(t *testing.T) {
 	is := is.New(t)
-	r := &renamed{calm: calm{&outside{}}, first: make(chan struct{})}
-	begin(t, r, "a", policy.New(1, nil, nil, []policy.Service{{Name: "s"}}, 0))
+	r := &restartedWorker{quietStore: quietStore{&fakeDeps{}}, rosterWriting: make(chan struct{})}
+	startOwner(t, r, "a", policy.New(1, nil, nil, []policy.Service{{Name: "s"}}, 0))
 	time.Sleep(4 * time.Second)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	is.True(len(r.rosters) > 0)
-	is.True(r.rosters[len(r.rosters)-1][0].Incarnation.Equal(reborn))
+	is.True(r.rosters[len(r.rosters)-1][0].Incarnation.Equal(newIncarnation))
 }
--- a/io/record/accept.go
+++ b/io/record/accept.go
@@ -15,251 +15,255 @@
 )
 
 const (
-	// acceptQueue bounds the jobs that wait for one partition's next write.
-	acceptQueue = 256
-	// acceptBatch bounds the jobs of one write, well below the platform's 100
-	// entries and 1 MB for jobs of a few kilobytes.
-	acceptBatch = 50
-	// refusedMost is how long a job is offered to a store that refuses it: its
-	// client then learns at once that it has not been taken.
-	refusedMost = 800 * time.Millisecond
-	// againPause is the time before a refused or unanswered write is repeated.
-	againPause = 80 * time.Millisecond
+	// maxQueuedJobs bounds the jobs that wait for the next write of one partition.
+	maxQueuedJobs = 256
+	// maxBatchJobs bounds the jobs of one write. With jobs of a few kilobytes this
+	// stays well below the platform's limits of 100 entries and 1 MB per transaction.
+	maxBatchJobs = 50
+	// refusalTimeout is how long writes of a job are retried while the store refuses
+	// them. The client is then told that the job was not accepted.
+	refusalTimeout = 800 * time.Millisecond
+	// writeRetryDelay is the time before a refused or unanswered write is retried.
+	writeRetryDelay = 80 * time.Millisecond
 )
 
-// acceptance is a job that waits to be recorded.
-type acceptance struct {
+// pendingJob is a job that waits to be stored.
+type pendingJob struct {
 	ctx  context.Context
 	spec jobs.Spec
 	put  table.Put
-	// unsure is set once a write that holds the job had no answer: it may take
-	// effect until a later write has seen the row.
-	unsure bool
-	began  time.Time
-	// told is set once the caller has been answered; done holds the answer.
-	told atomic.Bool
-	done chan verdict
+	// maybeStored is set when a write of the job has had no answer. That write may
+	// still take effect until a later write has found the row.
+	maybeStored bool
+	queuedAt    time.Time
+	// answered is set when the answer has been sent on result.
+	answered atomic.Bool
+	result   chan acceptResult
 }
 
-// tell answers the caller, once.
-func (a *acceptance) tell(v verdict) {
-	if !a.told.Swap(true) {
-		a.done <- v
+// answer sends the result to the caller; later calls have no effect.
+func (j *pendingJob) answer(r acceptResult) {
+	if !j.answered.Swap(true) {
+		j.result <- r
 	}
 }
 
-// verdict is the outcome of an acceptance: the job as it is recorded, or why it
-// is not known to be.
-type verdict struct {
+// acceptResult is the outcome of Accept: the job as it is stored, or an error if the
+// job is not stored or the outcome is unknown.
+type acceptResult struct {
 	spec jobs.Spec
 	err  error
 }
 
-// lane holds the jobs that wait for one partition's next write. Most are empty,
-// so a writer lives only while there is work.
-type lane struct {
-	busy    bool
-	waiting []*acceptance
+// partQueue holds the jobs that wait for the next write of one partition. Most queues
+// are empty, so a writer goroutine exists only while jobs wait.
+type partQueue struct {
+	hasWriter bool
+	jobs      []*pendingJob
 }
 
-// Run records accepted jobs until the context ends; one write for each
-// partition is in flight, and what arrives meanwhile shares the next one.
-func (v *Store) Run(ctx context.Context) error {
+// Run stores accepted jobs until the context ends. One write per partition is in
+// flight; the jobs that arrive during it share the next write.
+func (s *Store) Run(ctx context.Context) error {
 	var g errgroup.Group
 	for {
 		select {
-		case part := <-v.starts:
+		case part := <-s.writerStarts:
 			g.Go(func() error {
-				v.writer(ctx, part)
+				s.runWriter(ctx, part)
 				return nil
 			})
 		case <-ctx.Done():
 			err := g.Wait()
-			v.end()
+			s.close()
 			return err
 		}
 	}
 }
 
-// end refuses what was not written before the process ends.
-func (v *Store) end() {
-	var left []*acceptance
-	v.mu.Lock()
-	v.ended = true
-	for i := range v.lanes {
-		left = append(left, v.lanes[i].waiting...)
-		v.lanes[i].waiting = nil
+// close refuses all jobs that have not been written when Run ends.
+func (s *Store) close() {
+	var unwritten []*pendingJob
+	s.mu.Lock()
+	s.closed = true
+	for i := range s.queues {
+		unwritten = append(unwritten, s.queues[i].jobs...)
+		s.queues[i].jobs = nil
 	}
-	v.mu.Unlock()
-	v.expire(left, true, false)
+	s.mu.Unlock()
+	s.answerExpired(unwritten, true, false)
 }
 
-// enter puts a job into its lane and has the lane's writer begin; it reports
-// whether there was room.
-func (v *Store) enter(part int, a *acceptance) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	l := &v.lanes[part]
-	if v.ended || len(l.waiting) >= acceptQueue {
+// enqueue adds a job to the queue of its partition and starts a writer if there is
+// none. It reports whether the queue had room.
+func (s *Store) enqueue(part int, j *pendingJob) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	q := &s.queues[part]
+	if s.closed || len(q.jobs) >= maxQueuedJobs {
 		return false
 	}
-	l.waiting = append(l.waiting, a)
-	if !l.busy {
-		l.busy = true
-		v.starts <- part
+	q.jobs = append(q.jobs, j)
+	if !q.hasWriter {
+		q.hasWriter = true
+		s.writerStarts <- part
 	}
 	return true
 }
 
-// next takes what the next write of a partition holds; left is what the last one
-// must write again. Its writer ends if there is nothing.
-func (v *Store) next(part int, left []*acceptance) []*acceptance {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	l := &v.lanes[part]
-	n := min(max(acceptBatch-len(left), 0), len(l.waiting))
-	out := append(left, l.waiting[:n]...)
-	if l.waiting = l.waiting[n:]; len(l.waiting) == 0 {
-		l.waiting = nil
+// nextBatch removes the jobs of the next write from the queue of a partition and
+// returns them after the jobs to retry. If there are none, the writer must end.
+func (s *Store) nextBatch(part int, retry []*pendingJob) []*pendingJob {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	q := &s.queues[part]
+	n := min(max(maxBatchJobs-len(retry), 0), len(q.jobs))
+	batch := append(retry, q.jobs[:n]...)
+	if q.jobs = q.jobs[n:]; len(q.jobs) == 0 {
+		q.jobs = nil
 	}
-	if len(out) == 0 {
-		l.busy = false
+	if len(batch) == 0 {
+		q.hasWriter = false
 	}
-	return out
+	return batch
 }
 
-// Accept records a job and returns it as it is in the store, where an earlier
-// call may have recorded it. A RefusalError with run "no" means that it is not
-// there and never will be; one with run "unknown" that it may be.
-func (v *Store) Accept(ctx context.Context, spec jobs.Spec) (jobs.Spec, error) {
+// Accept stores a job and returns it as it is in the store, where an earlier call may
+// have put it. After a RefusalError with the execution "no" the job is not stored and
+// never will be; with "unknown" it may be stored.
+func (s *Store) Accept(ctx context.Context, spec jobs.Spec) (jobs.Spec, error) {
 	put, err := encode(jobKey(spec.ID), spec)
 	if err != nil {
 		return spec, err
 	}
-	if len(put.Val) > rowMost {
-		return spec, core.Refuse(core.CodeTooLarge, "the job takes %d bytes in the store, at most %d", len(put.Val), rowMost)
+	if len(put.Val) > maxRowBytes {
+		return spec, core.Refuse(core.CodeTooLarge, "the job takes %d bytes in the store, at most %d", len(put.Val), maxRowBytes)
 	}
-	if v.Unreachable() {
-		return spec, v.refusal(spec.ID, v.away())
+	if s.Unreachable() {
+		return spec, s.refusal(spec.ID, s.unreachableError())
 	}
-	a := &acceptance{ctx: ctx, spec: spec, put: put, began: time.Now(), done: make(chan verdict, 1)}
-	if !v.enter(partOf(spec.ID), a) {
-		r := core.Refuse(core.CodeBusy, "%d jobs wait for the store", acceptQueue)
-		r.RetryAfter = againSoon
-		return spec, v.refusal(spec.ID, r)
+	j := &pendingJob{ctx: ctx, spec: spec, put: put, queuedAt: time.Now(), result: make(chan acceptResult, 1)}
+	if !s.enqueue(partOf(spec.ID), j) {
+		busy := core.Refuse(core.CodeBusy, "%d jobs wait for the store", maxQueuedJobs)
+		busy.RetryAfter = clientRetryAfter
+		return spec, s.refusal(spec.ID, busy)
 	}
-	// The writer always answers, soon after the caller's time is up.
-	out := <-a.done
-	return out.spec, out.err
+	// The writer always answers, at the latest soon after the caller's deadline.
+	r := <-j.result
+	return r.spec, r.err
 }
 
-// writer records what waits in one lane until it is empty.
-func (v *Store) writer(ctx context.Context, part int) {
-	var left []*acceptance
+// runWriter writes the jobs of one partition until its queue is empty.
+func (s *Store) runWriter(ctx context.Context, part int) {
+	var retry []*pendingJob
 	for {
-		waiting := v.next(part, left)
-		if len(waiting) == 0 {
+		batch := s.nextBatch(part, retry)
+		if len(batch) == 0 {
 			return
 		}
-		left = v.record(ctx, waiting)
-		if len(left) == len(waiting) {
-			clock.Sleep(ctx, againPause)
+		retry = s.writeBatch(ctx, batch)
+		if len(retry) == len(batch) {
+			clock.Sleep(ctx, writeRetryDelay)
 		}
-		left = v.expire(left, ctx.Err() != nil, v.Unreachable())
+		retry = s.answerExpired(retry, ctx.Err() != nil, s.Unreachable())
 	}
 }
 
-// record writes all that waits in one transaction and returns what must be
-// written again.
-func (v *Store) record(ctx context.Context, waiting []*acceptance) []*acceptance {
+// writeBatch writes jobs in one transaction and returns those that must be written
+// again. Of several jobs with the same name it writes the first and returns the
+// others.
+func (s *Store) writeBatch(ctx context.Context, batch []*pendingJob) []*pendingJob {
 	t := table.Txn{}
-	named := map[string]bool{}
-	var now, later []*acceptance
-	for _, a := range waiting {
-		if a.told.Load() {
+	names := map[string]bool{}
+	var written, retry []*pendingJob
+	for _, j := range batch {
+		if j.answered.Load() {
 			continue
 		}
-		if named[a.put.Name] {
-			later = append(later, a)
+		if names[j.put.Name] {
+			retry = append(retry, j)
 			continue
 		}
-		named[a.put.Name] = true
-		now = append(now, a)
-		t.Checks = append(t.Checks, table.Check{Key: a.put.Key})
-		t.Puts = append(t.Puts, a.put)
+		names[j.put.Name] = true
+		written = append(written, j)
+		t.Checks = append(t.Checks, table.Check{Key: j.put.Key})
+		t.Puts = append(t.Puts, j.put)
 	}
-	if len(now) == 0 {
+	if len(written) == 0 {
 		return nil
 	}
-	_, err := v.store.Write(table.WithLateHook(ctx, func(_ time.Duration, o table.Outcome) {
+	_, err := s.client.Write(table.WithLateHook(ctx, func(_ time.Duration, o table.Outcome) {
 		if o.Err() == nil {
-			recorded(now)
+			confirm(written)
 		}
 	}), t)
 	var conflict *table.ConflictError
 	switch {
 	case err == nil:
-		recorded(now)
-		return later
+		confirm(written)
+		return retry
 	case errors.As(err, &conflict):
-		for _, a := range now {
-			if r, ok := conflict.Find(a.put.Key); ok {
-				a.tell(a.sameAs(r))
+		for _, j := range written {
+			if row, ok := conflict.Find(j.put.Key); ok {
+				j.answer(j.resolveConflict(row))
 			} else {
-				later = append(later, a)
+				retry = append(retry, j)
 			}
 		}
-		return later
+		return retry
 	case Refused(err):
 	default:
-		for _, a := range now {
-			a.unsure = true
+		for _, j := range written {
+			j.maybeStored = true
 		}
 	}
-	return append(now, later...)
+	return append(written, retry...)
 }
 
-// recorded answers callers whose jobs are in the store.
-func recorded(list []*acceptance) {
-	for _, a := range list {
-		a.tell(verdict{spec: a.spec})
+// confirm answers the callers of jobs that are stored.
+func confirm(stored []*pendingJob) {
+	for _, j := range stored {
+		j.answer(acceptResult{spec: j.spec})
 	}
 }
 
-// sameAs compares a job with the one recorded under its name: the same client's
-// repeated call is accepted, another team's is not.
-func (a *acceptance) sameAs(r table.Row) verdict {
-	var s jobs.Spec
-	if err := decode(r, &s); err != nil {
-		return verdict{err: err}
+// resolveConflict compares a job with the row that has its name. A repeated call of
+// the same team for the same queue succeeds with the stored job; any other call is
+// refused.
+func (j *pendingJob) resolveConflict(row table.Row) acceptResult {
+	var stored jobs.Spec
+	if err := decode(row, &stored); err != nil {
+		return acceptResult{err: err}
 	}
-	if s.Team != a.spec.Team || s.Queue != a.spec.Queue {
-		return verdict{err: core.Refuse(core.CodeConflict, "the name %s belongs to another job", a.spec.ID)}
+	if stored.Team != j.spec.Team || stored.Queue != j.spec.Queue {
+		return acceptResult{err: core.Refuse(core.CodeConflict, "the name %s belongs to another job", j.spec.ID)}
 	}
-	return verdict{spec: s}
+	return acceptResult{spec: stored}
 }
 
-// expire answers those whose callers have no time left, or whom the store has
-// only refused, and all while it is away: their callers can ask another VM.
-func (v *Store) expire(waiting []*acceptance, all, away bool) []*acceptance {
-	var out []*acceptance
-	for _, a := range waiting {
-		if a.told.Load() {
+// answerExpired answers the jobs whose callers' deadlines have passed and those that
+// the store has refused for refusalTimeout, and returns the others. It answers every
+// job if the store is closing, or if it is unreachable, since callers can then retry
+// through another VM.
+func (s *Store) answerExpired(unstored []*pendingJob, closing, unreachable bool) []*pendingJob {
+	var retry []*pendingJob
+	for _, j := range unstored {
+		if j.answered.Load() {
 			continue
 		}
-		over := all || away || a.ctx.Err() != nil || !a.unsure && time.Since(a.began) > refusedMost
-		if !over {
-			out = append(out, a)
+		expired := closing || unreachable || j.ctx.Err() != nil || !j.maybeStored && time.Since(j.queuedAt) > refusalTimeout
+		if !expired {
+			retry = append(retry, j)
 			continue
 		}
-		if a.unsure {
-			v.doubt(a.spec.ID)
-			a.tell(verdict{err: core.RefuseUnknown(core.CodeStore, a.ctx.Err(), "the store has not confirmed the job")})
+		if j.maybeStored {
+			s.markUnconfirmed(j.spec.ID)
+			j.answer(acceptResult{err: core.RefuseUnknown(core.CodeStore, j.ctx.Err(), "the store has not confirmed the job")})
 		} else {
 			r := core.Refuse(core.CodeStore, "the store takes no jobs at present")
-			r.RetryAfter = againSoon
-			a.tell(verdict{err: v.refusal(a.spec.ID, r)})
+			r.RetryAfter = clientRetryAfter
+			j.answer(acceptResult{err: s.refusal(j.spec.ID, r)})
 		}
 	}
-	return out
+	return retry
 }
--- /dev/null
+++ b/io/record/unconfirmed.go
@@ -0,0 +1,43 @@
+package record
+
+import (
+	"time"
+
+	"chicoryturn/core"
+)
+
+const (
+	// unconfirmedTTL is how long the store remembers a job whose write had no answer.
+	// A pending write takes effect within seconds, and clients retry at once.
+	unconfirmedTTL = time.Minute
+	// maxUnconfirmed is the number of remembered jobs, at about 100 bytes each, from
+	// which the store removes expired ones.
+	maxUnconfirmed = 4000
+)
+
+// markUnconfirmed remembers a job that may have been stored although its client was
+// told that the outcome is unknown.
+func (s *Store) markUnconfirmed(id core.JobID) {
+	now := time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.unconfirmed) >= maxUnconfirmed {
+		for id, at := range s.unconfirmed {
+			if now.Sub(at) > unconfirmedTTL {
+				delete(s.unconfirmed, id)
+			}
+		}
+	}
+	s.unconfirmed[id] = now
+}
+
+// refusal returns r, or a refusal with an unknown outcome if an earlier call may have
+// stored the job.
+func (s *Store) refusal(id core.JobID, r *core.RefusalError) *core.RefusalError {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if at, ok := s.unconfirmed[id]; !ok || time.Since(at) > unconfirmedTTL {
+		return r
+	}
+	return core.RefuseUnknown(r.Code, r, "an earlier call may have recorded the job")
+}
