--- a/core/admit/target.go
+++ b/core/admit/target.go
@@ -9,27 +9,29 @@
 )
 
 //go:embed target.toml
-var targetText []byte
+var targetTOML []byte
 
 const (
-	// failStreak is how many connections in a row must fail before a target is
-	// suspect.
-	failStreak = 3
-	// restFor is how long a suspect target gets no request.
-	restFor = 2 * time.Second
-	// crossAfter is how long a request waits for a slot of its own region
-	// before it may cross to another; the trip there and back takes 40 ms.
-	crossAfter = 100 * time.Millisecond
-	// crossLots bounds the slots wanted of one far target in one step.
-	crossLots = 4
+	// suspectAfterFailures is how many attempts to send a request to a target
+	// must fail in a row before it becomes suspect.
+	suspectAfterFailures = 3
+	// suspectPause is how long a suspect target is sent no request.
+	suspectPause = 2 * time.Second
+	// remoteDelay is how long a request waits for a slot in its own region before
+	// it may be sent to another one; a round trip between regions takes 40 ms.
+	remoteDelay = 100 * time.Millisecond
+	// maxRemoteSlots bounds the slots by which one update raises the demand for
+	// a target in another region.
+	maxRemoteSlots = 4
 )
 
 var (
-	targetChart = chart.Must(chart.Load(targetText, map[string]chart.Guard[*target]{
-		"streak": func(t *target) bool { return t.fails >= failStreak },
+	targetChart = chart.Must(chart.Load(targetTOML, map[string]chart.Guard[*target]{
+		"too-many-failures": func(t *target) bool { return t.failures >= suspectAfterFailures },
 	}, map[string]chart.Action[*target]{
-		"rest": func(t *target) { t.restUntil = t.gate.now.Add(restFor) },
+		"pause": func(t *target) { t.pausedUntil = t.ctrl.now.Add(suspectPause) },
 	}))
+	// Events and states of the target chart.
 	targetList    = targetChart.Event("list")
 	targetLeave   = targetChart.Event("leave")
 	targetUnlist  = targetChart.Event("unlist")
@@ -40,98 +42,107 @@
 	targetSuspect = targetChart.State("suspect")
 )
 
+// target is the gate's view of one target.
 type target struct {
-	vm        core.VM
-	gate      *Controller
-	state     chart.State
-	row       string
-	fails     int
-	restUntil time.Time
-	demand    demand
+	vm       core.VM
+	ctrl     *Controller
+	state    chart.State
+	slotsRow string
+	// failures counts the unsent requests since the last complete answer.
+	failures int
+	// pausedUntil is when a suspect target may be tried again.
+	pausedUntil time.Time
+	// demand is the demand for the target's slots.
+	demand demand
 }
 
-func (t *target) fire(ev chart.Event) { t.gate.note(targetChart.Fire(&t.state, ev, t)) }
+func (t *target) fire(ev chart.Event) { t.ctrl.addRefusal(targetChart.Fire(&t.state, ev, t)) }
 
-// SlotName returns the name of the ledger row of a target's slots.
-func SlotName(r core.Region, t string) string { return "slots/" + string(r) + "/" + t }
+// SlotsRow returns the name of the ledger row that divides a target's slots.
+func SlotsRow(r core.Region, t string) string { return "slots/" + string(r) + "/" + t }
 
-// CallName returns the name of the ledger row of a team's requests in flight.
-func CallName(t core.Team) string { return "calls/" + string(t) }
+// CallsRow returns the name of the ledger row that divides a team's limit of
+// requests in flight.
+func CallsRow(t core.Team) string { return "calls/" + string(t) }
 
-func (g *Controller) targetOf(vm core.VM) *target {
-	t := g.targets[vm.Name]
+// upsertTarget stores the listed VM of a target, which it adds if it is new.
+func (c *Controller) upsertTarget(vm core.VM) *target {
+	t := c.targets[vm.Name]
 	if t == nil {
-		t = &target{gate: g, state: targetChart.Start(), row: SlotName(vm.Region, vm.Name)}
-		g.targets[vm.Name] = t
+		t = &target{ctrl: c, state: targetChart.Start(), slotsRow: SlotsRow(vm.Region, vm.Name)}
+		c.targets[vm.Name] = t
 	}
 	t.vm = vm
 	return t
 }
 
-// SetTargets follows a new list of the targets of all regions.
-func (g *Controller) SetTargets(now time.Time, vms []core.VM) []Event {
-	g.now = now
+// SetTargets applies a new list of the targets of all regions.
+func (c *Controller) SetTargets(now time.Time, vms []core.VM) []Event {
+	c.now = now
 	listed := core.NewSet[string]()
 	for _, vm := range vms {
 		listed.Add(vm.Name)
-		t := g.targetOf(vm)
+		t := c.upsertTarget(vm)
 		if vm.Leaving {
 			t.fire(targetLeave)
 		} else {
 			t.fire(targetList)
 		}
 	}
-	g.byService = map[core.Service][]*target{}
-	g.home = map[core.Service]int{}
-	for _, name := range g.names() {
-		t := g.targets[name]
+	c.byService = map[core.Service][]*target{}
+	c.localTargets = map[core.Service]int{}
+	for _, name := range c.targetNames() {
+		t := c.targets[name]
 		if !listed.Has(name) {
 			t.fire(targetUnlist)
 		}
-		g.byService[t.vm.Service] = append(g.byService[t.vm.Service], t)
-		if t.state == targetLive && !t.far() {
-			g.home[t.vm.Service]++
+		c.byService[t.vm.Service] = append(c.byService[t.vm.Service], t)
+		if t.state == targetLive && !t.isRemote() {
+			c.localTargets[t.vm.Service]++
 		}
 	}
-	g.declare()
-	return g.serve()
+	c.declareTotals()
+	return c.grantSlots()
 }
 
-// far reports whether requests to the target cross between regions.
-func (t *target) far() bool { return t.vm.Region != t.gate.region }
+// isRemote reports whether the target is in another region than the gate.
+func (t *target) isRemote() bool { return t.vm.Region != t.ctrl.region }
 
-// pick returns the target on which a request is best sent: in the gate's own
-// data centre, then in its region, then elsewhere if the request has waited
-// for longer than the trip, or if the region has no such target at all.
-func (g *Controller) pick(r *request) *target {
+// pickTarget returns the live target to which a request should be sent, or nil.
+// It prefers targets in the gate's data centre, then those in its region, then,
+// if mayUseRemote allows it, those in other regions; among equals, the target
+// with the most available slots.
+func (c *Controller) pickTarget(r *request) *target {
 	var best *target
-	bestFree, bestNear := int64(0), 0
-	for _, t := range g.byService[r.ask.Rule.Service] {
-		if t.state != targetLive || r.avoid.Has(t.vm.Name) || (t.far() && !g.mayCross(r)) {
+	bestFree, bestProximity := int64(0), 0
+	for _, t := range c.byService[r.spec.Rule.Service] {
+		if t.state != targetLive || r.excluded.Has(t.vm.Name) || (t.isRemote() && !c.mayUseRemote(r)) {
 			continue
 		}
-		free, near := g.lots.Available(t.row), g.near(t)
-		if free <= 0 || (best != nil && (near < bestNear || near == bestNear && free <= bestFree)) {
+		free, proximity := c.allocator.Available(t.slotsRow), c.proximity(t)
+		if free <= 0 || (best != nil && (proximity < bestProximity || proximity == bestProximity && free <= bestFree)) {
 			continue
 		}
-		best, bestFree, bestNear = t, free, near
+		best, bestFree, bestProximity = t, free, proximity
 	}
 	return best
 }
 
-// near is highest for targets in the gate's own data centre.
-func (g *Controller) near(t *target) int {
+// proximity ranks a target: 2 in the gate's data centre, 1 in its region, 0 in
+// other regions.
+func (c *Controller) proximity(t *target) int {
 	switch {
-	case t.vm.Zone == g.zone:
+	case t.vm.Zone == c.zone:
 		return 2
-	case !t.far():
+	case !t.isRemote():
 		return 1
 	default:
 		return 0
 	}
 }
 
-// mayCross reports whether a request has earned the trip to another region.
-func (g *Controller) mayCross(r *request) bool {
-	return g.now.Sub(r.asked) >= crossAfter || g.home[r.ask.Rule.Service] == 0
+// mayUseRemote reports whether a request may be sent to another region: it has
+// waited for remoteDelay, or its service has no live target in this region.
+func (c *Controller) mayUseRemote(r *request) bool {
+	return c.now.Sub(r.arrivedAt) >= remoteDelay || c.localTargets[r.spec.Rule.Service] == 0
 }
