--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -1,23 +1,25 @@
 // Package ledger divides bounded amounts (a target's slots, a team's limit)
-// among holders through rows that are changed by conditional writes. The sum
-// of all parts of a row never exceeds its total, and a holder uses no more
-// than its part, so the total holds at any instant without a message per use.
+// among holders through stored rows that are changed by conditional writes. The
+// sum of all parts of a row never exceeds its total, and a holder uses no more
+// than its part. The total is therefore respected at any instant, without a
+// message for each use.
 package ledger
 
 import (
 	"sort"
 )
 
-// Holder names who holds a part of a row: a cell or a gate's session.
+// Holder identifies the holder of a part of a row: a cell or a gate's session.
 type Holder string
 
-// Row is the stored form of one divided amount.
+// Row is the stored record of one divided amount.
 type Row struct {
-	// Total bounds the sum of Parts; it may be below it after a limit has
-	// been lowered, until the holders have given back.
+	// Total bounds the sum of Parts. After a limit has been lowered, the sum may
+	// exceed it until the holders have returned the excess.
 	Total int64
+	// Parts holds the amount that each holder may use; zero parts are absent.
 	Parts map[Holder]int64
-	// Wants is the amount each holder would use now; zero wants are absent.
+	// Wants holds the amount that each holder would use now; zero wants are absent.
 	Wants map[Holder]int64
 }
 
@@ -33,7 +35,9 @@
 	return c
 }
 
-func (r Row) free() int64 {
+// unallocated returns the part of the total that no holder has. It is negative
+// while the parts exceed a lowered total.
+func (r Row) unallocated() int64 {
 	sum := int64(0)
 	for _, n := range r.Parts {
 		sum += n
@@ -41,8 +45,8 @@
 	return r.Total - sum
 }
 
-// fair returns the holder's max-min fair part given all wants.
-func (r Row) fair(h Holder) int64 {
+// fairPart returns the holder's part under max-min fairness, given all wants.
+func (r Row) fairPart(h Holder) int64 {
 	type want struct {
 		holder Holder
 		amount int64
@@ -69,6 +73,7 @@
 	return 0
 }
 
+// contended reports whether the holders together want more than the total.
 func (r Row) contended() bool {
 	sum := int64(0)
 	for _, n := range r.Wants {
@@ -77,120 +82,127 @@
 	return sum > r.Total
 }
 
+// entry is this holder's state of one row.
 type entry struct {
 	row Row
-	// version is that of the row last seen; 0 means not in the store.
+	// version is the version of row; 0 means that the row is not in the store.
 	version uint64
-	total   int64
+	// total is the total declared by this holder.
+	total int64
 	// held is the part that the store is known to grant. It is lowered before
-	// a write that gives back and raised only after a write is confirmed.
+	// a write that returns a part and raised only after a write is confirmed.
 	held int64
 	used int64
 	want int64
-	// broken is set while the stored row does not parse; nothing of it is held.
-	broken bool
-	// slack is an unused amount kept at hand while nobody else wants it.
+	// malformed is set while the stored row does not parse; held is then zero.
+	malformed bool
+	// slack is the unused amount that the holder keeps while no other holder
+	// wants it.
 	slack int64
 }
 
 // Change is one conditional write of a row.
 type Change struct {
 	Name string
-	// Version is what the row must still have.
+	// Version is the version that the stored row must still have.
 	Version uint64
 	Row     Row
 }
 
-// Ledger is one holder's view of all rows that it takes part in.
+// Ledger is one holder's view of all rows of which it may hold parts.
 type Ledger struct {
 	holder  Holder
 	entries map[string]*entry
-	// busy is set while a write is in flight; there is at most one.
-	busy bool
+	// writeInFlight is set between Plan and Applied; at most one write is in
+	// flight.
+	writeInFlight bool
 }
 
-// New returns an empty book of one holder.
+// New returns an empty ledger of one holder.
 func New(h Holder) *Ledger { return &Ledger{holder: h, entries: map[string]*entry{}} }
 
-// Holder returns the name under which the book holds its parts.
-func (b *Ledger) Holder() Holder { return b.holder }
+// Holder returns the holder whose parts the ledger manages.
+func (l *Ledger) Holder() Holder { return l.holder }
 
-func (b *Ledger) at(name string) *entry {
-	e, ok := b.entries[name]
+// entry returns the entry of a row, which it adds if it is missing.
+func (l *Ledger) entry(name string) *entry {
+	e, ok := l.entries[name]
 	if !ok {
 		e = &entry{}
-		b.entries[name] = e
+		l.entries[name] = e
 	}
 	return e
 }
 
 // Declare sets a row's total and the slack that this holder keeps.
-func (b *Ledger) Declare(name string, total, slack int64) {
-	e := b.at(name)
+func (l *Ledger) Declare(name string, total, slack int64) {
+	e := l.entry(name)
 	e.total = total
 	e.slack = slack
 }
 
-// ZeroTotals sets the total of every row that keep refuses to zero.
-func (b *Ledger) ZeroTotals(keep func(name string) bool) {
-	for name, e := range b.entries {
+// ZeroTotals sets the total and slack of every row for which keep returns false
+// to zero, so that the holder returns its parts of them.
+func (l *Ledger) ZeroTotals(keep func(name string) bool) {
+	for name, e := range l.entries {
 		if !keep(name) {
 			e.total, e.slack = 0, 0
 		}
 	}
 }
 
-// Available returns how much of a row may still be used.
-func (b *Ledger) Available(name string) int64 {
-	e, ok := b.entries[name]
+// Available returns how much more of a row the holder may use now.
+func (l *Ledger) Available(name string) int64 {
+	e, ok := l.entries[name]
 	if !ok {
 		return 0
 	}
 	return min(e.held, e.total) - e.used
 }
 
-// Excess returns how much of its use the holder must end because a total has
+// Excess returns how much use of a row the holder must end because the total has
 // been lowered below the sum of the parts.
-func (b *Ledger) Excess(name string) int64 {
-	e, ok := b.entries[name]
+func (l *Ledger) Excess(name string) int64 {
+	e, ok := l.entries[name]
 	if !ok || e.version == 0 {
 		return 0
 	}
 	row := e.row.Clone()
 	row.Total = e.total
-	if row.free() >= 0 {
+	if row.unallocated() >= 0 {
 		return 0
 	}
-	setPart(row.Wants, b.holder, max(e.want, e.used))
-	return max(0, e.used-row.fair(b.holder))
+	setAmount(row.Wants, l.holder, max(e.want, e.used))
+	return max(0, e.used-row.fairPart(l.holder))
 }
 
 // Held returns this holder's part of a row.
-func (b *Ledger) Held(name string) int64 {
-	if e, ok := b.entries[name]; ok {
+func (l *Ledger) Held(name string) int64 {
+	if e, ok := l.entries[name]; ok {
 		return e.held
 	}
 	return 0
 }
 
 // Used returns how much of a row this holder uses.
-func (b *Ledger) Used(name string) int64 {
-	if e, ok := b.entries[name]; ok {
+func (l *Ledger) Used(name string) int64 {
+	if e, ok := l.entries[name]; ok {
 		return e.used
 	}
 	return 0
 }
 
-// Use takes n of a row; n may be negative to return it. The caller has asked
-// Free before, except for use that it found already running.
-func (b *Ledger) Use(name string, n int64) { b.at(name).used += n }
+// Use adds n to the holder's use of a row; a negative n ends use. The caller must
+// check Available first, except for use that it found already running.
+func (l *Ledger) Use(name string, n int64) { l.entry(name).used += n }
 
-// SetDemand sets what the holder could use of a row now, the used part included.
-func (b *Ledger) SetDemand(name string, n int64) { b.at(name).want = n }
+// SetDemand sets how much of a row the holder could use now, including what it
+// already uses.
+func (l *Ledger) SetDemand(name string, n int64) { l.entry(name).want = n }
 
-// NeedsMore reports whether the holder wants more of some row than it has.
-func (b *Ledger) NeedsMore() bool {
-	for _, e := range b.entries {
+// NeedsMore reports whether the holder wants more of any row than it holds.
+func (l *Ledger) NeedsMore() bool {
+	for _, e := range l.entries {
 		if e.want > e.held && e.held < e.total {
 			return true
 		}
@@ -198,95 +210,100 @@
 	return false
 }
 
-// Total returns the sum that all holders have of a row, as last read.
-func (b *Ledger) Total(name string) int64 {
-	e, ok := b.entries[name]
+// Total returns the sum of all holders' parts of a row, as last read.
+func (l *Ledger) Total(name string) int64 {
+	e, ok := l.entries[name]
 	if !ok {
 		return 0
 	}
-	return e.row.Total - e.row.free()
+	return e.row.Total - e.row.unallocated()
 }
 
-// Observe takes in a row as read from the store. While a write is in flight, what
-// was read may be older than the write, so it is passed over.
-func (b *Ledger) Observe(name string, version uint64, row Row) {
-	e := b.at(name)
-	if b.busy || version < e.version {
+// Observe records a row as read from the store. It ignores rows read while a
+// write is in flight, since they may be older than the write.
+func (l *Ledger) Observe(name string, version uint64, row Row) {
+	e := l.entry(name)
+	if l.writeInFlight || version < e.version {
 		return
 	}
-	e.row, e.version, e.broken = row, version, false
-	e.held = row.Parts[b.holder]
+	e.row, e.version, e.malformed = row, version, false
+	e.held = row.Parts[l.holder]
 }
 
-// MarkMalformed takes in a row that does not parse. It must not keep the others from
-// being written, so it is left alone until somebody has mended it.
-func (b *Ledger) MarkMalformed(name string) {
-	e := b.at(name)
-	e.broken, e.held = true, 0
+// MarkMalformed records that a stored row does not parse. The ledger neither uses
+// nor writes the row until it parses again, so that it does not block the writes
+// of other rows.
+func (l *Ledger) MarkMalformed(name string) {
+	e := l.entry(name)
+	e.malformed, e.held = true, 0
 }
 
-// Plan returns the writes that bring the parts closer to what is wanted, and
-// marks the book busy if there are any. Parts to be given back stop being
-// usable at once.
-func (b *Ledger) Plan() []Change {
-	if b.busy {
+// Plan returns the writes that bring the parts closer to the demand. If there are
+// any, the caller must perform them and report the result to Applied; until then
+// Plan returns nothing. Parts to be returned stop being usable at once.
+func (l *Ledger) Plan() []Change {
+	if l.writeInFlight {
 		return nil
 	}
 	var out []Change
-	for name, e := range b.entries {
-		row, changed := b.plan(e)
-		if !changed || e.broken {
+	for name, e := range l.entries {
+		row, changed := l.planRow(e)
+		if !changed || e.malformed {
 			continue
 		}
-		e.held = min(e.held, row.Parts[b.holder])
+		e.held = min(e.held, row.Parts[l.holder])
 		out = append(out, Change{Name: name, Version: e.version, Row: row})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
-	b.busy = len(out) > 0
+	l.writeInFlight = len(out) > 0
 	return out
 }
 
-func (b *Ledger) plan(e *entry) (Row, bool) {
+// planRow returns the row that the holder wants to be stored, and whether it is
+// worth a write.
+func (l *Ledger) planRow(e *entry) (Row, bool) {
 	row := e.row.Clone()
 	row.Total = e.total
 	want := max(e.want, e.used)
 	if e.total == 0 {
 		want = e.used
 	}
-	setPart(row.Wants, b.holder, want)
-	goal := b.goal(e, row, want)
-	setPart(row.Parts, b.holder, goal)
-	starved := goal < want && e.row.Wants[b.holder] != want
-	changed := goal != e.held || row.Total != e.row.Total || starved ||
-		wantMoved(e.row.Wants[b.holder], want, row.contended())
+	setAmount(row.Wants, l.holder, want)
+	part := l.desiredPart(e, row, want)
+	setAmount(row.Parts, l.holder, part)
+	unmetWantChanged := part < want && e.row.Wants[l.holder] != want
+	changed := part != e.held || row.Total != e.row.Total || unmetWantChanged ||
+		wantNeedsWrite(e.row.Wants[l.holder], want, row.contended())
 	return row, changed
 }
 
-// goal returns the part that the holder should have now.
-func (b *Ledger) goal(e *entry, row Row, want int64) int64 {
+// desiredPart returns the part that the holder should have now: in a contended row
+// its fair part, otherwise what it wants, with up to its slack on top.
+func (l *Ledger) desiredPart(e *entry, row Row, want int64) int64 {
 	others := len(row.Wants)
-	if _, ok := row.Wants[b.holder]; ok {
+	if _, ok := row.Wants[l.holder]; ok {
 		others--
 	}
-	free := row.free()
+	free := row.unallocated()
 	if !row.contended() && free >= 0 {
-		goal := want
+		part := want
 		if others == 0 || free > 0 {
-			goal = max(want, min(e.held, want+e.slack), min(e.slack, e.held+free))
+			part = max(want, min(e.held, want+e.slack), min(e.slack, e.held+free))
 		}
-		return max(e.used, min(goal, e.held+free))
+		return max(e.used, min(part, e.held+free))
 	}
-	fair := row.fair(b.holder)
+	fair := row.fairPart(l.holder)
 	if free < 0 {
-		// The total was lowered: give back down to what is in use.
+		// The total was lowered: return what is above the fair part and unused.
 		return max(e.used, min(e.held, fair))
 	}
 	return max(e.used, min(fair, e.held+free))
 }
 
-// wantMoved reports whether a new want is worth a write of its own: only the
-// holders of a contended row need each other's wants.
-func wantMoved(old, now int64, contended bool) bool {
+// wantNeedsWrite reports whether a changed want alone is worth a write. Only the
+// holders of a contended row need to know each other's wants, and they need not
+// know of changes of up to a quarter.
+func wantNeedsWrite(old, now int64, contended bool) bool {
 	if old == now {
 		return false
 	}
@@ -296,7 +313,8 @@
 	return contended && (now > old+old/4 || now < old-old/4)
 }
 
-func setPart(m map[Holder]int64, h Holder, n int64) {
+// setAmount sets a holder's amount; zero amounts are deleted.
+func setAmount(m map[Holder]int64, h Holder, n int64) {
 	if n == 0 {
 		delete(m, h)
 		return
@@ -304,26 +322,27 @@
 	m[h] = n
 }
 
-// Applied ends a write. When ok is false, the store has refused it or the
-// outcome is not known; the rows must be read again before the next plan.
-func (b *Ledger) Applied(changes []Change, versions []uint64, ok bool) {
-	b.busy = false
+// Applied ends the write of the changes that Plan returned; versions are the new
+// versions of the rows. When ok is false, the store has refused the write or its
+// outcome is unknown, and the caller must read the rows again before the next Plan.
+func (l *Ledger) Applied(changes []Change, versions []uint64, ok bool) {
+	l.writeInFlight = false
 	if !ok {
 		return
 	}
 	for i, c := range changes {
-		e := b.at(c.Name)
+		e := l.entry(c.Name)
 		e.row, e.version = c.Row, versions[i]
-		e.held = c.Row.Parts[b.holder]
+		e.held = c.Row.Parts[l.holder]
 	}
 }
 
-// Reclaim returns a row without the parts of a holder that surely uses none
-// of them any more, and whether it had any.
+// Reclaim returns a row without the part and the want of a holder that is known
+// to use nothing any more, and whether the row had any.
 func Reclaim(row Row, h Holder) (Row, bool) {
-	_, part := row.Parts[h]
-	_, want := row.Wants[h]
-	if !part && !want {
+	_, hasPart := row.Parts[h]
+	_, hasWant := row.Wants[h]
+	if !hasPart && !hasWant {
 		return row, false
 	}
 	c := row.Clone()
@@ -332,20 +351,21 @@
 	return c, true
 }
 
-// Rename carries use over to a new holder name after a process has rejoined.
-func (b *Ledger) Rename(h Holder) {
-	b.holder = h
-	b.busy = false
-	for _, e := range b.entries {
+// Rename gives the ledger a new holder after its process has rejoined. Use stays
+// counted; the parts must be acquired again under the new name.
+func (l *Ledger) Rename(h Holder) {
+	l.holder = h
+	l.writeInFlight = false
+	for _, e := range l.entries {
 		e.held = 0
 		e.version = 0
 	}
 }
 
 // Names returns the names of all rows, sorted.
-func (b *Ledger) Names() []string {
-	out := make([]string, 0, len(b.entries))
-	for name := range b.entries {
+func (l *Ledger) Names() []string {
+	out := make([]string, 0, len(l.entries))
+	for name := range l.entries {
 		out = append(out, name)
 	}
 	sort.Strings(out)
