--- a/core/member/member.go
+++ b/core/member/member.go
@@ -1,5 +1,7 @@
-// Package member decides which process owns which cell. A process holds one
-// session row in the store; renewing it renews all that the process owns.
+// Package member decides which process owns which cell. Each process has one
+// session row in the store, and its lease lasts while it renews the row. A sched,
+// the kind of process that schedules jobs, owns cells through their claim rows;
+// its one lease covers all of them.
 package member
 
 import (
@@ -16,83 +18,94 @@
 )
 
 //go:embed session.toml
-var sessionText []byte
+var sessionTOML []byte
 
 //go:embed cell.toml
-var cellText []byte
+var cellTOML []byte
 
-// Default times of a session.
+// Times of a session.
 const (
+	// DefaultTTL is the lease time of a session unless it is configured.
 	DefaultTTL = 2 * time.Second
-	// PromiseTTL is how long a peer promises not to claim a silent owner's
-	// cells while nobody reaches the store.
+	// PromiseTTL is how long a peer promises not to claim an owner's cells while
+	// neither of them reaches the store.
 	PromiseTTL = 6 * time.Second
-	// MaxOutage bounds how long an owner goes on by promises alone.
+	// MaxOutage bounds how long an owner extends its lease by promises alone.
 	MaxOutage = 10 * time.Minute
-	// stagger separates the claims of several heirs of one cell.
-	stagger = 300 * time.Millisecond
-	// renewPart divides the lease time into renewals.
-	renewPart = 3
-	// aidPart bounds, in lease times, how long peers renew a session for a
-	// process that does not reach the store itself.
-	aidPart = 1
-	// evictAfter is how long a sched that owns nothing may be silent before
+	// claimStagger is the difference between the claim delays of consecutive
+	// candidates for a cell.
+	claimStagger = 300 * time.Millisecond
+	// renewalsPerTTL is how many renewals are attempted within the lease time.
+	renewalsPerTTL = 3
+	// maxPeerRenewalTTLs bounds, in lease times, how long peers may renew the
+	// session of a process that does not reach the store itself.
+	maxPeerRenewalTTLs = 1
+	// evictSilentAfter is how long a sched that owns no cell may be silent before
 	// its session is deleted.
-	evictAfter = 10 * time.Second
-	// knownBeats is how many renewals of an owner must be seen after joining
-	// before the owner surely knows of this process.
-	knownBeats = 2
+	evictSilentAfter = 10 * time.Second
+	// minBeatsSinceJoin is how many renewals of an owner must have been seen since
+	// this process joined before the owner is certain to know of this process, and
+	// so to ask it for a promise.
+	minBeatsSinceJoin = 2
 )
 
-// Session is the stored form of a session.
+// Session is the stored row of a session.
 type Session struct {
 	Process core.Process
-	// Beat grows with every renewal.
+	// Beat counts the renewals.
 	Beat uint64
 	// Config is the version of the configuration in force in the process.
-	Config  core.Version
+	Config core.Version
+	// Leaving is set during a planned stop.
 	Leaving bool
 }
 
-// Claim is the stored form of a cell's ownership.
+// Claim is the stored row of a cell's ownership.
 type Claim struct {
 	Cell  core.CellID
 	Owner core.SessionID
 	Epoch core.Epoch
-	// Offer names the process that should claim a released cell.
+	// Offer is the session that should claim a released cell.
 	Offer core.SessionID
-	// Snap names the newest snapshot, Log the first journal row after it.
+	// Snap is the name of the newest snapshot.
 	Snap string
-	Log  uint64
+	// Log is the number of the first journal row after the snapshot.
+	Log uint64
 }
 
-// Liveness is what a probe of another process has shown.
+// Liveness is the result of probing another process.
 type Liveness string
 
-// The results of a probe. Dead is proof: a port is bound by one process at a
-// time, so a refused connection or another incarnation means that it is gone.
+// The results of a probe.
 const (
-	Alive  Liveness = "alive"
-	Dead   Liveness = "dead"
+	// Alive means that the process answered.
+	Alive Liveness = "alive"
+	// Dead means that the process is known to have ended: a port is bound by one
+	// process at a time, so a refused connection or an answer from another
+	// incarnation proves it.
+	Dead Liveness = "dead"
+	// Silent means that there was no answer; the process may still run.
 	Silent Liveness = "silent"
 )
 
+// peer is the state of another process with a session.
 type peer struct {
 	session Session
 	version uint64
-	// seen is when the present version was first read.
-	seen time.Time
-	// joinBeat is the beat at which this process had joined.
-	joinBeat uint64
-	liveness Liveness
-	probed   time.Time
-	probing  bool
-	// deadSince is zero until the process is proved dead.
+	// seenAt is when this version of the session row was first read.
+	seenAt time.Time
+	// joinBeat is the peer's beat at the time when this process joined.
+	joinBeat      uint64
+	liveness      Liveness
+	probedAt      time.Time
+	probeInFlight bool
+	// deadSince is when the process was found dead, or zero.
 	deadSince time.Time
 }
 
-type held struct {
-	cell    core.CellID
+// cellEntry is this process's view of one cell.
+type cellEntry struct {
+	id      core.CellID
 	state   chart.State
 	claim   Claim
 	version uint64
@@ -102,7 +115,8 @@
 }
 
 var (
-	cellChart     = chart.Must(chart.Load[*held](cellText, nil, nil))
+	cellChart = chart.Must(chart.Load[*cellEntry](cellTOML, nil, nil))
+	// Events and states of the cell chart.
 	cellClaim     = cellChart.Event("claim")
 	cellWon       = cellChart.Event("won")
 	cellLost      = cellChart.Event("lost")
@@ -116,59 +130,64 @@
 )
 
 var (
-	sessionChart = chart.Must(chart.Load(sessionText, nil, map[string]chart.Action[*Member]{
-		"drop":    (*Member).drop,
-		"release": (*Member).releaseAll,
-		"rename":  (*Member).rename,
+	sessionChart = chart.Must(chart.Load(sessionTOML, nil, map[string]chart.Action[*Member]{
+		"lose-cells":        (*Member).loseCells,
+		"release-cells":     (*Member).releaseCells,
+		"start-incarnation": (*Member).startIncarnation,
 	}))
-	sessJoined  = sessionChart.Event("joined")
-	sessLapse   = sessionChart.Event("lapse")
-	sessRejoin  = sessionChart.Event("rejoin")
-	sessLeave   = sessionChart.Event("leave")
-	sessLeft    = sessionChart.Event("left")
-	sessJoining = sessionChart.State("joining")
-	sessLive    = sessionChart.State("live")
-	sessLeaving = sessionChart.State("leaving")
-	sessGone    = sessionChart.State("gone")
+	// Events and states of the session chart.
+	sessionJoined  = sessionChart.Event("joined")
+	sessionLapse   = sessionChart.Event("lapse")
+	sessionRejoin  = sessionChart.Event("rejoin")
+	sessionLeave   = sessionChart.Event("leave")
+	sessionLeft    = sessionChart.Event("left")
+	sessionJoining = sessionChart.State("joining")
+	sessionLive    = sessionChart.State("live")
+	sessionLeaving = sessionChart.State("leaving")
+	sessionGone    = sessionChart.State("gone")
 )
 
 // Member is one process's view of sessions and cells.
 type Member struct {
 	self core.Process
-	// base is the session's name without the count of joins.
-	base  string
-	joins int
-	ttl   time.Duration
-	lease *lease.Lease
-	state chart.State
-	// version is that of the own session row.
-	version uint64
-	beat    uint64
-	config  core.Version
-	peers   map[core.SessionID]*peer
-	cells   map[core.CellID]*held
-	// promises holds until when this process claims no cell of an owner.
+	// baseID is the session ID of the first incarnation; later ones append
+	// rejoinCount to it.
+	baseID      string
+	rejoinCount int
+	ttl         time.Duration
+	lease       *lease.Lease
+	state       chart.State
+	// sessionVersion is the version of this process's session row.
+	sessionVersion uint64
+	beat           uint64
+	config         core.Version
+	peers          map[core.SessionID]*peer
+	cells          map[core.CellID]*cellEntry
+	// promises holds, for each owner, until when this process must not claim its
+	// cells.
 	promises map[core.SessionID]time.Time
-	// cellCount is the number of cells of the own region.
+	// cellCount is the number of cells of this process's region.
 	cellCount int
-	joined    time.Time
-	// stored is when the store was last reached, by the time of sending.
-	stored time.Time
-	// busy is set while a write of the session row or of a claim is in flight.
-	busy bool
-	// claiming counts the writes of claims in flight; the session row stays as
-	// it is meanwhile, as they depend on it.
-	claiming  int
-	scanning  bool
-	scanned   bool
-	nextRenew time.Time
-	nextScan  time.Time
-	round     *round
-	resigned  core.Option[Resign]
-	refusals  []error
+	joinedAt  time.Time
+	// storeReachedAt is when the latest successful renewal or scan was sent.
+	storeReachedAt time.Time
+	// renewalInFlight is set while a write of the session row is in flight.
+	renewalInFlight bool
+	// claimWrites counts the writes of claims in flight. Until they end, the
+	// session row is not renewed, since they check its version.
+	claimWrites  int
+	scanInFlight bool
+	hasScanned   bool
+	nextRenew    time.Time
+	nextScan     time.Time
+	// round is the latest round of AskHold requests since the last renewal.
+	round         *peerRound
+	pendingResign core.Option[Resign]
+	// refusals holds the errors of chart events refused in their state.
+	refusals []error
 }
 
-// Option changes a member under construction.
+// Option configures a new member.
 type Option func(*Member)
 
 // WithTTL sets the lease time of sessions.
@@ -180,8 +199,8 @@
 // New returns a member that has not joined yet.
 func New(self core.Process, opts ...Option) *Member {
 	m := &Member{
-		self: self, base: string(self.ID), ttl: DefaultTTL, cellCount: 1,
-		state: sessionChart.Start(), peers: map[core.SessionID]*peer{}, cells: map[core.CellID]*held{},
+		self: self, baseID: string(self.ID), ttl: DefaultTTL, cellCount: 1,
+		state: sessionChart.Start(), peers: map[core.SessionID]*peer{}, cells: map[core.CellID]*cellEntry{},
 		promises: map[core.SessionID]time.Time{},
 	}
 	for _, o := range opts {
@@ -190,116 +209,120 @@
 	m.lease = lease.New(m.ttl)
 	for i := range m.cellCount {
 		id := core.CellID{Region: self.Region, Index: i}
-		m.cells[id] = &held{cell: id, state: cellChart.Start(), member: m}
+		m.cells[id] = &cellEntry{id: id, state: cellChart.Start(), member: m}
 	}
 	return m
 }
 
-// Self returns the process under its present session name.
+// Self returns this process with its current session ID.
 func (m *Member) Self() core.Process { return m.self }
 
 // State returns the name of the session's state.
 func (m *Member) State() string { return sessionChart.Name(m.state) }
 
-// SessionValid reports whether the session holds now.
+// SessionValid reports whether the session's lease is valid now.
 func (m *Member) SessionValid(now time.Time) bool {
-	return m.lease.Valid(now) && (m.state == sessLive || m.state == sessLeaving)
+	return m.lease.Valid(now) && (m.state == sessionLive || m.state == sessionLeaving)
 }
 
-// HasLeft reports whether the process has left.
-func (m *Member) HasLeft() bool { return m.state == sessGone }
+// HasLeft reports whether the session has ended for good.
+func (m *Member) HasLeft() bool { return m.state == sessionGone }
 
-// EndSession ends a leaving process's session.
-func (m *Member) EndSession() { m.note(sessionChart.Fire(&m.state, sessLeft, m)) }
+// EndSession completes a planned stop.
+func (m *Member) EndSession() { m.addRefusal(sessionChart.Fire(&m.state, sessionLeft, m)) }
 
-// StoreReachedAt returns when the store was last reached.
-func (m *Member) StoreReachedAt() time.Time { return m.stored }
+// StoreReachedAt returns when the latest successful renewal or scan was sent.
+func (m *Member) StoreReachedAt() time.Time { return m.storeReachedAt }
 
-// SetConfig sets the version that the session row shows.
+// SetConfig sets the configuration version that the session row reports.
 func (m *Member) SetConfig(v core.Version) { m.config = v }
 
-func (m *Member) note(err error) {
+func (m *Member) addRefusal(err error) {
 	if err != nil {
 		m.refusals = append(m.refusals, err)
 	}
 }
 
-// Refusals returns and forgets the events that a chart refused.
+// Refusals returns the errors of the chart events that were refused since the
+// last call.
 func (m *Member) Refusals() []error {
 	out := m.refusals
 	m.refusals = nil
 	return out
 }
 
-// drop gives up all cells at once.
-func (m *Member) drop() {
+// loseCells gives up the lease and all cells at once.
+func (m *Member) loseCells() {
 	m.lease.Release()
-	for _, h := range m.cells {
-		m.note(cellChart.Fire(&h.state, cellLapse, h))
+	for _, e := range m.cells {
+		m.addRefusal(cellChart.Fire(&e.state, cellLapse, e))
 	}
 }
 
-func (m *Member) releaseAll() {
-	for _, h := range m.cells {
-		m.note(cellChart.Fire(&h.state, cellRelease, h))
+// releaseCells starts the release of all cells.
+func (m *Member) releaseCells() {
+	for _, e := range m.cells {
+		m.addRefusal(cellChart.Fire(&e.state, cellRelease, e))
 	}
 }
 
-// rename begins a new incarnation, so that writes of the old one fail.
-func (m *Member) rename() {
-	m.joins++
-	m.self.ID = core.SessionID(fmt.Sprintf("%s.%d", m.base, m.joins))
-	m.version, m.beat, m.busy, m.scanned, m.round = 0, 0, false, false, nil
+// startIncarnation starts a new incarnation under a new session ID, so that
+// writes of the old one fail.
+func (m *Member) startIncarnation() {
+	m.rejoinCount++
+	m.self.ID = core.SessionID(fmt.Sprintf("%s.%d", m.baseID, m.rejoinCount))
+	m.sessionVersion, m.beat, m.renewalInFlight, m.hasScanned, m.round = 0, 0, false, false, nil
 }
 
 // Drain begins a planned stop.
-func (m *Member) Drain() { m.note(sessionChart.Fire(&m.state, sessLeave, m)) }
+func (m *Member) Drain() { m.addRefusal(sessionChart.Fire(&m.state, sessionLeave, m)) }
 
-// Row returns the session row to be written next.
+// Row returns the session row of the next renewal.
 func (m *Member) Row() Session {
-	return Session{Process: m.self, Beat: m.beat + 1, Config: m.config, Leaving: m.state == sessLeaving}
+	return Session{Process: m.self, Beat: m.beat + 1, Config: m.config, Leaving: m.state == sessionLeaving}
 }
 
-// Renewed follows a write of the session row that has taken effect.
+// Renewed handles a successful write of the session row.
 func (m *Member) Renewed(now, sent time.Time, version uint64) {
-	m.busy = false
+	m.renewalInFlight = false
 	m.beat++
-	m.version = version
-	m.stored = sent
+	m.sessionVersion = version
+	m.storeReachedAt = sent
 	m.round = nil
-	if m.state == sessJoining {
-		m.joined = now
-		m.note(sessionChart.Fire(&m.state, sessJoined, m))
+	if m.state == sessionJoining {
+		m.joinedAt = now
+		m.addRefusal(sessionChart.Fire(&m.state, sessionJoined, m))
 	}
 	m.lease.Renew(sent, m.ttl)
 }
 
-// RenewFailed follows a write whose outcome is not known; the next scan tells.
+// RenewFailed handles a write of the session row whose outcome is unknown; the
+// next scan shows the row.
 func (m *Member) RenewFailed(now time.Time) {
-	m.busy = false
-	m.nextRenew = now.Add(m.ttl / (4 * renewPart))
+	m.renewalInFlight = false
+	m.nextRenew = now.Add(m.ttl / (4 * renewalsPerTTL))
 	m.nextScan = time.Time{}
 }
 
-// RenewRefused follows a write that the store has refused: the row has been
-// changed by a peer on this process's behalf, or deleted.
+// RenewRefused handles a write of the session row that the store has refused: a
+// peer has renewed the row on this process's behalf, or the row was deleted.
 func (m *Member) RenewRefused(now time.Time) {
-	m.busy = false
+	m.renewalInFlight = false
 	m.nextScan = time.Time{}
-	m.nextRenew = now.Add(m.ttl / (4 * renewPart))
+	m.nextRenew = now.Add(m.ttl / (4 * renewalsPerTTL))
 }
 
-// Scanned takes in all session and claim rows as read by a scan sent at sent.
+// Scanned handles all session and claim rows read by the scan that started at sent.
 func (m *Member) Scanned(now, sent time.Time, sessions []core.Row[Session], claims []core.Row[Claim]) {
-	m.scanning, m.scanned = false, true
-	m.stored = sent
+	m.scanInFlight, m.hasScanned = false, true
+	m.storeReachedAt = sent
 	present := core.NewSet[core.SessionID]()
 	for _, row := range sessions {
 		s, version := row.Val, row.Version
 		id := s.Process.ID
 		present.Add(id)
 		if id == m.self.ID {
-			m.seenSelf(version, s)
+			m.observeSelf(version, s)
 			continue
 		}
 		p := m.peers[id]
@@ -307,11 +330,11 @@
 			p = &peer{joinBeat: s.Beat}
 			m.peers[id] = p
 		}
-		if m.joined.IsZero() {
+		if m.joinedAt.IsZero() {
 			p.joinBeat = s.Beat
 		}
 		if p.version != version {
-			p.session, p.version, p.seen = s, version, now
+			p.session, p.version, p.seenAt = s, version, now
 			p.liveness, p.deadSince = "", time.Time{}
 		}
 	}
@@ -321,62 +344,67 @@
 			delete(m.promises, id)
 		}
 	}
-	if !present.Has(m.self.ID) && m.state == sessLive && sent.After(m.joined) {
-		m.note(sessionChart.Fire(&m.state, sessLapse, m))
+	if !present.Has(m.self.ID) && m.state == sessionLive && sent.After(m.joinedAt) {
+		m.addRefusal(sessionChart.Fire(&m.state, sessionLapse, m))
 	}
 	for _, row := range claims {
-		m.seenClaim(now, row.Version, row.Val)
+		m.observeClaim(now, row.Version, row.Val)
 	}
 }
 
-// ScanFailed follows a scan without an answer.
-func (m *Member) ScanFailed() { m.scanning = false }
+// ScanFailed handles a scan that the store did not answer.
+func (m *Member) ScanFailed() { m.scanInFlight = false }
 
-func (m *Member) seenSelf(version uint64, s Session) {
-	if m.busy || version < m.version {
+// observeSelf records this process's session row as read by a scan.
+func (m *Member) observeSelf(version uint64, s Session) {
+	if m.renewalInFlight || version < m.sessionVersion {
 		return
 	}
-	m.version, m.beat = version, s.Beat
+	m.sessionVersion, m.beat = version, s.Beat
 }
 
-func (m *Member) seenClaim(now time.Time, version uint64, c Claim) {
-	h := m.cells[c.Cell]
-	if h == nil {
+// observeClaim records a claim row as read by a scan.
+func (m *Member) observeClaim(now time.Time, version uint64, c Claim) {
+	e := m.cells[c.Cell]
+	if e == nil {
 		if c.Cell.Region == m.self.Region {
 			return
 		}
-		h = &held{cell: c.Cell, state: cellChart.Start(), member: m}
-		m.cells[c.Cell] = h
+		e = &cellEntry{id: c.Cell, state: cellChart.Start(), member: m}
+		m.cells[c.Cell] = e
 	}
-	if version < h.version {
+	if version < e.version {
 		return
 	}
-	h.version, h.claim = version, c
-	if c.Owner != m.self.ID && h.state != cellOther && cellChart.Name(h.state) != "claiming" {
-		m.note(cellChart.Fire(&h.state, cellLost, h))
+	e.version, e.claim = version, c
+	if c.Owner != m.self.ID && e.state != cellOther && cellChart.Name(e.state) != "claiming" {
+		m.addRefusal(cellChart.Fire(&e.state, cellLost, e))
 	}
-	if m.ownerLive(now, c.Owner) && (c.Owner != m.self.ID || h.state != cellOther) {
-		h.freeSince = time.Time{}
-	} else if h.freeSince.IsZero() {
-		h.freeSince = now
+	if m.ownerLive(now, c.Owner) && (c.Owner != m.self.ID || e.state != cellOther) {
+		e.freeSince = time.Time{}
+	} else if e.freeSince.IsZero() {
+		e.freeSince = now
 	}
 }
 
+// ownerLive reports whether the owner is this process or a peer whose lease has
+// not lapsed.
 func (m *Member) ownerLive(now time.Time, owner core.SessionID) bool {
 	if owner == m.self.ID {
 		return true
 	}
 	p := m.peers[owner]
-	return p != nil && !lease.Lapsed(p.seen, now, m.ttl)
+	return p != nil && !lease.Lapsed(p.seenAt, now, m.ttl)
 }
 
-// Owners returns the peer address of each cell's owner, as last read.
+// Owners returns the owner of each cell, as last read. Cells without a known owner
+// are absent.
 func (m *Member) Owners() map[core.CellID]core.Process {
 	out := map[core.CellID]core.Process{}
-	for id, h := range m.cells {
-		if h.claim.Owner == m.self.ID {
+	for id, e := range m.cells {
+		if e.claim.Owner == m.self.ID {
 			out[id] = m.self
-		} else if p := m.peers[h.claim.Owner]; p != nil {
+		} else if p := m.peers[e.claim.Owner]; p != nil {
 			out[id] = p.session.Process
 		}
 	}
@@ -386,7 +414,7 @@
 // Cells returns the number of cells of the region.
 func (m *Member) Cells() int { return m.cellCount }
 
-// Peers returns the processes with a session, sorted by name.
+// Peers returns the other processes with a session, sorted by session ID.
 func (m *Member) Peers() []core.Process {
 	var out []core.Process
 	for _, p := range m.peers {
@@ -396,59 +424,60 @@
 	return out
 }
 
-// LowestConfig returns the lowest configuration version in force in any live
-// process.
+// LowestConfig returns the lowest configuration version in force in this process
+// and all live peers.
 func (m *Member) LowestConfig(now time.Time) core.Version {
 	low := m.config
 	for _, p := range m.peers {
-		if !lease.Lapsed(p.seen, now, m.ttl) {
+		if !lease.Lapsed(p.seenAt, now, m.ttl) {
 			low = min(low, p.session.Config)
 		}
 	}
 	return low
 }
 
-// Owned returns the cells that may be decided on now, and the cells whose
-// journal must be read first.
+// Owned returns the claims of this process's cells: those for which it may make
+// decisions, those whose journal it must read first, and those that it is
+// releasing.
 func (m *Member) Owned() (owned, loading, releasing []Claim) {
-	for _, h := range m.sorted() {
-		switch cellChart.Name(h.state) {
+	for _, e := range m.sortedCells() {
+		switch cellChart.Name(e.state) {
 		case "owned":
-			owned = append(owned, h.claim)
+			owned = append(owned, e.claim)
 		case "loading":
-			loading = append(loading, h.claim)
+			loading = append(loading, e.claim)
 		case "releasing":
-			releasing = append(releasing, h.claim)
+			releasing = append(releasing, e.claim)
 		}
 	}
 	return owned, loading, releasing
 }
 
-func (m *Member) sorted() []*held {
-	out := make([]*held, 0, len(m.cells))
-	for _, h := range m.cells {
-		out = append(out, h)
+func (m *Member) sortedCells() []*cellEntry {
+	out := make([]*cellEntry, 0, len(m.cells))
+	for _, e := range m.cells {
+		out = append(out, e)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].cell.String() < out[j].cell.String() })
+	sort.Slice(out, func(i, j int) bool { return out[i].id.String() < out[j].id.String() })
 	return out
 }
 
-// ClaimVersion returns the version of a cell's row.
+// ClaimVersion returns the last known version of a cell's claim row.
 func (m *Member) ClaimVersion(id core.CellID) uint64 {
-	if h := m.cells[id]; h != nil {
-		return h.version
+	if e := m.cells[id]; e != nil {
+		return e.version
 	}
 	return 0
 }
 
-// SetClaim follows a write of an owned cell's row by its owner.
+// SetClaim records a claim row that this process has written as the owner.
 func (m *Member) SetClaim(c Claim, version uint64) {
-	if h := m.cells[c.Cell]; h != nil && version > h.version {
-		h.claim, h.version = c, version
+	if e := m.cells[c.Cell]; e != nil && version > e.version {
+		e.claim, e.version = c, version
 	}
 }
 
-// rank orders the heirs of a cell; lower comes first.
-func rank(c core.CellID, s core.SessionID) uint64 {
+// claimRank orders the candidates for a cell; the lowest claims first.
+func claimRank(c core.CellID, s core.SessionID) uint64 {
 	return xxhash.Sum64String(c.String() + "|" + string(s))
 }
--- a/core/member/outage.go
+++ b/core/member/outage.go
@@ -7,107 +7,115 @@
 	"chicoryturn/core/lease"
 )
 
-// Answer is a peer's reply to AskHold.
+// Answer is a peer's answer to AskHold.
 type Answer struct {
-	// Renewed is set when the peer has renewed the row in the store; Version
-	// is the row's new one.
+	// Renewed is set when the peer has renewed the session row in the store.
 	Renewed bool
+	// Version is the version of the renewed row.
 	Version uint64
-	// Promised is set when the peer has promised not to claim.
+	// Promised is set when the peer has promised not to claim cells of the asking
+	// process for PromiseTTL.
 	Promised bool
-	// Dead is set when the peer was proved dead instead of answering.
+	// Dead is set when the peer did not answer and was found dead.
 	Dead bool
-	// Scheds are the scheds of the region that the peer knows.
+	// Scheds are all scheds of the region known to the peer.
 	Scheds []core.Process
 }
 
-// outage starts a round of questions when the session cannot be renewed.
-func (m *Member) outage(now time.Time) []Action {
-	if m.state != sessLive || m.self.Role != core.RoleSched || now.Sub(m.stored) < m.ttl/2 {
+// startRound asks all scheds of the region to renew the session or to promise not
+// to claim its cells once the store has not answered for half the lease time. It
+// repeats this until the store answers or MaxOutage has passed.
+func (m *Member) startRound(now time.Time) []Action {
+	if m.state != sessionLive || m.self.Role != core.RoleSched || now.Sub(m.storeReachedAt) < m.ttl/2 {
 		return nil
 	}
-	if now.Sub(m.stored) > MaxOutage {
+	if now.Sub(m.storeReachedAt) > MaxOutage {
 		return nil
 	}
-	if m.round != nil && now.Sub(m.round.sent) < m.ttl/renewPart {
+	if m.round != nil && now.Sub(m.round.sent) < m.ttl/renewalsPerTTL {
 		return nil
 	}
 	number := 1
 	if m.round != nil {
 		number = m.round.number + 1
 	}
-	m.round = &round{number: number, sent: now, waits: core.NewSet[core.SessionID]()}
+	m.round = &peerRound{number: number, sent: now, unanswered: core.NewSet[core.SessionID]()}
 	var out []Action
 	for _, id := range m.sortedPeers() {
 		p := m.peers[id].session.Process
 		if p.Role == core.RoleSched && p.Region == m.self.Region {
-			m.round.waits.Add(id)
-			out = append(out, AskHold{p, number, m.Row(), m.version})
+			m.round.unanswered.Add(id)
+			out = append(out, AskHold{p, number, m.Row(), m.sessionVersion})
 		}
 	}
-	m.closeRound()
+	m.extendIfPromised()
 	return out
 }
 
-// Held follows a peer's answer to AskHold.
+// Held handles a peer's answer to AskHold.
 func (m *Member) Held(from core.SessionID, number int, a Answer) {
 	r := m.round
-	if r == nil || r.number != number || m.state != sessLive {
+	if r == nil || r.number != number || m.state != sessionLive {
 		return
 	}
 	if a.Renewed {
-		if r.sent.Sub(m.stored) > aidPart*m.ttl {
-			m.resign(from)
+		if r.sent.Sub(m.storeReachedAt) > maxPeerRenewalTTLs*m.ttl {
+			m.resignTo(from)
 			return
 		}
 		m.beat++
-		m.version = a.Version
+		m.sessionVersion = a.Version
 		m.lease.Renew(r.sent, m.ttl)
 		return
 	}
-	delete(r.waits, from)
+	delete(r.unanswered, from)
 	if !a.Promised && !a.Dead {
 		r.failed = true
 	}
 	for _, p := range a.Scheds {
 		if p.ID != m.self.ID && m.peers[p.ID] == nil {
-			m.peers[p.ID] = &peer{session: Session{Process: p}, seen: r.sent}
+			// This process has not asked the new sched for its promise.
+			m.peers[p.ID] = &peer{session: Session{Process: p}, seenAt: r.sent}
 			r.failed = true
 		}
 	}
-	m.closeRound()
+	m.extendIfPromised()
 }
 
-// resign gives way when only this process is cut off: another one can both
-// decide and record. The peer has shown that it reaches the store.
-func (m *Member) resign(to core.SessionID) {
+// resignTo gives up all cells when only this process is cut off from the store:
+// other scheds can both make decisions and record them. The given peer has shown
+// that it reaches the store, so it is asked to delete the session.
+func (m *Member) resignTo(to core.SessionID) {
 	p := m.peers[to]
 	if p == nil {
 		return
 	}
-	m.resigned = core.Some(Resign{p.session.Process, m.self})
-	m.note(sessionChart.Fire(&m.state, sessLapse, m))
+	m.pendingResign = core.Some(Resign{p.session.Process, m.self})
+	m.addRefusal(sessionChart.Fire(&m.state, sessionLapse, m))
 }
 
-// closeRound extends the lease once every sched that could claim has promised.
-func (m *Member) closeRound() {
+// extendIfPromised extends the lease once every other sched of the region has
+// promised not to claim its cells or was found dead.
+func (m *Member) extendIfPromised() {
 	r := m.round
-	if r == nil || r.failed || len(r.waits) > 0 {
+	if r == nil || r.failed || len(r.unanswered) > 0 {
 		return
 	}
 	m.lease.Renew(r.sent, PromiseTTL)
 }
 
-// Promise answers another owner's question when this process does not reach
-// the store. It refuses when it is about to claim one of the owner's cells.
+// Promise answers AskHold when this process cannot renew the owner's session. It
+// promises not to claim the owner's cells, unless it reaches the store or is about
+// to claim one of them.
 func (m *Member) Promise(now time.Time, from core.Process) Answer {
-	a := Answer{Scheds: m.scheds()}
-	if m.state == sessGone || m.Reaches(now) {
-		// With the store in reach, whoever cannot renew has to give way.
+	a := Answer{Scheds: m.regionScheds()}
+	if m.state == sessionGone || m.Reaches(now) {
+		// While others reach the store, an owner that does not must let its
+		// lease lapse.
 		return a
 	}
-	for _, h := range m.cells {
-		if cellChart.Name(h.state) == "claiming" && h.claim.Owner == from.ID {
+	for _, e := range m.cells {
+		if cellChart.Name(e.state) == "claiming" && e.claim.Owner == from.ID {
 			return a
 		}
 	}
@@ -116,7 +124,8 @@
 	return a
 }
 
-func (m *Member) scheds() []core.Process {
+// regionScheds returns all known scheds of the region, including this process.
+func (m *Member) regionScheds() []core.Process {
 	out := []core.Process{}
 	for _, p := range m.Peers() {
 		if p.Role == core.RoleSched && p.Region == m.self.Region {
@@ -129,5 +138,6 @@
 	return out
 }
 
-// Reaches reports whether the store has answered lately.
-func (m *Member) Reaches(now time.Time) bool { return now.Sub(m.stored) < m.ttl/2 }
+// Reaches reports whether the store has answered a request that was sent within
+// the last half of the lease time.
+func (m *Member) Reaches(now time.Time) bool { return now.Sub(m.storeReachedAt) < m.ttl/2 }
--- a/core/member/plan.go
+++ b/core/member/plan.go
@@ -9,45 +9,47 @@
 	"chicoryturn/core/lease"
 )
 
-// Action is something that the process must do for its membership.
+// Action is an operation that the process must perform for its membership.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// WriteSession writes the own session row if it still has a version.
+	// WriteSession writes this process's session row if it still has Version.
 	WriteSession struct {
 		Row     Session
 		Version uint64
 	}
-	// DeleteSession deletes a session row.
+	// DeleteSession deletes a session row if it still has Version.
 	DeleteSession struct {
 		ID      core.SessionID
 		Version uint64
 	}
 	// Scan reads all session and claim rows.
 	Scan struct{}
-	// WriteClaim writes a cell's row if it still has a version and the own
-	// session row, too, is unchanged: an evicted process claims nothing.
+	// WriteClaim writes a cell's claim row if it still has Version and this
+	// process's session row is unchanged, so that a process whose session was
+	// deleted cannot claim a cell.
 	WriteClaim struct {
 		Claim   Claim
 		Version uint64
-		Self    core.SessionID
-		// Session is the version of the own session row.
+		// Self is the session of this process.
+		Self core.SessionID
+		// Session is the version of this process's session row.
 		Session uint64
 	}
 	// Probe asks a process whether it is alive.
 	Probe struct{ Process core.Process }
 	// AskHold asks a peer to renew this process's session or, if the peer does
-	// not reach the store either, for a promise not to claim its cells.
+	// not reach the store either, to promise not to claim its cells.
 	AskHold struct {
 		Peer  core.Process
 		Round int
 		Row   Session
-		// Version is that of the row to be renewed on behalf.
+		// Version is the version of the session row that Row replaces.
 		Version uint64
 	}
-	// Resign asks a peer to delete the row of this process's former session,
-	// so that its cells need not wait for the lease to lapse.
+	// Resign asks a peer to delete the session row of this process's previous
+	// incarnation, so that others can claim its cells before the lease lapses.
 	Resign struct {
 		Peer    core.Process
 		Process core.Process
@@ -62,88 +64,92 @@
 func (AskHold) action()       {}
 func (Resign) action()        {}
 
-// round collects the answers to one set of AskHold.
-type round struct {
+// peerRound collects the answers to the AskHold requests sent at one time.
+type peerRound struct {
 	number int
 	sent   time.Time
-	// waits are the peers that have not answered.
-	waits core.Set[core.SessionID]
-	// failed is set once a peer has neither promised nor been proved dead.
+	// unanswered holds the peers that have not answered.
+	unanswered core.Set[core.SessionID]
+	// failed is set once a peer has neither promised nor been found dead, or was
+	// not asked.
 	failed bool
 }
 
-// Plan returns what has to be done now.
+// Plan returns the actions that are due now.
 func (m *Member) Plan(now time.Time) []Action {
 	var out []Action
-	if m.state == sessGone {
+	if m.state == sessionGone {
 		return nil
 	}
-	// A gate owns nothing that another process may take over by time alone: its
-	// slots stay its own until it is proved dead.
-	if m.state == sessLive && m.self.Role == core.RoleSched && !m.lease.Valid(now) {
-		m.note(sessionChart.Fire(&m.state, sessLapse, m))
+	// Only a sched's session lapses with its lease. A gate owns nothing that
+	// another process may take over once a lease has lapsed: it keeps its slots
+	// until it is known to be dead.
+	if m.state == sessionLive && m.self.Role == core.RoleSched && !m.lease.Valid(now) {
+		m.addRefusal(sessionChart.Fire(&m.state, sessionLapse, m))
 	}
-	if r, ok := m.resigned.Get(); ok {
-		m.resigned = core.Option[Resign]{}
+	if r, ok := m.pendingResign.Get(); ok {
+		m.pendingResign = core.Option[Resign]{}
 		out = append(out, r)
 	}
-	m.note(sessionChart.Fire(&m.state, sessRejoin, m))
-	if !m.busy && m.claiming == 0 && !now.Before(m.nextRenew) {
-		m.busy = true
-		m.nextRenew = now.Add(m.ttl / renewPart)
-		out = append(out, WriteSession{m.Row(), m.version})
+	m.addRefusal(sessionChart.Fire(&m.state, sessionRejoin, m))
+	if !m.renewalInFlight && m.claimWrites == 0 && !now.Before(m.nextRenew) {
+		m.renewalInFlight = true
+		m.nextRenew = now.Add(m.ttl / renewalsPerTTL)
+		out = append(out, WriteSession{m.Row(), m.sessionVersion})
 	}
-	if !m.scanning && !now.Before(m.nextScan) {
-		m.scanning = true
-		m.nextScan = now.Add(m.ttl / (2 * renewPart))
+	if !m.scanInFlight && !now.Before(m.nextScan) {
+		m.scanInFlight = true
+		m.nextScan = now.Add(m.ttl / (2 * renewalsPerTTL))
 		out = append(out, Scan{})
 	}
-	out = append(out, m.outage(now)...)
-	if m.state == sessLive && m.scanned && !m.busy && m.self.Role == core.RoleSched {
-		out = append(out, m.claims(now)...)
+	out = append(out, m.startRound(now)...)
+	if m.state == sessionLive && m.hasScanned && !m.renewalInFlight && m.self.Role == core.RoleSched {
+		out = append(out, m.assignCells(now)...)
 	}
-	return append(out, m.probes(now)...)
+	return append(out, m.probeLapsed(now)...)
 }
 
-// claims decides which cells to claim and which to hand over.
-func (m *Member) claims(now time.Time) []Action {
-	heirs := m.heirs(now)
+// assignCells claims cells without a live owner and starts to release cells while
+// another candidate has at least two fewer.
+func (m *Member) assignCells(now time.Time) []Action {
+	candidates := m.candidates(now)
 	var out []Action
-	mine := 0
-	for _, h := range m.sorted() {
-		if h.state != cellOther && h.state != cellReleasing {
-			mine++
+	owned := 0
+	for _, e := range m.sortedCells() {
+		if e.state != cellOther && e.state != cellReleasing {
+			owned++
 		}
 	}
-	fair := (m.cellCount + len(heirs) - 1) / len(heirs)
-	for _, h := range m.sorted() {
-		if h.cell.Region != m.self.Region {
+	fairShare := (m.cellCount + len(candidates) - 1) / len(candidates)
+	for _, e := range m.sortedCells() {
+		if e.id.Region != m.self.Region {
 			continue
 		}
-		if h.state == cellOther && m.mayClaim(now, h, heirs, mine, fair) {
-			m.note(cellChart.Fire(&h.state, cellClaim, h))
-			mine++
-			next := h.claim
-			next.Cell, next.Owner, next.Offer = h.cell, m.self.ID, ""
+		if e.state == cellOther && m.mayClaim(now, e, candidates, owned, fairShare) {
+			m.addRefusal(cellChart.Fire(&e.state, cellClaim, e))
+			owned++
+			next := e.claim
+			next.Cell, next.Owner, next.Offer = e.id, m.self.ID, ""
 			next.Epoch++
-			m.claiming++
+			m.claimWrites++
 			out = append(out, m.writeClaim(next))
 		}
-		if h.state == cellOwned && m.spare(heirs, mine-1) != "" {
-			m.note(cellChart.Fire(&h.state, cellRelease, h))
-			mine--
+		if e.state == cellOwned && m.leastLoaded(candidates, owned-1) != "" {
+			m.addRefusal(cellChart.Fire(&e.state, cellRelease, e))
+			owned--
 		}
 	}
 	return out
 }
 
-// heirs are the live scheds of the region that are not leaving.
-func (m *Member) heirs(now time.Time) []core.SessionID {
+// candidates returns the live scheds of the region that are not leaving, including
+// this process, sorted by session ID.
+func (m *Member) candidates(now time.Time) []core.SessionID {
 	out := []core.SessionID{m.self.ID}
 	for id, p := range m.peers {
 		s := p.session
 		if s.Process.Role == core.RoleSched && s.Process.Region == m.self.Region && !s.Leaving &&
-			!lease.Lapsed(p.seen, now, m.ttl) {
+			!lease.Lapsed(p.seenAt, now, m.ttl) {
 			out = append(out, id)
 		}
 	}
@@ -151,38 +157,44 @@
 	return out
 }
 
-func (m *Member) mayClaim(now time.Time, h *held, heirs []core.SessionID, mine, fair int) bool {
-	if h.freeSince.IsZero() && h.claim.Owner != "" {
+// mayClaim reports whether this process may claim a cell now. It starts the claim
+// delay of a cell that has no owner. The delays of the candidates are claimStagger
+// apart, in the order of claimRank, so that they do not all write the claim at
+// once. A process that has its fair share of cells, or that sees the cell offered
+// to another candidate, lets all candidates try first. The process to which the
+// cell is offered has no delay.
+func (m *Member) mayClaim(now time.Time, e *cellEntry, candidates []core.SessionID, owned, fairShare int) bool {
+	if e.freeSince.IsZero() && e.claim.Owner != "" {
 		return false
 	}
-	if h.freeSince.IsZero() {
-		h.freeSince = now
+	if e.freeSince.IsZero() {
+		e.freeSince = now
 	}
-	if h.claim.Offer != m.self.ID {
-		turn := 0
-		for _, id := range heirs {
-			if rank(h.cell, id) < rank(h.cell, m.self.ID) {
-				turn++
+	if e.claim.Offer != m.self.ID {
+		steps := 0
+		for _, id := range candidates {
+			if claimRank(e.id, id) < claimRank(e.id, m.self.ID) {
+				steps++
 			}
 		}
-		if mine >= fair || slices.Contains(heirs, h.claim.Offer) {
-			turn += len(heirs)
+		if owned >= fairShare || slices.Contains(candidates, e.claim.Offer) {
+			steps += len(candidates)
 		}
-		if now.Before(h.freeSince.Add(time.Duration(turn) * stagger)) {
+		if now.Before(e.freeSince.Add(time.Duration(steps) * claimStagger)) {
 			return false
 		}
 	}
-	return h.claim.Owner == "" || m.surelyLapsed(now, h.claim.Owner)
+	return e.claim.Owner == "" || m.provablyLapsed(now, e.claim.Owner)
 }
 
-// surelyLapsed reports whether an owner can hold its session neither by the
-// store nor by promises.
-func (m *Member) surelyLapsed(now time.Time, owner core.SessionID) bool {
+// provablyLapsed reports whether an owner's lease must have ended, since the owner
+// can have extended it neither through the store nor through promises.
+func (m *Member) provablyLapsed(now time.Time, owner core.SessionID) bool {
 	p := m.peers[owner]
 	if p == nil {
 		return true
 	}
-	if !lease.Lapsed(p.seen, now, m.ttl) {
+	if !lease.Lapsed(p.seenAt, now, m.ttl) {
 		return false
 	}
 	switch p.liveness {
@@ -192,102 +204,105 @@
 		if now.Before(m.promises[owner]) {
 			return false
 		}
-		return p.session.Beat >= p.joinBeat+knownBeats || now.Sub(p.seen) > MaxOutage
+		// An owner that knows of this process would have asked for its promise.
+		return p.session.Beat >= p.joinBeat+minBeatsSinceJoin || now.Sub(p.seenAt) > MaxOutage
 	default:
 		return false
 	}
 }
 
-// spare returns the live heir with the fewest cells, if it has fewer than most.
-func (m *Member) spare(heirs []core.SessionID, most int) core.SessionID {
-	count := map[core.SessionID]int{}
-	for _, h := range m.cells {
-		count[h.claim.Owner]++
-		if h.claim.Offer != "" {
-			count[h.claim.Offer]++
+// leastLoaded returns the other candidate with the fewest cells, owned or offered,
+// or an empty ID if none has fewer than limit.
+func (m *Member) leastLoaded(candidates []core.SessionID, limit int) core.SessionID {
+	counts := map[core.SessionID]int{}
+	for _, e := range m.cells {
+		counts[e.claim.Owner]++
+		if e.claim.Offer != "" {
+			counts[e.claim.Offer]++
 		}
 	}
 	best := core.SessionID("")
-	for _, id := range heirs {
-		if id != m.self.ID && count[id] < most && (best == "" || count[id] < count[best]) {
+	for _, id := range candidates {
+		if id != m.self.ID && counts[id] < limit && (best == "" || counts[id] < counts[best]) {
 			best = id
 		}
 	}
 	return best
 }
 
-// Release returns the row that hands a cell over.
+// Release returns the write that releases a cell and offers it to the candidate
+// with the fewest cells.
 func (m *Member) Release(now time.Time, c Claim) WriteClaim {
-	heirs := m.heirs(now)
+	candidates := m.candidates(now)
 	next := c
 	next.Owner = ""
-	next.Offer = m.spare(heirs, m.cellCount+1)
-	m.claiming++
+	next.Offer = m.leastLoaded(candidates, m.cellCount+1)
+	m.claimWrites++
 	return m.writeClaim(next)
 }
 
 func (m *Member) writeClaim(c Claim) WriteClaim {
-	return WriteClaim{c, m.ClaimVersion(c.Cell), m.self.ID, m.version}
+	return WriteClaim{c, m.ClaimVersion(c.Cell), m.self.ID, m.sessionVersion}
 }
 
-// ReleaseFailed follows a hand-over whose write has failed.
-func (m *Member) ReleaseFailed() { m.claiming-- }
+// ReleaseFailed handles a failed write of a release.
+func (m *Member) ReleaseFailed() { m.claimWrites-- }
 
-// Released follows the write that handed a cell over.
+// Released handles a successful write of a release.
 func (m *Member) Released(c Claim, version uint64) {
-	m.claiming--
-	h := m.cells[c.Cell]
-	if h == nil {
+	m.claimWrites--
+	e := m.cells[c.Cell]
+	if e == nil {
 		return
 	}
 	m.SetClaim(c, version)
-	h.freeSince = time.Time{}
-	m.note(cellChart.Fire(&h.state, cellReleased, h))
+	e.freeSince = time.Time{}
+	m.addRefusal(cellChart.Fire(&e.state, cellReleased, e))
 }
 
-// Claimed follows the write of a claim. An unknown outcome counts as lost: the
-// next scan shows an owner by this name, and the claim is made anew.
+// Claimed handles the end of a claim's write. An unknown outcome counts as a lost
+// claim: if the next scan shows this process as the owner, it claims again.
 func (m *Member) Claimed(c Claim, version uint64, ok bool) {
-	m.claiming--
-	h := m.cells[c.Cell]
-	if h == nil {
+	m.claimWrites--
+	e := m.cells[c.Cell]
+	if e == nil {
 		return
 	}
-	if !ok || m.state != sessLive || c.Owner != m.self.ID {
-		m.note(cellChart.Fire(&h.state, cellLost, h))
+	if !ok || m.state != sessionLive || c.Owner != m.self.ID {
+		m.addRefusal(cellChart.Fire(&e.state, cellLost, e))
 		m.nextScan = time.Time{}
 		return
 	}
 	m.SetClaim(c, version)
-	h.freeSince = time.Time{}
-	m.note(cellChart.Fire(&h.state, cellWon, h))
+	e.freeSince = time.Time{}
+	m.addRefusal(cellChart.Fire(&e.state, cellWon, e))
 }
 
-// Loaded follows the reading of a cell's journal.
+// Loaded handles the end of reading a cell's journal.
 func (m *Member) Loaded(id core.CellID) {
-	if h := m.cells[id]; h != nil {
-		m.note(cellChart.Fire(&h.state, cellLoaded, h))
+	if e := m.cells[id]; e != nil {
+		m.addRefusal(cellChart.Fire(&e.state, cellLoaded, e))
 	}
 }
 
-// Lost follows the proof that another process owns a cell: a worker or the
-// store has refused the epoch.
+// Lost handles the proof that another process owns a cell: a worker or the store
+// has refused this process's epoch.
 func (m *Member) Lost(id core.CellID) {
-	if h := m.cells[id]; h != nil {
-		m.note(cellChart.Fire(&h.state, cellLost, h))
+	if e := m.cells[id]; e != nil {
+		m.addRefusal(cellChart.Fire(&e.state, cellLost, e))
 		m.nextScan = time.Time{}
 	}
 }
 
-// probes asks lapsed processes whether they are alive.
-func (m *Member) probes(now time.Time) []Action {
+// probeLapsed probes the peers whose leases have lapsed.
+func (m *Member) probeLapsed(now time.Time) []Action {
 	var out []Action
 	for _, id := range m.sortedPeers() {
 		p := m.peers[id]
-		if p.probing || !lease.Lapsed(p.seen, now, m.ttl) || now.Sub(p.probed) < m.ttl/renewPart {
+		if p.probeInFlight || !lease.Lapsed(p.seenAt, now, m.ttl) || now.Sub(p.probedAt) < m.ttl/renewalsPerTTL {
 			continue
 		}
-		p.probing, p.probed = true, now
+		p.probeInFlight, p.probedAt = true, now
 		out = append(out, Probe{p.session.Process})
 	}
 	return out
@@ -302,14 +317,14 @@
 	return out
 }
 
-// Probed follows a probe.
+// Probed handles the result of a probe.
 func (m *Member) Probed(now time.Time, id core.SessionID, l Liveness) {
 	p := m.peers[id]
 	if p == nil {
 		return
 	}
-	p.probing = false
-	if !lease.Lapsed(p.seen, now, m.ttl) {
+	p.probeInFlight = false
+	if !lease.Lapsed(p.seenAt, now, m.ttl) {
 		return
 	}
 	p.liveness = l
@@ -318,34 +333,36 @@
 	}
 }
 
-// VMGone follows the platform's word that a VM does not exist any more.
+// VMGone handles the platform's report that a VM no longer exists: processes of the
+// VM whose leases have lapsed count as dead.
 func (m *Member) VMGone(now time.Time, vm string) {
 	for _, p := range m.peers {
-		if p.session.Process.VM == vm && lease.Lapsed(p.seen, now, m.ttl) && p.deadSince.IsZero() {
+		if p.session.Process.VM == vm && lease.Lapsed(p.seenAt, now, m.ttl) && p.deadSince.IsZero() {
 			p.liveness, p.deadSince = Dead, now
 		}
 	}
 }
 
-// DeadFor returns the sessions that have been proved dead for at least wait,
-// and those of scheds that have been silent for long and own nothing: they can
-// neither claim nor renew without their row.
+// DeadFor returns the sessions to be deleted, none of which owns a cell: those of
+// processes found dead at least wait ago, and those of scheds that
+// have been silent for longer than evictSilentAfter. Deleting the session of a
+// silent sched is safe, since it can neither claim nor renew without its row.
 func (m *Member) DeadFor(now time.Time, wait time.Duration) []DeleteSession {
 	var out []DeleteSession
 	for _, id := range m.sortedPeers() {
 		p := m.peers[id]
 		dead := !p.deadSince.IsZero() && now.Sub(p.deadSince) >= wait
-		silent := p.session.Process.Role == core.RoleSched && p.liveness == Silent && now.Sub(p.seen) > evictAfter
-		if (dead || silent) && !m.owns(id) {
+		silent := p.session.Process.Role == core.RoleSched && p.liveness == Silent && now.Sub(p.seenAt) > evictSilentAfter
+		if (dead || silent) && !m.ownsCell(id) {
 			out = append(out, DeleteSession{id, p.version})
 		}
 	}
 	return out
 }
 
-func (m *Member) owns(id core.SessionID) bool {
-	for _, h := range m.cells {
-		if h.claim.Owner == id {
+func (m *Member) ownsCell(id core.SessionID) bool {
+	for _, e := range m.cells {
+		if e.claim.Owner == id {
 			return true
 		}
 	}
