--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -114,7 +114,8 @@
 	excluded core.Set[string]
 }
 
-// delayedRelease returns one slot and one call to their rows at a given time.
+// delayedRelease ends the use of one target slot and of one request of a team's
+// limit at a given time.
 type delayedRelease struct {
 	at       time.Time
 	slotsRow string
@@ -202,8 +203,9 @@
 }
 
 // declareTotals declares the total of every row to the allocator, and the slack
-// that this gate may keep unused. The slack of targets in other regions is
-// zero.
+// that this gate may keep unused: an equal part of a target's slots among the
+// region's gates, none of a target in another region, and half an equal part of a
+// team's limit, at least 1.
 func (c *Controller) declareTotals() {
 	rows := core.NewSet[string]()
 	for _, t := range c.targets {
--- a/core/admit/controller_test.go
+++ b/core/admit/controller_test.go
@@ -58,6 +58,7 @@
 	return f.ctrl.Admit(f.now, admit.Request{ID: f.lastID, Team: "a", Rule: f.rule})
 }
 
+// newRule returns a queue rule; repeat allows retries of requests that may have run.
 func newRule(repeat bool) rules.Queue {
 	return rules.Queue{Name: "q", Kind: rules.Answer, Service: "s", Wait: time.Second, Run: time.Second, Backlog: 2, Repeat: repeat}
 }
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -453,6 +453,7 @@
 	return owned, loading, releasing
 }
 
+// sortedCells returns all cells in the order of their names.
 func (m *Member) sortedCells() []*cellEntry {
 	out := make([]*cellEntry, 0, len(m.cells))
 	for _, e := range m.cells {
