--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// unhurried is the latest start of work that is owed none.
-	unhurried = time.Hour
-	// watchPart divides the lease time of a worker into contacts.
-	watchPart = 3
-	// retryPart divides it into the pause before a missed contact is retried.
-	retryPart = 12
-	// maxBatch bounds the entries of one write.
-	maxBatch = 2000
-	// keepEnded is how many ended jobs are kept for display.
-	keepEnded = 2000
+	// defaultStartDelay is the latest start of work that is owed none.
+	defaultStartDelay = time.Hour
+	// longPollDivisor divides the lease time of a worker into contacts.
+	longPollDivisor = 3
+	// retryDivisor divides it into the pause before a missed contact is retried.
+	retryDivisor = 12
+	// maxBatchEntries bounds the entries of one write.
+	maxBatchEntries = 2000
+	// maxEndedJobs is how many ended jobs are kept for display.
+	maxEndedJobs = 2000
 	// queueDegree is that of the trees of waiting jobs.
 	queueDegree = 16
 	// epochShift leaves room for the runs of one epoch below its number.
@@ -55,8 +55,8 @@
 // LimitName returns the name of the limit on a team's running tasks.
 func LimitName(t core.Team) string { return "cores/" + string(t) }
 
-// Wait is the time from a task's submission to its start.
-type Wait struct {
+// TaskWait is the time from a task's submission to its start.
+type TaskWait struct {
 	Queue core.Queue
 	Team  core.Team
 	Time  time.Duration
@@ -73,37 +73,37 @@
 	loading   bool
 
 	workers map[core.WorkerID]*Worker
-	// order holds the workers sorted by ID.
-	order []*Worker
-	ready []*Worker
-	// known are the workers that have ever been recorded as used here; tasks
+	// workersByID holds the workers sorted by ID.
+	workersByID []*Worker
+	sendQueue   []*Worker
+	// recordedWorkers are the workers that have ever been recorded as used here; tasks
 	// are placed on no other.
-	known  core.Set[core.WorkerID]
-	orders uint64
-	// runs counts the runs begun under this epoch.
-	runs   uint64
-	rooms  *place.Index
-	guess  *Estimator
-	shares *share.Table
+	recordedWorkers core.Set[core.WorkerID]
+	lastOrder       uint64
+	// runCount counts the runs begun under this epoch.
+	runCount  uint64
+	roomIndex *place.Index
+	estimator *Estimator
+	shares    *share.Table
 
 	jobs     map[core.JobID]*Job
 	openJobs int
-	// endedOrder holds the ended jobs, the oldest first.
-	endedOrder []core.JobID
-	teams      map[core.Team]*line
-	// held are the recovered tasks that may run on a worker not heard of yet;
+	// endedJobs holds the ended jobs, the oldest first.
+	endedJobs  []core.JobID
+	teamQueues map[core.Team]*teamQueue
+	// heldTasks are the recovered tasks that may run on a worker not heard of yet;
 	// they count against their team's limit.
-	held    core.Set[*Task]
-	gang    *reservation
-	seq     uint64
-	changed bool
-	// yieldTurn is the worker at which the last search for room ended.
-	yieldTurn int
-	pending   []Entry
-	flying    []Entry
-	waits     []Wait
-	refusals  []error
-	counts    Counts
+	heldTasks   core.Set[*Task]
+	reservation *gangReservation
+	lastJobSeq  uint64
+	needsPlan   bool
+	// preemptCursor is the worker at which the last search for room ended.
+	preemptCursor  int
+	pendingEntries []Entry
+	inFlight       []Entry
+	taskWaits      []TaskWait
+	refusedEvents  []error
+	counts         Counts
 }
 
 // Counts are running totals for metrics.
@@ -111,13 +111,13 @@
 	Starts, Ends, Lapses, Yields uint64
 }
 
-// line is one team's waiting work.
-type line struct {
+// teamQueue is one team's waiting work.
+type teamQueue struct {
 	team core.Team
 	// jobs holds the jobs with queued tasks by latest start.
 	jobs *btree.BTreeG[*Job]
-	// cores sums the queued tasks, in thousandths of a core.
-	cores int64
+	// queuedCores sums the queued tasks, in thousandths of a core.
+	queuedCores int64
 }
 
 // Option changes a cell under construction.
@@ -133,9 +133,9 @@
 func New(id core.CellID, epoch core.Epoch, limits Limits, opts ...Option) *Cell {
 	c := &Cell{
 		id: id, epoch: epoch, limits: limits, workerTTL: DefaultWorkerTTL, policy: DefaultPolicy(),
-		workers: map[core.WorkerID]*Worker{}, known: core.NewSet[core.WorkerID](),
-		rooms: place.New(), guess: NewEstimator(), shares: share.New(),
-		jobs: map[core.JobID]*Job{}, teams: map[core.Team]*line{}, held: core.NewSet[*Task](),
+		workers: map[core.WorkerID]*Worker{}, recordedWorkers: core.NewSet[core.WorkerID](),
+		roomIndex: place.New(), estimator: NewEstimator(), shares: share.New(),
+		jobs: map[core.JobID]*Job{}, teamQueues: map[core.Team]*teamQueue{}, heldTasks: core.NewSet[*Task](),
 	}
 	for _, o := range opts {
 		o(c)
@@ -149,25 +149,25 @@
 // Epoch returns the owner's epoch.
 func (c *Cell) Epoch() core.Epoch { return c.epoch }
 
-// note keeps an event that a chart refused, for the log.
-func (c *Cell) note(err error) {
+// recordRefused keeps an event that a chart refused, for the log.
+func (c *Cell) recordRefused(err error) {
 	if err != nil {
-		c.refusals = append(c.refusals, err)
+		c.refusedEvents = append(c.refusedEvents, err)
 	}
 }
 
 // Refusals returns and forgets the events that a chart refused.
 func (c *Cell) Refusals() []error {
-	out := c.refusals
-	c.refusals = nil
+	out := c.refusedEvents
+	c.refusedEvents = nil
 	return out
 }
 
 // Waits returns and forgets the waiting times of tasks started since the last
 // call.
-func (c *Cell) Waits() []Wait {
-	out := c.waits
-	c.waits = nil
+func (c *Cell) Waits() []TaskWait {
+	out := c.taskWaits
+	c.taskWaits = nil
 	return out
 }
 
@@ -177,7 +177,7 @@
 // SetRules follows a new configuration.
 func (c *Cell) SetRules(set *rules.Set) {
 	c.shares.SetRules(set)
-	c.changed = true
+	c.needsPlan = true
 }
 
 // SetRemoteUse tells what a team uses in other cells and the fleet's room.
@@ -191,50 +191,50 @@
 		id := core.WorkerID(vm.Name)
 		listed.Add(id)
 		w := c.workers[id]
-		if w == nil || w.state == workerGone {
+		if w == nil || w.state == workerStateGone {
 			w = c.addWorker(id)
 		}
-		w.vm, w.leaves = vm, vm.Leaving
-		c.wake(w)
-		c.index(w)
+		w.vm, w.leaving = vm, vm.Leaving
+		c.queueHeartbeat(w)
+		c.updateRoom(w)
 	}
-	for _, w := range c.order {
+	for _, w := range c.workersByID {
 		if !listed.Has(w.id) && w.vm.Addr.IsValid() {
-			w.fire(workerVanish)
+			w.fire(workerEventVanish)
 		}
 	}
-	c.dropGone()
+	c.removeGoneWorkers()
 	c.checkBlocked()
 }
 
 func (c *Cell) addWorker(id core.WorkerID) *Worker {
 	w := &Worker{
-		id: id, cell: c, state: workerChart.Start(), health: healthChart.Start(), heard: c.now,
-		tasks: map[core.TaskID]*Task{}, orphans: map[core.TaskID]orphan{},
+		id: id, cell: c, state: workerChart.Start(), health: healthChart.Start(), lastReportAt: c.now,
+		tasks: map[core.TaskID]*Task{}, orphans: map[core.TaskID]orphanedRun{},
 	}
 	c.workers[id] = w
-	i, _ := slices.BinarySearchFunc(c.order, id, func(o *Worker, id core.WorkerID) int { return cmp.Compare(o.id, id) })
-	c.order = slices.Insert(c.order, i, w)
-	if !c.known.Has(id) {
-		c.write(Entry{Worker: id})
+	i, _ := slices.BinarySearchFunc(c.workersByID, id, func(o *Worker, id core.WorkerID) int { return cmp.Compare(o.id, id) })
+	c.workersByID = slices.Insert(c.workersByID, i, w)
+	if !c.recordedWorkers.Has(id) {
+		c.appendEntry(Entry{Worker: id})
 	}
 	return w
 }
 
-func (c *Cell) dropGone() {
-	c.order = slices.DeleteFunc(c.order, func(w *Worker) bool {
-		if w.state == workerGone {
+func (c *Cell) removeGoneWorkers() {
+	c.workersByID = slices.DeleteFunc(c.workersByID, func(w *Worker) bool {
+		if w.state == workerStateGone {
 			delete(c.workers, w.id)
-			c.rooms.Drop(w.id)
-			c.write(Entry{Gone: w.id})
+			c.roomIndex.Drop(w.id)
+			c.appendEntry(Entry{Gone: w.id})
 		}
-		return w.state == workerGone
+		return w.state == workerStateGone
 	})
 }
 
-func (c *Cell) knownWorkers() []core.WorkerID {
-	out := make([]core.WorkerID, 0, len(c.known))
-	for id := range c.known {
+func (c *Cell) recordedWorkerIDs() []core.WorkerID {
+	out := make([]core.WorkerID, 0, len(c.recordedWorkers))
+	for id := range c.recordedWorkers {
 		out = append(out, id)
 	}
 	slices.Sort(out)
@@ -250,65 +250,65 @@
 	return out
 }
 
-// index shows the worker's room to placement if it may take tasks.
-func (c *Cell) index(w *Worker) {
-	if !w.usable() || !c.known.Has(w.id) {
-		c.rooms.Drop(w.id)
+// updateRoom shows the worker's room to placement if it may take tasks.
+func (c *Cell) updateRoom(w *Worker) {
+	if !w.usable() || !c.recordedWorkers.Has(w.id) {
+		c.roomIndex.Drop(w.id)
 		return
 	}
-	c.rooms.Put(w.id, w.free, w.room)
-	c.changed = true
+	c.roomIndex.Put(w.id, w.free, w.room)
+	c.needsPlan = true
 }
 
-// take charges room on a worker and a team's limit.
-func (c *Cell) take(w *Worker, team core.Team, need core.Resources) {
+// allocate charges room on a worker and a team's limit.
+func (c *Cell) allocate(w *Worker, team core.Team, need core.Resources) {
 	w.free = w.free.Sub(need)
 	c.shares.Use(team, need)
 	c.limits.Use(LimitName(team), need.Cores)
-	c.index(w)
+	c.updateRoom(w)
 }
 
-func (c *Cell) give(w *Worker, team core.Team, need core.Resources) {
+func (c *Cell) deallocate(w *Worker, team core.Team, need core.Resources) {
 	back := core.Resources{}.Sub(need)
 	w.free = w.free.Add(need)
 	c.shares.Use(team, back)
 	c.limits.Use(LimitName(team), -need.Cores)
-	c.index(w)
+	c.updateRoom(w)
 }
 
-// hold counts a task against its team's limit while it may run somewhere.
-func (c *Cell) hold(t *Task) {
-	c.held.Add(t)
+// addHeld counts a task against its team's limit while it may run somewhere.
+func (c *Cell) addHeld(t *Task) {
+	c.heldTasks.Add(t)
 	c.limits.Use(LimitName(t.job.Spec.Team), t.spec().Need.Cores)
 }
 
-func (c *Cell) unhold(t *Task) {
-	if c.held.Has(t) {
-		delete(c.held, t)
+func (c *Cell) removeHeld(t *Task) {
+	if c.heldTasks.Has(t) {
+		delete(c.heldTasks, t)
 		c.limits.Use(LimitName(t.job.Spec.Team), -t.spec().Need.Cores)
 	}
 }
 
-// clearHeld queues the recovered tasks once no worker can be running them.
-func (c *Cell) clearHeld() {
-	if len(c.held) == 0 || c.loading || c.unheard() > 0 {
+// requeueHeld queues the recovered tasks once no worker can be running them.
+func (c *Cell) requeueHeld() {
+	if len(c.heldTasks) == 0 || c.loading || c.unreportedWorkers() > 0 {
 		return
 	}
-	held := make([]*Task, 0, len(c.held))
-	for t := range c.held {
+	held := make([]*Task, 0, len(c.heldTasks))
+	for t := range c.heldTasks {
 		held = append(held, t)
 	}
 	sortTasks(held)
 	for _, t := range held {
-		t.fire(taskClear)
+		t.fire(taskEventClear)
 	}
 }
 
-// unheard counts the workers that may run tasks of an earlier owner.
-func (c *Cell) unheard() int {
+// unreportedWorkers counts the workers that may run tasks of an earlier owner.
+func (c *Cell) unreportedWorkers() int {
 	n := 0
-	for _, w := range c.order {
-		if w.state == workerNew {
+	for _, w := range c.workersByID {
+		if w.state == workerStateNew {
 			n++
 		}
 	}
@@ -319,26 +319,26 @@
 func (c *Cell) Tick(now time.Time) {
 	c.now = now
 	gone := false
-	for _, w := range c.order {
-		if w.state != workerLapsed && now.After(w.expiry()) {
-			w.fire(workerExpire)
+	for _, w := range c.workersByID {
+		if w.state != workerStateLapsed && now.After(w.leaseEnd()) {
+			w.fire(workerEventExpire)
 		}
-		if w.state == workerLapsed && !w.vm.Addr.IsValid() {
-			w.fire(workerVanish)
+		if w.state == workerStateLapsed && !w.vm.Addr.IsValid() {
+			w.fire(workerEventVanish)
 			gone = true
 		}
-		if w.health == healthAside && now.After(w.probe) {
-			c.note(healthChart.Fire(&w.health, healthProbe, w))
+		if w.health == healthStateAside && now.After(w.nextProbe) {
+			c.recordRefused(healthChart.Fire(&w.health, healthEventProbe, w))
 		}
-		if !w.watching || w.dirty {
-			c.wake(w)
+		if !w.pollInFlight || w.hasNewOrders {
+			c.queueHeartbeat(w)
 		}
 	}
 	if gone {
-		c.dropGone()
+		c.removeGoneWorkers()
 	}
-	c.expireGang()
-	c.shed()
+	c.expireReservation()
+	c.enforceLimits()
 }
 
 // Submit takes in a job. The job counts once Recorded has named it; a repeated
@@ -351,8 +351,8 @@
 	if err := c.checkSize(&spec); err != nil {
 		return false, err
 	}
-	j := c.add(spec)
-	c.write(Entry{Accept: &j.Spec})
+	j := c.addJob(spec)
+	c.appendEntry(Entry{Accept: &j.Spec})
 	return true, nil
 }
 
@@ -362,9 +362,9 @@
 	return j != nil && jobChart.Name(j.state) == "offered"
 }
 
-func (c *Cell) add(spec JobSpec) *Job {
-	c.seq++
-	j := &Job{Spec: spec, cell: c, state: jobChart.Start(), seq: c.seq, open: len(spec.Tasks)}
+func (c *Cell) addJob(spec JobSpec) *Job {
+	c.lastJobSeq++
+	j := &Job{Spec: spec, cell: c, state: jobChart.Start(), seq: c.lastJobSeq, openTasks: len(spec.Tasks)}
 	j.tasks = make([]Task, len(spec.Tasks))
 	for i := range j.tasks {
 		j.tasks[i] = Task{job: j, index: i, state: taskChart.Start()}
@@ -383,20 +383,20 @@
 		if t.Need.Cores <= 0 || t.Need.Memory < 0 || t.Need.Accel < 0 || t.Estimate < 0 {
 			return core.Refuse(core.CodeBadInput, "task %d needs a positive number of cores and no negative amount", i)
 		}
-		if !c.fitsAny(t.Need) {
+		if !c.fitsAnyWorker(t.Need) {
 			return core.Refuse(core.CodeTooLarge, "task %d is larger than any worker of cell %s", i, c.id)
 		}
 		sum = sum.Add(t.Need)
 	}
-	if spec.Kind == rules.Gang && !sum.Fits(c.total()) {
+	if spec.Kind == rules.Gang && !sum.Fits(c.totalRoom()) {
 		return core.Refuse(core.CodeTooLarge, "the job's tasks together are larger than cell %s", c.id)
 	}
 	return nil
 }
 
-// fitsAny reports whether a task fits some worker that is empty.
-func (c *Cell) fitsAny(need core.Resources) bool {
-	for _, w := range c.order {
+// fitsAnyWorker reports whether a task fits some worker that is empty.
+func (c *Cell) fitsAnyWorker(need core.Resources) bool {
+	for _, w := range c.workersByID {
 		if need.Fits(w.vm.Room) {
 			return true
 		}
@@ -404,9 +404,9 @@
 	return false
 }
 
-func (c *Cell) total() core.Resources {
+func (c *Cell) totalRoom() core.Resources {
 	sum := core.Resources{}
-	for _, w := range c.order {
+	for _, w := range c.workersByID {
 		sum = sum.Add(w.vm.Room)
 	}
 	return sum
@@ -420,7 +420,7 @@
 	if j == nil {
 		return core.Refuse(core.CodeNoJob, "no job %q in cell %s", id, c.id)
 	}
-	if j.cancelled || j.open == 0 {
+	if j.cancelled || j.openTasks == 0 {
 		return nil
 	}
 	if c.Recording(id) {
@@ -428,8 +428,8 @@
 		r.RetryAfter = time.Second
 		return r
 	}
-	c.write(Entry{Cancel: id})
-	j.fire(jobCancel)
+	c.appendEntry(Entry{Cancel: id})
+	j.fire(jobEventCancel)
 	return nil
 }
 
@@ -463,12 +463,12 @@
 	return &j.tasks[id.Index]
 }
 
-func (c *Cell) learn(t *Task, ran time.Duration) {
+func (c *Cell) recordSuccess(t *Task, ran time.Duration) {
 	c.counts.Ends++
-	c.guess.Learn(t.job.Spec.Queue, t.spec().Estimate, ran)
+	c.estimator.Learn(t.job.Spec.Queue, t.spec().Estimate, ran)
 }
 
-func lessTask(a, b core.TaskID) bool {
+func lessTaskID(a, b core.TaskID) bool {
 	if a.Job != b.Job {
 		return a.Job < b.Job
 	}
@@ -477,7 +477,7 @@
 
 func sortTasks(ts []*Task) {
 	slices.SortFunc(ts, func(a, b *Task) int {
-		if lessTask(a.ID(), b.ID()) {
+		if lessTaskID(a.ID(), b.ID()) {
 			return -1
 		}
 		return 1
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -21,12 +21,12 @@
 )
 
 // limits grants a fixed part of every limit.
-type limits struct{ part, used map[string]int64 }
+type limits struct{ parts, used map[string]int64 }
 
 func newLimits() *limits { return &limits{map[string]int64{}, map[string]int64{}} }
 
 func (l *limits) Available(name string) int64 {
-	if part, ok := l.part[name]; ok {
+	if part, ok := l.parts[name]; ok {
 		return part - l.used[name]
 	}
 	return 1 << 40
@@ -35,19 +35,19 @@
 func (l *limits) Use(name string, n int64) { l.used[name] += n }
 func (l *limits) SetDemand(string, int64)  {}
 
-// rig is a cell with workers that answer when told to.
-type rig struct {
+// harness is a cell with workers that answer when told to.
+type harness struct {
 	t      *testing.T
 	cell   *cell.Cell
 	limits *limits
 	now    time.Time
 	seq    uint64
 	tasks  map[core.WorkerID]map[core.TaskID]cell.TaskReport
-	open   []cell.Heartbeat
+	unsent []cell.Heartbeat
 }
 
-func newRig(t testing.TB, workers int, entries []cell.Entry) *rig {
-	r := &rig{limits: newLimits(), now: time.Now(), tasks: map[core.WorkerID]map[core.TaskID]cell.TaskReport{}}
+func newHarness(t testing.TB, workers int, entries []cell.Entry) *harness {
+	r := &harness{limits: newLimits(), now: time.Now(), tasks: map[core.WorkerID]map[core.TaskID]cell.TaskReport{}}
 	r.cell = cell.New(id, 1, r.limits)
 	r.cell.SetRules(&rules.Set{Teams: map[core.Team]rules.Team{"a": {Share: 60}, "b": {Share: 40}}})
 	r.cell.Load(r.now, entries)
@@ -56,22 +56,22 @@
 		vms = append(vms, core.VM{Name: fmt.Sprintf("w%d", i), Kind: "worker", Addr: addr, Region: "r", Room: room})
 	}
 	r.cell.SetWorkers(r.now, vms)
-	r.record()
+	r.storeBatches()
 	if t, ok := t.(*testing.T); ok {
 		r.t = t
 	}
 	return r
 }
 
-func (r *rig) record() {
+func (r *harness) storeBatches() {
 	for r.cell.Batch() != nil {
 		r.cell.BatchStored(r.now)
 	}
 }
 
-// answer sends all contacts; the workers that hear run what they are told.
-func (r *rig) answer(hears func(core.WorkerID) bool) {
-	for _, k := range append(r.open, r.cell.Heartbeats(r.now)...) {
+// answerHeartbeats sends all contacts; the workers that hear run what they are told.
+func (r *harness) answerHeartbeats(hears func(core.WorkerID) bool) {
+	for _, k := range append(r.unsent, r.cell.Heartbeats(r.now)...) {
 		if !hears(k.Worker) {
 			r.cell.HeartbeatFailed(r.now, k)
 			continue
@@ -85,13 +85,13 @@
 			held[s.Task] = cell.TaskReport{Task: s.Task, Run: s.Run, State: cell.TaskRunning, Team: s.Team, Need: s.Need}
 		}
 		for _, s := range k.Stops {
-			if x, ok := held[s.Task]; ok && s.How == cell.StopSlow {
+			if x, ok := held[s.Task]; ok && s.How == cell.StopThrottle {
 				x.Used = core.Resources{}
 				held[s.Task] = x
 			} else if ok && x.State == cell.TaskRunning {
 				x.State = cell.TaskStopped
-				if s.How == cell.StopSaved {
-					x.State = cell.TaskSaved
+				if s.How == cell.StopCheckpoint {
+					x.State = cell.TaskCheckpointed
 				}
 				held[s.Task] = x
 			}
@@ -108,22 +108,22 @@
 		}
 		r.cell.Report(r.now, k, rep)
 	}
-	r.open = nil
-	r.record()
+	r.unsent = nil
+	r.storeBatches()
 }
 
-func all(core.WorkerID) bool { return true }
+func allWorkers(core.WorkerID) bool { return true }
 
-// settle lets placement and messages come to rest.
-func (r *rig) settle() {
+// runRounds lets placement and messages come to rest.
+func (r *harness) runRounds() {
 	for range 10 {
 		r.cell.Plan(r.now)
-		r.answer(all)
-		r.record()
+		r.answerHeartbeats(allWorkers)
+		r.storeBatches()
 	}
 }
 
-func spec(name string, team core.Team, kind rules.Kind, tasks int, need core.Resources) cell.JobSpec {
+func newSpec(name string, team core.Team, kind rules.Kind, tasks int, need core.Resources) cell.JobSpec {
 	s := cell.JobSpec{ID: core.NewJobID(id, name), Team: team, Queue: "q", Kind: kind, Submitted: time.Now()}
 	for range tasks {
 		s.Tasks = append(s.Tasks, cell.TaskSpec{Need: need, Estimate: time.Minute})
@@ -131,34 +131,34 @@
 	return s
 }
 
-func (r *rig) submit(s cell.JobSpec) {
+func (r *harness) submit(s cell.JobSpec) {
 	r.t.Helper()
 	if _, err := r.cell.Submit(r.now, s); err != nil {
 		r.t.Fatal(err)
 	}
-	r.record()
+	r.storeBatches()
 }
 
-func (r *rig) running(name string) int {
+func (r *harness) running(name string) int {
 	v, _ := r.cell.Show(core.NewJobID(id, name))
 	return v.Running
 }
 
-// TestHeld shows that a new owner starts no older task while a worker that may
+// TestHeldTasks shows that a new owner starts no older task while a worker that may
 // run it has not been heard of, but starts new work at once.
-func TestHeld(t *testing.T) {
+func TestHeldTasks(t *testing.T) {
 	is := is.New(t)
-	old := spec("old", "a", rules.Batch, 1, core.Resources{Cores: 1000})
-	r := newRig(t, 2, []cell.Entry{{Worker: "w0"}, {Worker: "w1"}, {Accept: &old}})
+	old := newSpec("old", "a", rules.Batch, 1, core.Resources{Cores: 1000})
+	r := newHarness(t, 2, []cell.Entry{{Worker: "w0"}, {Worker: "w1"}, {Accept: &old}})
 	hears := func(w core.WorkerID) bool { return w == "w0" }
-	r.answer(hears)
-	r.submit(spec("new", "a", rules.Batch, 1, core.Resources{Cores: 1000}))
+	r.answerHeartbeats(hears)
+	r.submit(newSpec("new", "a", rules.Batch, 1, core.Resources{Cores: 1000}))
 	r.cell.Plan(r.now)
-	r.answer(hears)
+	r.answerHeartbeats(hears)
 	is.Equal(r.running("old"), 0)
 	is.Equal(r.running("new"), 1)
 	r.now = r.now.Add(7 * time.Second) // the silent worker's lease has surely ended
-	r.answer(hears)
+	r.answerHeartbeats(hears)
 	r.cell.Tick(r.now)
 	r.cell.Plan(r.now)
 	is.Equal(r.running("old"), 1)
@@ -167,40 +167,40 @@
 // TestAdopt shows that a new owner takes over a task that it finds running.
 func TestAdopt(t *testing.T) {
 	is := is.New(t)
-	old := spec("old", "a", rules.Batch, 1, core.Resources{Cores: 1000})
-	r := newRig(t, 1, []cell.Entry{{Worker: "w0"}, {Accept: &old}})
+	old := newSpec("old", "a", rules.Batch, 1, core.Resources{Cores: 1000})
+	r := newHarness(t, 1, []cell.Entry{{Worker: "w0"}, {Accept: &old}})
 	task := core.TaskID{Job: old.ID}
 	r.tasks["w0"] = map[core.TaskID]cell.TaskReport{task: {Task: task, State: cell.TaskRunning, Team: "a", Need: core.Resources{Cores: 1000}}}
-	r.settle()
+	r.runRounds()
 	is.Equal(r.running("old"), 1)
 	is.Equal(r.limits.used[cell.LimitName("a")], int64(1000))
 }
 
-// TestStray shows that a task that was cancelled while nobody owned its worker
+// TestOrphanedRun shows that a task that was cancelled while nobody owned its worker
 // is stopped there, and counted until it has stopped.
-func TestStray(t *testing.T) {
+func TestOrphanedRun(t *testing.T) {
 	is := is.New(t)
-	old := spec("old", "a", rules.Batch, 1, core.Resources{Cores: 8000})
-	r := newRig(t, 1, []cell.Entry{{Worker: "w0"}, {Accept: &old}, {Cancel: old.ID}})
+	old := newSpec("old", "a", rules.Batch, 1, core.Resources{Cores: 8000})
+	r := newHarness(t, 1, []cell.Entry{{Worker: "w0"}, {Accept: &old}, {Cancel: old.ID}})
 	task := core.TaskID{Job: old.ID}
 	r.tasks["w0"] = map[core.TaskID]cell.TaskReport{task: {Task: task, State: cell.TaskRunning, Team: "a", Need: core.Resources{Cores: 8000}}}
-	r.answer(all)
+	r.answerHeartbeats(allWorkers)
 	is.Equal(r.limits.used[cell.LimitName("a")], int64(8000))
-	r.submit(spec("new", "a", rules.Batch, 1, core.Resources{Cores: 1000}))
+	r.submit(newSpec("new", "a", rules.Batch, 1, core.Resources{Cores: 1000}))
 	r.cell.Plan(r.now)
 	is.Equal(r.running("new"), 0) // there is no room yet
-	r.settle()
+	r.runRounds()
 	is.Equal(r.running("new"), 1)
 }
 
 // TestShares shows that a full cell is divided by the shares.
 func TestShares(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 10, nil)
-	r.answer(all)
-	r.submit(spec("a", "a", rules.Batch, 200, core.Resources{Cores: 1000}))
-	r.submit(spec("b", "b", rules.Batch, 200, core.Resources{Cores: 1000}))
-	r.settle()
+	r := newHarness(t, 10, nil)
+	r.answerHeartbeats(allWorkers)
+	r.submit(newSpec("a", "a", rules.Batch, 200, core.Resources{Cores: 1000}))
+	r.submit(newSpec("b", "b", rules.Batch, 200, core.Resources{Cores: 1000}))
+	r.runRounds()
 	is.Equal(r.running("a"), 48)
 	is.Equal(r.running("b"), 32)
 }
@@ -209,27 +209,27 @@
 // reservation keeps room that small work would take for longer.
 func TestGang(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 2, nil)
-	r.answer(all)
-	r.submit(spec("small", "a", rules.Batch, 1, core.Resources{Cores: 1000}))
-	r.settle()
-	r.submit(spec("gang", "b", rules.Gang, 2, core.Resources{Cores: 8000}))
-	r.settle()
+	r := newHarness(t, 2, nil)
+	r.answerHeartbeats(allWorkers)
+	r.submit(newSpec("small", "a", rules.Batch, 1, core.Resources{Cores: 1000}))
+	r.runRounds()
+	r.submit(newSpec("gang", "b", rules.Gang, 2, core.Resources{Cores: 8000}))
+	r.runRounds()
 	is.Equal(r.running("gang"), 0)
-	late := spec("late", "a", rules.Batch, 20, core.Resources{Cores: 1000})
+	late := newSpec("late", "a", rules.Batch, 20, core.Resources{Cores: 1000})
 	for i := range late.Tasks {
 		late.Tasks[i].Estimate = time.Hour
 	}
 	r.submit(late)
-	r.settle()
+	r.runRounds()
 	is.True(r.running("late") <= 8) // the reserved workers stay free for the gang
 }
 
 // TestTooLarge shows the typed refusal of a job that can never run.
 func TestTooLarge(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 2, nil)
-	_, err := r.cell.Submit(r.now, spec("x", "a", rules.Batch, 1, core.Resources{Cores: 9000}))
+	r := newHarness(t, 2, nil)
+	_, err := r.cell.Submit(r.now, newSpec("x", "a", rules.Batch, 1, core.Resources{Cores: 9000}))
 	var refused *core.RefusalError
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Code, core.CodeTooLarge)
@@ -238,23 +238,23 @@
 // TestSnapshot shows that a cell is rebuilt from its own snapshot.
 func TestSnapshot(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 2, nil)
-	r.answer(all)
-	r.submit(spec("one", "a", rules.Batch, 3, core.Resources{Cores: 1000}))
-	r.settle()
-	again := newRig(t, 2, r.cell.Snapshot().Entries)
+	r := newHarness(t, 2, nil)
+	r.answerHeartbeats(allWorkers)
+	r.submit(newSpec("one", "a", rules.Batch, 3, core.Resources{Cores: 1000}))
+	r.runRounds()
+	again := newHarness(t, 2, r.cell.Snapshot().Entries)
 	again.tasks = r.tasks
-	again.settle()
+	again.runRounds()
 	is.Equal(again.running("one"), 3)
 }
 
 // TestDecisionTime bounds a decision with 13,000 workers by the stated target
 // of milliseconds; it takes some ten microseconds.
 func TestDecisionTime(t *testing.T) {
-	r := newRig(t, 13000, nil)
-	r.answer(all)
+	r := newHarness(t, 13000, nil)
+	r.answerHeartbeats(allWorkers)
 	for i := range 100 {
-		r.submit(spec(fmt.Sprint(i), "a", rules.Batch, 100, core.Resources{Cores: 2000, Memory: 1024}))
+		r.submit(newSpec(fmt.Sprint(i), "a", rules.Batch, 100, core.Resources{Cores: 2000, Memory: 1024}))
 	}
 	began := time.Now()
 	for r.cell.Plan(r.now) {
@@ -265,20 +265,20 @@
 	}
 }
 
-// TestForgotten shows that a worker that left the list before the take-over is
+// TestRemovedWorker shows that a worker that left the list before the take-over is
 // waited for once and then forgotten.
-func TestForgotten(t *testing.T) {
+func TestRemovedWorker(t *testing.T) {
 	is := is.New(t)
-	old := spec("old", "a", rules.Batch, 1, core.Resources{Cores: 1000})
-	r := newRig(t, 1, []cell.Entry{{Worker: "w0"}, {Worker: "lost"}, {Accept: &old}})
-	r.answer(all)
+	old := newSpec("old", "a", rules.Batch, 1, core.Resources{Cores: 1000})
+	r := newHarness(t, 1, []cell.Entry{{Worker: "w0"}, {Worker: "lost"}, {Accept: &old}})
+	r.answerHeartbeats(allWorkers)
 	r.cell.Plan(r.now)
 	is.Equal(r.running("old"), 0) // the lost worker may still run it
 	r.now = r.now.Add(7 * time.Second)
-	r.answer(all)
+	r.answerHeartbeats(allWorkers)
 	r.cell.Tick(r.now)
-	r.record()
-	r.settle()
+	r.storeBatches()
+	r.runRounds()
 	is.Equal(r.running("old"), 1)
 	for _, e := range r.cell.Snapshot().Entries {
 		is.True(e.Worker != "lost")
@@ -289,21 +289,21 @@
 // room that it uses, and gives all of it back.
 func TestRecharge(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 1, nil)
-	r.answer(all)
-	r.submit(spec("big", "a", rules.Batch, 1, core.Resources{Cores: 1000, Memory: 100}))
-	r.settle()
+	r := newHarness(t, 1, nil)
+	r.answerHeartbeats(allWorkers)
+	r.submit(newSpec("big", "a", rules.Batch, 1, core.Resources{Cores: 1000, Memory: 100}))
+	r.runRounds()
 	task := core.TaskID{Job: core.NewJobID(id, "big")}
 	seen := r.tasks["w0"][task]
 	seen.Used = core.Resources{Cores: 7000, Memory: 100}
 	r.tasks["w0"][task] = seen
-	r.submit(spec("next", "b", rules.Batch, 2, core.Resources{Cores: 1000}))
-	r.answer(all)
-	r.settle()
+	r.submit(newSpec("next", "b", rules.Batch, 2, core.Resources{Cores: 1000}))
+	r.answerHeartbeats(allWorkers)
+	r.runRounds()
 	is.Equal(r.running("next"), 1) // 8 cores less the 7 in use
 	seen.State, seen.Used = cell.TaskDone, core.Resources{}
 	r.tasks["w0"][task] = seen
-	r.settle()
+	r.runRounds()
 	is.Equal(r.running("next"), 2)
 	is.Equal(r.limits.used[cell.LimitName("a")], int64(0))
 }
@@ -312,10 +312,10 @@
 // once more after the task has been placed again, does not end the new run.
 func TestLateReport(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 1, nil)
-	r.answer(all)
-	r.submit(spec("one", "a", rules.Batch, 1, core.Resources{Cores: 1000}))
-	r.settle()
+	r := newHarness(t, 1, nil)
+	r.answerHeartbeats(allWorkers)
+	r.submit(newSpec("one", "a", rules.Batch, 1, core.Resources{Cores: 1000}))
+	r.runRounds()
 	task := core.TaskID{Job: core.NewJobID(id, "one")}
 	first := r.tasks["w0"][task]
 	first.State = cell.TaskStopped
@@ -334,16 +334,16 @@
 // throttled to what it declared.
 func TestThrottle(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 1, nil)
-	r.answer(all)
-	r.submit(spec("big", "a", rules.Batch, 1, core.Resources{Cores: 1000, Memory: 100}))
-	r.submit(spec("rest", "b", rules.Batch, 7, core.Resources{Cores: 1000, Memory: 100}))
-	r.settle()
+	r := newHarness(t, 1, nil)
+	r.answerHeartbeats(allWorkers)
+	r.submit(newSpec("big", "a", rules.Batch, 1, core.Resources{Cores: 1000, Memory: 100}))
+	r.submit(newSpec("rest", "b", rules.Batch, 7, core.Resources{Cores: 1000, Memory: 100}))
+	r.runRounds()
 	task := core.TaskID{Job: core.NewJobID(id, "big")}
 	seen := r.tasks["w0"][task]
 	seen.Used = core.Resources{Cores: 3000, Memory: 100}
 	r.tasks["w0"][task] = seen
-	r.settle()
+	r.runRounds()
 	is.Equal(r.tasks["w0"][task].Used, core.Resources{})
 	is.Equal(r.limits.used[cell.LimitName("a")], int64(1000))
 	is.Equal(r.running("rest"), 7)
--- a/core/cell/gang.go
+++ b/core/cell/gang.go
@@ -9,63 +9,63 @@
 )
 
 const (
-	// reserveFor is how long room is kept for one gang before another gets its
+	// reservationTTL is how long room is kept for one gang before another gets its
 	// turn, so that two half-placed gangs never block each other.
-	reserveFor = 30 * time.Second
-	// gangPause keeps a gang back after its reservation has expired.
-	gangPause = 5 * time.Second
+	reservationTTL = 30 * time.Second
+	// gangBackoff keeps a gang back after its reservation has expired.
+	gangBackoff = 5 * time.Second
 )
 
-// reservation keeps room for the one gang whose turn it is.
-type reservation struct {
+// gangReservation keeps room for the one gang whose turn it is.
+type gangReservation struct {
 	job     *Job
 	workers core.Set[core.WorkerID]
-	// at is when the gang is expected to start.
-	at    time.Time
-	until time.Time
+	// expectedStart is when the gang is expected to start.
+	expectedStart time.Time
+	expiresAt     time.Time
 }
 
 // blocks reports whether a task must stay off a worker because it would delay
 // the gang.
-func (r *reservation) blocks(c *Cell, t *Task, id core.WorkerID) bool {
+func (r *gangReservation) blocks(c *Cell, t *Task, id core.WorkerID) bool {
 	if r == nil || r.job == t.job || !r.workers.Has(id) {
 		return false
 	}
 	if !c.policy.Backfill {
 		return true
 	}
-	run := c.guess.Predict(t.job.Spec.Queue, t.spec().Estimate)
-	return c.now.Add(run).After(r.at)
+	run := c.estimator.Predict(t.job.Spec.Queue, t.spec().Estimate)
+	return c.now.Add(run).After(r.expectedStart)
 }
 
 // placeGang places every task of a gang or none.
-func (c *Cell) placeGang(p *pass, j *Job) bool {
+func (c *Cell) placeGang(p *placementPass, j *Job) bool {
 	if c.now.Before(j.retryAfter) {
 		return false
 	}
-	if c.limits.Available(LimitName(j.Spec.Team)) < j.cores {
+	if c.limits.Available(LimitName(j.Spec.Team)) < j.queuedCores {
 		return false
 	}
 	where, ok := c.fitGang(p, j)
 	if !ok {
-		c.reserve(j)
+		c.reserveForGang(j)
 		return false
 	}
 	c.dequeue(j)
-	if c.gang != nil && c.gang.job == j {
-		c.gang = nil
+	if c.reservation != nil && c.reservation.job == j {
+		c.reservation = nil
 	}
-	for _, i := range slices.Clone(j.queued) {
-		p.place(&j.tasks[i], c.workers[where[i]])
+	for _, i := range slices.Clone(j.queuedTasks) {
+		p.placeTask(&j.tasks[i], c.workers[where[i]])
 	}
 	return true
 }
 
 // fitGang tries all tasks on the index, then takes the trial back.
-func (c *Cell) fitGang(p *pass, j *Job) (map[int]core.WorkerID, bool) {
+func (c *Cell) fitGang(p *placementPass, j *Job) (map[int]core.WorkerID, bool) {
 	where := map[int]core.WorkerID{}
 	before := map[core.WorkerID]core.Resources{}
-	order := slices.Clone(j.queued)
+	order := slices.Clone(j.queuedTasks)
 	slices.SortStableFunc(order, func(a, b int) int {
 		return cmp.Compare(j.Spec.Tasks[b].Need.Cores, j.Spec.Tasks[a].Need.Cores)
 	})
@@ -73,7 +73,7 @@
 	free := map[core.WorkerID]core.Resources{}
 	for _, i := range order {
 		t := &j.tasks[i]
-		id, found := p.find(t, t.spec().Need)
+		id, found := p.findWorker(t, t.spec().Need)
 		if !found {
 			ok = false
 			break
@@ -83,21 +83,21 @@
 			before[id], free[id] = w.free, w.free
 		}
 		free[id] = free[id].Sub(t.spec().Need)
-		c.rooms.Put(id, free[id], w.room)
+		c.roomIndex.Put(id, free[id], w.room)
 		where[i] = id
 	}
 	for id, r := range before {
-		c.rooms.Put(id, r, c.workers[id].room)
+		c.roomIndex.Put(id, r, c.workers[id].room)
 	}
 	if !ok {
-		p.unfit = nil
+		p.unfitNeeds = nil
 	}
 	return where, ok
 }
 
-// reserve chooses the workers that are soonest free for the gang.
-func (c *Cell) reserve(j *Job) {
-	if !c.policy.Reserve || (c.gang != nil && c.gang.job != j) {
+// reserveForGang chooses the workers that are soonest free for the gang.
+func (c *Cell) reserveForGang(j *Job) {
+	if !c.policy.Reserve || (c.reservation != nil && c.reservation.job != j) {
 		return
 	}
 	type choice struct {
@@ -105,16 +105,16 @@
 		at     time.Time
 	}
 	var all []choice
-	for _, w := range c.order {
-		if w.usable() && c.known.Has(w.id) {
-			all = append(all, choice{w, w.freeAt()})
+	for _, w := range c.workersByID {
+		if w.usable() && c.recordedWorkers.Has(w.id) {
+			all = append(all, choice{w, w.expectedIdleAt()})
 		}
 	}
 	slices.SortStableFunc(all, func(a, b choice) int { return a.at.Compare(b.at) })
-	left := slices.Clone(j.queued)
-	r := &reservation{job: j, workers: core.NewSet[core.WorkerID](), until: c.now.Add(reserveFor)}
-	if c.gang != nil {
-		r.until = c.gang.until
+	left := slices.Clone(j.queuedTasks)
+	r := &gangReservation{job: j, workers: core.NewSet[core.WorkerID](), expiresAt: c.now.Add(reservationTTL)}
+	if c.reservation != nil {
+		r.expiresAt = c.reservation.expiresAt
 	}
 	for _, ch := range all {
 		if len(left) == 0 {
@@ -132,19 +132,19 @@
 		})
 		if len(left) < before {
 			r.workers.Add(ch.worker.id)
-			r.at = ch.at
+			r.expectedStart = ch.at
 		}
 	}
 	if len(left) == 0 {
-		c.gang = r
+		c.reservation = r
 	}
 }
 
-// freeAt returns when the worker's tasks are expected to have ended.
-func (w *Worker) freeAt() time.Time {
+// expectedIdleAt returns when the worker's tasks are expected to have ended.
+func (w *Worker) expectedIdleAt() time.Time {
 	at := w.cell.now
 	for _, t := range w.tasks {
-		end := t.placed.Add(w.cell.guess.Predict(t.job.Spec.Queue, t.spec().Estimate))
+		end := t.placedAt.Add(w.cell.estimator.Predict(t.job.Spec.Queue, t.spec().Estimate))
 		if end.After(at) {
 			at = end
 		}
@@ -152,16 +152,16 @@
 	return at
 }
 
-// expireGang ends a reservation that has not been used in time.
-func (c *Cell) expireGang() {
-	g := c.gang
+// expireReservation ends a reservation that has not been used in time.
+func (c *Cell) expireReservation() {
+	g := c.reservation
 	if g == nil {
 		return
 	}
-	if c.now.Before(g.until) && g.job.inQueue {
+	if c.now.Before(g.expiresAt) && g.job.inQueue {
 		return
 	}
-	g.job.retryAfter = c.now.Add(gangPause)
-	c.gang = nil
-	c.changed = true
+	g.job.retryAfter = c.now.Add(gangBackoff)
+	c.reservation = nil
+	c.needsPlan = true
 }
--- a/core/cell/job.go
+++ b/core/cell/job.go
@@ -10,30 +10,30 @@
 )
 
 //go:embed job.toml
-var jobText []byte
+var jobChartText []byte
 
 // The chart and its names are bound in init, as the actions use them in turn.
 var (
 	jobChart *chart.Machine[*Job]
 
-	jobRestore, jobRecord, jobBegin, jobWait, jobEnd, jobCancel chart.Event
-	jobEnded                                                    chart.State
+	jobEventRestore, jobEventRecord, jobEventBegin, jobEventWait, jobEventEnd, jobEventCancel chart.Event
+	jobStateEnded                                                                             chart.State
 )
 
 func init() {
-	jobChart = chart.Must(chart.Load(jobText, nil, map[string]chart.Action[*Job]{
-		"admit":  (*Job).admit,
-		"halt":   (*Job).halt,
-		"finish": (*Job).finish,
-		"forget": (*Job).forget,
+	jobChart = chart.Must(chart.Load(jobChartText, nil, map[string]chart.Action[*Job]{
+		"admit":  (*Job).enqueueTasks,
+		"halt":   (*Job).cancelTasks,
+		"finish": (*Job).recordEnd,
+		"forget": (*Job).archive,
 	}))
-	jobRestore = jobChart.Event("restore")
-	jobRecord = jobChart.Event("record")
-	jobBegin = jobChart.Event("begin")
-	jobWait = jobChart.Event("wait")
-	jobEnd = jobChart.Event("end")
-	jobCancel = jobChart.Event("cancel")
-	jobEnded = jobChart.State("ended")
+	jobEventRestore = jobChart.Event("restore")
+	jobEventRecord = jobChart.Event("record")
+	jobEventBegin = jobChart.Event("begin")
+	jobEventWait = jobChart.Event("wait")
+	jobEventEnd = jobChart.Event("end")
+	jobEventCancel = jobChart.Event("cancel")
+	jobStateEnded = jobChart.State("ended")
 }
 
 // TaskSpec is what a submitter asks for one task.
@@ -76,27 +76,27 @@
 	state chart.State
 	cell  *Cell
 	tasks []Task
-	// queued holds the indices of the tasks in state queued, the next one last.
-	queued []int
-	// open counts the tasks that have not ended, active those on a worker.
-	open, active int
-	// latest is when the next task must start to keep what is owed.
-	latest time.Time
+	// queuedTasks holds the indices of the tasks in state queued, the next one last.
+	queuedTasks []int
+	// openTasks counts the tasks that have not ended, active those on a worker.
+	openTasks, activeTasks int
+	// latestStart is when the next task must start to keep what is owed.
+	latestStart time.Time
 	// seq breaks ties in the order of the queue.
 	seq uint64
-	// cores sums the queued tasks, in thousandths of a core.
-	cores int64
+	// queuedCores sums the queued tasks, in thousandths of a core.
+	queuedCores int64
 	// inQueue is set while the job is in its team's queue.
 	inQueue bool
 	// cancelled is set once a cancellation has been accepted.
 	cancelled bool
-	// succeeded is set once any task has ended well.
-	succeeded bool
+	// hasSucceeded is set once any task has ended well.
+	hasSucceeded bool
 	// firstStart is zero until a task has started.
 	firstStart time.Time
-	ended      time.Time
-	// blocked says why the job cannot run on the present fleet, if it cannot.
-	blocked string
+	endedAt    time.Time
+	// blockedReason says why the job cannot run on the present fleet, if it cannot.
+	blockedReason string
 	// retryAfter holds a gang back after its reservation has expired.
 	retryAfter time.Time
 }
@@ -127,7 +127,7 @@
 	v := View{
 		ID: j.Spec.ID, Team: j.Spec.Team, Queue: j.Spec.Queue, Kind: j.Spec.Kind,
 		State: jobChart.Name(j.state), Submitted: j.Spec.Submitted, Started: j.firstStart,
-		Ended: j.ended, Due: j.Spec.Due, Tasks: len(j.tasks), Running: j.active, Blocked: j.blocked,
+		Ended: j.endedAt, Due: j.Spec.Due, Tasks: len(j.tasks), Running: j.activeTasks, Blocked: j.blockedReason,
 	}
 	for i := range j.tasks {
 		switch j.tasks[i].outcome {
@@ -140,7 +140,7 @@
 		}
 	}
 	v.Queued = len(j.tasks) - v.Running - v.Done - v.Failed - v.Cancelled
-	if j.state == jobEnded {
+	if j.state == jobStateEnded {
 		v.State = string(j.outcome())
 	}
 	return v
@@ -156,77 +156,77 @@
 	return worst
 }
 
-func (j *Job) fire(ev chart.Event) { j.cell.note(jobChart.Fire(&j.state, ev, j)) }
+func (j *Job) fire(ev chart.Event) { j.cell.recordRefused(jobChart.Fire(&j.state, ev, j)) }
 
-// admit queues the tasks of a recorded job that have not ended.
-func (j *Job) admit() {
+// enqueueTasks queues the tasks of a recorded job that have not ended.
+func (j *Job) enqueueTasks() {
 	for i := len(j.tasks) - 1; i >= 0; i-- {
 		t := &j.tasks[i]
-		if t.outcome == "" && t.state == taskQueued {
-			j.push(i)
+		if t.outcome == "" && t.state == taskStateQueued {
+			j.pushQueued(i)
 		}
 	}
 	j.cell.enqueue(j)
-	if j.open == 0 {
-		j.fire(jobEnd)
+	if j.openTasks == 0 {
+		j.fire(jobEventEnd)
 	}
 }
 
-// halt cancels every open task.
-func (j *Job) halt() {
+// cancelTasks cancels every open task.
+func (j *Job) cancelTasks() {
 	j.cancelled = true
 	j.cell.dequeue(j)
-	j.queued, j.cores = nil, 0
+	j.queuedTasks, j.queuedCores = nil, 0
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		t.fire(taskCancel)
+		t.fire(taskEventCancel)
 	}
 }
 
-// finish writes the end of the job to the journal.
-func (j *Job) finish() {
-	j.ended = j.cell.now
+// recordEnd writes the end of the job to the journal.
+func (j *Job) recordEnd() {
+	j.endedAt = j.cell.now
 	j.cell.dequeue(j)
-	j.cell.write(Entry{End: &JobEnd{Job: j.Spec.ID, At: j.ended}})
+	j.cell.appendEntry(Entry{End: &JobEnd{Job: j.Spec.ID, At: j.endedAt}})
 }
 
-// forget keeps an ended job only for display.
-func (j *Job) forget() {
-	j.queued = nil
+// archive keeps an ended job only for display.
+func (j *Job) archive() {
+	j.queuedTasks = nil
 	j.cell.openJobs--
-	j.cell.endedOrder = append(j.cell.endedOrder, j.Spec.ID)
+	j.cell.endedJobs = append(j.cell.endedJobs, j.Spec.ID)
 }
 
-// settle follows a change in the number of open or active tasks.
-func (j *Job) settle() {
+// updateState follows a change in the number of open or active tasks.
+func (j *Job) updateState() {
 	switch {
-	case j.open == 0:
-		j.fire(jobEnd)
-	case j.active > 0:
-		j.fire(jobBegin)
+	case j.openTasks == 0:
+		j.fire(jobEventEnd)
+	case j.activeTasks > 0:
+		j.fire(jobEventBegin)
 	default:
-		j.fire(jobWait)
+		j.fire(jobEventWait)
 	}
 }
 
-// predicted returns the learned run time of the next task.
-func (j *Job) predicted() time.Duration {
-	if len(j.queued) == 0 {
+// predictedRunTime returns the learned run time of the next task.
+func (j *Job) predictedRunTime() time.Duration {
+	if len(j.queuedTasks) == 0 {
 		return 0
 	}
-	spec := &j.Spec.Tasks[j.queued[len(j.queued)-1]]
-	return j.cell.guess.Predict(j.Spec.Queue, spec.Estimate)
+	spec := &j.Spec.Tasks[j.queuedTasks[len(j.queuedTasks)-1]]
+	return j.cell.estimator.Predict(j.Spec.Queue, spec.Estimate)
 }
 
-// due works out the latest start of the next task from what is owed and from
+// computeLatestStart works out the latest start of the next task from what is owed and from
 // the learned run time.
-func (j *Job) due() time.Time {
+func (j *Job) computeLatestStart() time.Time {
 	latest := j.Spec.Start
 	if !j.Spec.Due.IsZero() {
-		latest = core.Earlier(latest, j.Spec.Due.Add(-j.predicted()))
+		latest = core.Earlier(latest, j.Spec.Due.Add(-j.predictedRunTime()))
 	}
 	if latest.IsZero() {
-		latest = j.Spec.Submitted.Add(unhurried)
+		latest = j.Spec.Submitted.Add(defaultStartDelay)
 	}
 	return latest
 }
--- a/core/cell/journal.go
+++ b/core/cell/journal.go
@@ -35,51 +35,51 @@
 	Entries []Entry
 }
 
-// write adds an entry to the next batch.
-func (c *Cell) write(e Entry) {
+// appendEntry adds an entry to the next batch.
+func (c *Cell) appendEntry(e Entry) {
 	if !c.loading {
-		c.pending = append(c.pending, e)
+		c.pendingEntries = append(c.pendingEntries, e)
 	}
 }
 
 // Batch returns the entries to record next. There is none while an earlier
 // batch is in flight: a cell's entries are recorded in order.
 func (c *Cell) Batch() []Entry {
-	if c.flying != nil || len(c.pending) == 0 {
+	if c.inFlight != nil || len(c.pendingEntries) == 0 {
 		return nil
 	}
-	n := min(len(c.pending), maxBatch)
-	c.flying = c.pending[:n:n]
-	c.pending = c.pending[n:]
-	return c.flying
+	n := min(len(c.pendingEntries), maxBatchEntries)
+	c.inFlight = c.pendingEntries[:n:n]
+	c.pendingEntries = c.pendingEntries[n:]
+	return c.inFlight
 }
 
 // Pending returns how many entries wait to be recorded.
-func (c *Cell) Pending() int { return len(c.pending) + len(c.flying) }
+func (c *Cell) Pending() int { return len(c.pendingEntries) + len(c.inFlight) }
 
 // BatchStored follows a batch that is in the store and returns the jobs whose
 // acceptance it holds.
 func (c *Cell) BatchStored(now time.Time) []core.JobID {
 	c.now = now
-	batch := c.flying
-	c.flying = nil
+	batch := c.inFlight
+	c.inFlight = nil
 	var accepted []core.JobID
 	for _, e := range batch {
 		switch {
 		case e.Accept != nil:
 			accepted = append(accepted, e.Accept.ID)
-			c.jobs[e.Accept.ID].fire(jobRecord)
+			c.jobs[e.Accept.ID].fire(jobEventRecord)
 		case e.Task != nil:
-			c.jobs[e.Task.Job].tasks[e.Task.Index].confirm()
+			c.jobs[e.Task.Job].tasks[e.Task.Index].acknowledgeEnd()
 		case e.Worker != "":
-			c.known.Add(e.Worker)
+			c.recordedWorkers.Add(e.Worker)
 		case e.Gone != "":
-			c.forget(e.Gone)
+			c.removeRecordedWorker(e.Gone)
 		case e.End != nil:
-			c.jobs[e.End.Job].fire(jobRecord)
+			c.jobs[e.End.Job].fire(jobEventRecord)
 		}
 	}
-	c.prune()
+	c.dropOldJobs()
 	return accepted
 }
 
@@ -88,71 +88,71 @@
 func (c *Cell) Load(now time.Time, entries []Entry) {
 	c.now, c.loading = now, true
 	for i := range entries {
-		c.replay(&entries[i])
+		c.replayEntry(&entries[i])
 	}
 	// Until a worker of an earlier owner has been heard of, it may run tasks.
-	for _, id := range c.knownWorkers() {
+	for _, id := range c.recordedWorkerIDs() {
 		c.addWorker(id)
 	}
 	for _, j := range c.sortedJobs() {
-		if j.state == jobEnded {
+		if j.state == jobStateEnded {
 			continue
 		}
 		for i := range j.tasks {
 			if t := &j.tasks[i]; t.outcome == "" {
-				t.fire(taskRecover)
-				c.hold(t)
+				t.fire(taskEventRecover)
+				c.addHeld(t)
 			}
 		}
-		j.fire(jobRecord)
+		j.fire(jobEventRecord)
 	}
 	c.loading = false
 	for _, j := range c.sortedJobs() {
 		switch {
-		case j.state == jobEnded:
+		case j.state == jobStateEnded:
 		case j.cancelled:
-			j.fire(jobCancel)
-		case j.open == 0:
-			j.fire(jobEnd)
+			j.fire(jobEventCancel)
+		case j.openTasks == 0:
+			j.fire(jobEventEnd)
 		}
 	}
-	c.clearHeld()
+	c.requeueHeld()
 }
 
-func (c *Cell) replay(e *Entry) {
+func (c *Cell) replayEntry(e *Entry) {
 	switch {
 	case e.Accept != nil:
 		if c.jobs[e.Accept.ID] == nil {
-			c.add(*e.Accept)
+			c.addJob(*e.Accept)
 		}
 	case e.Task != nil:
 		if j := c.jobs[e.Task.Job]; j != nil && e.Task.Index < len(j.tasks) && j.tasks[e.Task.Index].outcome == "" {
 			t := &j.tasks[e.Task.Index]
-			t.outcome, t.recorded = e.Task.Outcome, true
-			t.fire(taskRestore)
-			j.open--
+			t.outcome, t.outcomeStored = e.Task.Outcome, true
+			t.fire(taskEventRestore)
+			j.openTasks--
 		}
 	case e.End != nil:
-		if j := c.jobs[e.End.Job]; j != nil && j.state != jobEnded {
-			j.ended = e.End.At
-			j.fire(jobRestore)
+		if j := c.jobs[e.End.Job]; j != nil && j.state != jobStateEnded {
+			j.endedAt = e.End.At
+			j.fire(jobEventRestore)
 		}
 	case e.Cancel != "":
 		if j := c.jobs[e.Cancel]; j != nil {
 			j.cancelled = true
 		}
 	case e.Worker != "":
-		c.known.Add(e.Worker)
+		c.recordedWorkers.Add(e.Worker)
 	case e.Gone != "":
-		delete(c.known, e.Gone)
+		delete(c.recordedWorkers, e.Gone)
 	}
 }
 
-// forget drops a worker that is gone, unless it has come back meanwhile.
-func (c *Cell) forget(id core.WorkerID) {
-	delete(c.known, id)
+// removeRecordedWorker drops a worker that is gone, unless it has come back meanwhile.
+func (c *Cell) removeRecordedWorker(id core.WorkerID) {
+	delete(c.recordedWorkers, id)
 	if w := c.workers[id]; w != nil {
-		c.write(Entry{Worker: id})
+		c.appendEntry(Entry{Worker: id})
 	}
 }
 
@@ -160,7 +160,7 @@
 // while no batch is in flight.
 func (c *Cell) Snapshot() Snapshot {
 	var s Snapshot
-	for _, id := range c.knownWorkers() {
+	for _, id := range c.recordedWorkerIDs() {
 		s.Entries = append(s.Entries, Entry{Worker: id})
 	}
 	for _, j := range c.sortedJobs() {
@@ -177,20 +177,20 @@
 		if j.cancelled {
 			s.Entries = append(s.Entries, Entry{Cancel: spec.ID})
 		}
-		if j.state == jobEnded {
-			s.Entries = append(s.Entries, Entry{End: &JobEnd{Job: spec.ID, At: j.ended}})
+		if j.state == jobStateEnded {
+			s.Entries = append(s.Entries, Entry{End: &JobEnd{Job: spec.ID, At: j.endedAt}})
 		}
 	}
 	return s
 }
 
-// prune forgets the oldest ended jobs.
-func (c *Cell) prune() {
-	for len(c.endedOrder) > keepEnded {
-		delete(c.jobs, c.endedOrder[0])
-		c.endedOrder = c.endedOrder[1:]
+// dropOldJobs forgets the oldest ended jobs.
+func (c *Cell) dropOldJobs() {
+	for len(c.endedJobs) > maxEndedJobs {
+		delete(c.jobs, c.endedJobs[0])
+		c.endedJobs = c.endedJobs[1:]
 	}
 }
 
 // InFlight returns the batch whose outcome is not known.
-func (c *Cell) InFlight() []Entry { return c.flying }
+func (c *Cell) InFlight() []Entry { return c.inFlight }
--- a/core/cell/plan.go
+++ b/core/cell/plan.go
@@ -14,13 +14,13 @@
 const (
 	// MaxTasks bounds the tasks of one job.
 	MaxTasks = 10000
-	// lookahead bounds the jobs of a team that are tried while none fits.
-	lookahead = 32
+	// maxTriedJobs bounds the jobs of a team that are tried while none fits.
+	maxTriedJobs = 32
 	// urgentWithin is how close a latest start must be to come before shares.
 	urgentWithin = 2 * time.Second
-	// maxPlan bounds the placements of one pass, so that a pass stays within
+	// maxPlacements bounds the placements of one pass, so that a pass stays within
 	// milliseconds.
-	maxPlan = 500
+	maxPlacements = 500
 )
 
 // Order says in which order waiting work is placed.
@@ -72,41 +72,41 @@
 }
 
 func lessJob(a, b *Job) bool {
-	if !a.latest.Equal(b.latest) {
-		return a.latest.Before(b.latest)
+	if !a.latestStart.Equal(b.latestStart) {
+		return a.latestStart.Before(b.latestStart)
 	}
 	return a.seq < b.seq
 }
 
-func (c *Cell) line(team core.Team) *line {
-	l := c.teams[team]
+func (c *Cell) queueOf(team core.Team) *teamQueue {
+	l := c.teamQueues[team]
 	if l == nil {
-		l = &line{team: team, jobs: btree.NewG(queueDegree, lessJob)}
-		c.teams[team] = l
+		l = &teamQueue{team: team, jobs: btree.NewG(queueDegree, lessJob)}
+		c.teamQueues[team] = l
 	}
 	return l
 }
 
 // enqueue puts a job where its latest start belongs, if it has queued tasks.
 func (c *Cell) enqueue(j *Job) {
-	if len(j.queued) == 0 || j.cancelled || jobChart.Final(j.state) {
+	if len(j.queuedTasks) == 0 || j.cancelled || jobChart.Final(j.state) {
 		c.dequeue(j)
 		return
 	}
-	c.changed = true
-	was := j.latest
+	c.needsPlan = true
+	was := j.latestStart
 	latest := j.Spec.Submitted
 	if c.policy.Order != ByArrival {
-		latest = j.due()
+		latest = j.computeLatestStart()
 	}
 	if j.inQueue && latest.Equal(was) {
 		return
 	}
 	c.dequeue(j)
-	j.latest = latest
-	l := c.line(j.Spec.Team)
+	j.latestStart = latest
+	l := c.queueOf(j.Spec.Team)
 	l.jobs.ReplaceOrInsert(j)
-	l.cores += j.cores
+	l.queuedCores += j.queuedCores
 	j.inQueue = true
 }
 
@@ -114,154 +114,154 @@
 	if !j.inQueue {
 		return
 	}
-	l := c.line(j.Spec.Team)
+	l := c.queueOf(j.Spec.Team)
 	l.jobs.Delete(j)
-	l.cores -= j.cores
+	l.queuedCores -= j.queuedCores
 	j.inQueue = false
 }
 
-// push and pull keep the sum of queued cores beside the queued tasks.
-func (j *Job) push(i int) {
-	j.queued = append(j.queued, i)
-	j.charge(j.Spec.Tasks[i].Need.Cores)
+// pushQueued and pull keep the sum of queued cores beside the queued tasks.
+func (j *Job) pushQueued(i int) {
+	j.queuedTasks = append(j.queuedTasks, i)
+	j.addQueuedCores(j.Spec.Tasks[i].Need.Cores)
 }
 
-func (j *Job) pull(i int) {
-	last := len(j.queued) - 1
-	if last >= 0 && j.queued[last] == i {
-		j.queued = j.queued[:last]
-	} else if at := slices.Index(j.queued, i); at >= 0 {
-		j.queued = slices.Delete(j.queued, at, at+1)
+func (j *Job) removeQueued(i int) {
+	last := len(j.queuedTasks) - 1
+	if last >= 0 && j.queuedTasks[last] == i {
+		j.queuedTasks = j.queuedTasks[:last]
+	} else if at := slices.Index(j.queuedTasks, i); at >= 0 {
+		j.queuedTasks = slices.Delete(j.queuedTasks, at, at+1)
 	} else {
 		return
 	}
-	j.charge(-j.Spec.Tasks[i].Need.Cores)
+	j.addQueuedCores(-j.Spec.Tasks[i].Need.Cores)
 }
 
-func (j *Job) charge(cores int64) {
-	j.cores += cores
+func (j *Job) addQueuedCores(cores int64) {
+	j.queuedCores += cores
 	if j.inQueue {
-		j.cell.line(j.Spec.Team).cores += cores
+		j.cell.queueOf(j.Spec.Team).queuedCores += cores
 	}
 }
 
-// pass is one round of placement.
-type pass struct {
+// placementPass is one round of placement.
+type placementPass struct {
 	cell *Cell
-	// unfit are needs that no worker has room for; anything larger is skipped.
-	unfit  []core.Resources
-	placed int
+	// unfitNeeds are needs that no worker has room for; anything larger is skipped.
+	unfitNeeds []core.Resources
+	placements int
 }
 
 // Plan places waiting tasks and reports whether another pass is worth while.
 func (c *Cell) Plan(now time.Time) bool {
 	c.now = now
-	if !c.changed {
+	if !c.needsPlan {
 		return false
 	}
-	c.changed = false
-	c.shares.SetTotal(c.rooms.Total())
-	c.weigh()
-	p := &pass{cell: c}
-	p.urgent()
-	p.shared()
-	c.wants()
-	if p.placed >= maxPlan {
-		c.changed = true
+	c.needsPlan = false
+	c.shares.SetTotal(c.roomIndex.Total())
+	c.updateWeights()
+	p := &placementPass{cell: c}
+	p.placeUrgent()
+	p.placeByShare()
+	c.updateDemand()
+	if p.placements >= maxPlacements {
+		c.needsPlan = true
 	}
-	return c.changed
+	return c.needsPlan
 }
 
-// weigh sets the teams' weights for this pass if they do not come from the
+// updateWeights sets the teams' weights for this pass if they do not come from the
 // rules.
-func (c *Cell) weigh() {
-	for _, l := range c.teams {
+func (c *Cell) updateWeights() {
+	for _, l := range c.teamQueues {
 		switch c.policy.Weight {
 		case Equally:
 			c.shares.SetShare(l.team, 1)
 		case ByDemand:
-			c.shares.SetShare(l.team, float64(c.shares.Used(l.team).Cores+l.cores))
+			c.shares.SetShare(l.team, float64(c.shares.Used(l.team).Cores+l.queuedCores))
 		}
 	}
 }
 
-// wants tells the limits what each team could use.
-func (c *Cell) wants() {
-	for _, l := range c.teams {
-		c.limits.SetDemand(LimitName(l.team), c.shares.Used(l.team).Cores+l.cores)
+// updateDemand tells the limits what each team could use.
+func (c *Cell) updateDemand() {
+	for _, l := range c.teamQueues {
+		c.limits.SetDemand(LimitName(l.team), c.shares.Used(l.team).Cores+l.queuedCores)
 	}
 }
 
-// urgent places what is owed an early start or is about to miss its latest
+// placeUrgent places what is owed an early start or is about to miss its latest
 // one, whatever the shares.
-func (p *pass) urgent() {
+func (p *placementPass) placeUrgent() {
 	if p.cell.policy.Order == ByArrival {
 		return
 	}
-	for _, l := range p.lines() {
+	for _, l := range p.sortedQueues() {
 		tried := 0
-		for p.placed < maxPlan && tried < lookahead {
-			j := p.next(l, &tried)
-			if j == nil || (j.Spec.Start.IsZero() && j.latest.Sub(p.cell.now) > urgentWithin) {
+		for p.placements < maxPlacements && tried < maxTriedJobs {
+			j := p.nextJob(l, &tried)
+			if j == nil || (j.Spec.Start.IsZero() && j.latestStart.Sub(p.cell.now) > urgentWithin) {
 				break
 			}
-			p.one(j, &tried)
+			p.tryJob(j, &tried)
 		}
 	}
 }
 
-// lines returns the teams with waiting work, the one furthest below its share
+// sortedQueues returns the teams with waiting work, the one furthest below its share
 // first.
-func (p *pass) lines() []*line {
-	var out []*line
-	for _, l := range p.cell.teams {
+func (p *placementPass) sortedQueues() []*teamQueue {
+	var out []*teamQueue
+	for _, l := range p.cell.teamQueues {
 		if l.jobs.Len() > 0 {
 			out = append(out, l)
 		}
 	}
-	slices.SortFunc(out, func(a, b *line) int {
-		return cmp.Or(cmp.Compare(p.cell.rank(a), p.cell.rank(b)), cmp.Compare(a.team, b.team))
+	slices.SortFunc(out, func(a, b *teamQueue) int {
+		return cmp.Or(cmp.Compare(p.cell.queueRank(a), p.cell.queueRank(b)), cmp.Compare(a.team, b.team))
 	})
 	return out
 }
 
-func (c *Cell) rank(l *line) float64 {
+func (c *Cell) queueRank(l *teamQueue) float64 {
 	if c.policy.Order == ByArrival {
 		if j, ok := l.jobs.Min(); ok {
-			return float64(j.latest.UnixNano())
+			return float64(j.latestStart.UnixNano())
 		}
 	}
 	return c.shares.Rank(l.team)
 }
 
-// shared gives each placement to the team that is furthest below its share.
-func (p *pass) shared() {
-	lines := p.lines()
-	tried := map[*line]*int{}
-	for len(lines) > 0 && p.placed < maxPlan {
+// placeByShare gives each placement to the team that is furthest below its share.
+func (p *placementPass) placeByShare() {
+	lines := p.sortedQueues()
+	tried := map[*teamQueue]*int{}
+	for len(lines) > 0 && p.placements < maxPlacements {
 		l := lines[0]
 		if tried[l] == nil {
 			tried[l] = new(int)
 		}
-		j := p.next(l, tried[l])
-		if j == nil || *tried[l] >= lookahead {
+		j := p.nextJob(l, tried[l])
+		if j == nil || *tried[l] >= maxTriedJobs {
 			lines = lines[1:]
 			continue
 		}
-		p.one(j, tried[l])
-		lines = p.sink(lines)
+		p.tryJob(j, tried[l])
+		lines = p.reorderFirst(lines)
 	}
 }
 
-// sink moves the first line back to where its rank belongs.
-func (p *pass) sink(lines []*line) []*line {
+// reorderFirst moves the first line back to where its rank belongs.
+func (p *placementPass) reorderFirst(lines []*teamQueue) []*teamQueue {
 	first := lines[0]
 	if first.jobs.Len() == 0 {
 		return lines[1:]
 	}
-	rank := p.cell.rank(first)
+	rank := p.cell.queueRank(first)
 	i := 1
-	for i < len(lines) && p.cell.rank(lines[i]) < rank {
+	for i < len(lines) && p.cell.queueRank(lines[i]) < rank {
 		lines[i-1] = lines[i]
 		i++
 	}
@@ -269,8 +269,8 @@
 	return lines
 }
 
-// next returns the line's job after those that were tried in vain.
-func (p *pass) next(l *line, tried *int) *Job {
+// nextJob returns the line's job after those that were tried in vain.
+func (p *placementPass) nextJob(l *teamQueue, tried *int) *Job {
 	var found *Job
 	i := 0
 	l.jobs.Ascend(func(j *Job) bool {
@@ -284,73 +284,73 @@
 	return found
 }
 
-// one places the next task of a job, or all tasks of a gang; in vain, it
+// tryJob places the next task of a job, or all tasks of a gang; in vain, it
 // counts the job as tried.
-func (p *pass) one(j *Job, tried *int) {
-	if j.Spec.Kind == rules.Gang && j.active == 0 {
+func (p *placementPass) tryJob(j *Job, tried *int) {
+	if j.Spec.Kind == rules.Gang && j.activeTasks == 0 {
 		if !p.cell.placeGang(p, j) {
 			*tried++
 		}
 		return
 	}
 	c := p.cell
-	t := &j.tasks[j.queued[len(j.queued)-1]]
+	t := &j.tasks[j.queuedTasks[len(j.queuedTasks)-1]]
 	need := t.spec().Need
 	if c.limits.Available(LimitName(j.Spec.Team)) < need.Cores {
 		*tried++
 		return
 	}
-	id, ok := p.find(t, need)
+	id, ok := p.findWorker(t, need)
 	if !ok {
-		if c.mayYield(j) {
-			c.yield(t)
+		if c.mayPreempt(j) {
+			c.preemptFor(t)
 		}
 		*tried++
 		return
 	}
-	p.place(t, c.workers[id])
+	p.placeTask(t, c.workers[id])
 	c.enqueue(j)
 }
 
-func (p *pass) place(t *Task, w *Worker) {
+func (p *placementPass) placeTask(t *Task, w *Worker) {
 	j := t.job
-	j.pull(t.index)
-	t.next = w
-	t.started = time.Time{}
-	t.fire(taskPlace)
-	p.placed++
+	j.removeQueued(t.index)
+	t.eventWorker = w
+	t.startedAt = time.Time{}
+	t.fire(taskEventPlace)
+	p.placements++
 	p.cell.counts.Starts++
 }
 
-func (p *pass) find(t *Task, need core.Resources) (core.WorkerID, bool) {
-	for _, u := range p.unfit {
+func (p *placementPass) findWorker(t *Task, need core.Resources) (core.WorkerID, bool) {
+	for _, u := range p.unfitNeeds {
 		if u.Fits(need) {
 			return "", false
 		}
 	}
 	c := p.cell
-	restricted := len(t.avoid) > 0
+	restricted := len(t.failedOn) > 0
 	allow := func(id core.WorkerID) bool {
-		if t.avoid.Has(id) || !c.workers[id].usable() {
+		if t.failedOn.Has(id) || !c.workers[id].usable() {
 			restricted = true
 			return false
 		}
-		if c.gang.blocks(c, t, id) {
+		if c.reservation.blocks(c, t, id) {
 			restricted = true
 			return false
 		}
 		return true
 	}
-	search := c.rooms.First
+	search := c.roomIndex.First
 	if c.policy.BestFit {
-		search = c.rooms.Best
+		search = c.roomIndex.Best
 	}
 	id, ok := search(need, allow)
 	if !ok && !restricted {
-		p.unfit = append(p.unfit, need)
+		p.unfitNeeds = append(p.unfitNeeds, need)
 	}
-	if !ok && len(t.avoid) > 0 && len(t.avoid) >= c.rooms.Len() {
-		t.avoid = nil
+	if !ok && len(t.failedOn) > 0 && len(t.failedOn) >= c.roomIndex.Len() {
+		t.failedOn = nil
 	}
 	return id, ok
 }
--- a/core/cell/yield.go
+++ b/core/cell/preempt.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// yieldAgain is how long a task waits before it has others yield anew.
-	yieldAgain = 2 * time.Second
-	// yieldAfter is how long a team below its share waits before tasks of
+	// preemptInterval is how long a task waits before it has others yield anew.
+	preemptInterval = 2 * time.Second
+	// preemptAfter is how long a team below its share waits before tasks of
 	// teams above theirs yield.
-	yieldAfter = 5 * time.Second
-	// yieldLooks bounds the workers looked at for one task.
-	yieldLooks = 64
+	preemptAfter = 5 * time.Second
+	// maxPreemptWorkers bounds the workers looked at for one task.
+	maxPreemptWorkers = 64
 )
 
-// mayYield reports whether others should make room for a job: it is about to
+// mayPreempt reports whether others should make room for a job: it is about to
 // miss its latest start, or its team has long been below its share.
-func (c *Cell) mayYield(j *Job) bool {
+func (c *Cell) mayPreempt(j *Job) bool {
 	if !c.policy.Yield {
 		return false
 	}
 	if !j.Spec.Start.IsZero() {
 		return true
 	}
-	return c.shares.Rank(j.Spec.Team) < 1 && c.now.Sub(j.Spec.Submitted) > yieldAfter
+	return c.shares.Rank(j.Spec.Team) < 1 && c.now.Sub(j.Spec.Submitted) > preemptAfter
 }
 
-// yield has batch tasks of teams above their share write a checkpoint and make
+// preemptFor has batch tasks of teams above their share write a checkpoint and make
 // room for t on the worker where that costs least.
-func (c *Cell) yield(t *Task) {
-	if c.now.Before(t.yieldNext) {
+func (c *Cell) preemptFor(t *Task) {
+	if c.now.Before(t.nextPreempt) {
 		return
 	}
-	t.yieldNext = c.now.Add(yieldAgain)
+	t.nextPreempt = c.now.Add(preemptInterval)
 	var best []*Task
 	least := int64(0)
-	for range min(yieldLooks, len(c.order)) {
-		c.yieldTurn = (c.yieldTurn + 1) % len(c.order)
-		w := c.order[c.yieldTurn]
-		if !w.usable() || t.avoid.Has(w.id) || !t.spec().Need.Fits(w.room) {
+	for range min(maxPreemptWorkers, len(c.workersByID)) {
+		c.preemptCursor = (c.preemptCursor + 1) % len(c.workersByID)
+		w := c.workersByID[c.preemptCursor]
+		if !w.usable() || t.failedOn.Has(w.id) || !t.spec().Need.Fits(w.room) {
 			continue
 		}
 		victims, cost := c.victims(w, t)
@@ -53,7 +53,7 @@
 	}
 	for _, v := range best {
 		c.counts.Yields++
-		v.fire(taskYield)
+		v.fire(taskEventYield)
 	}
 }
 
@@ -62,15 +62,15 @@
 func (c *Cell) victims(w *Worker, t *Task) ([]*Task, int64) {
 	var list []*Task
 	own := c.shares.Rank(t.job.Spec.Team)
-	for _, v := range w.sorted() {
+	for _, v := range w.sortedTasks() {
 		j := v.job
 		hurry := !j.Spec.Start.IsZero()
-		if v.state == taskRunning && j.Spec.Kind == rules.Batch && !hurry && c.shares.Rank(j.Spec.Team) > max(own, 1) {
+		if v.state == taskStateRunning && j.Spec.Kind == rules.Batch && !hurry && c.shares.Rank(j.Spec.Team) > max(own, 1) {
 			list = append(list, v)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *Task) int {
-		return cmp.Or(cmp.Compare(c.shares.Rank(b.job.Spec.Team), c.shares.Rank(a.job.Spec.Team)), b.placed.Compare(a.placed))
+		return cmp.Or(cmp.Compare(c.shares.Rank(b.job.Spec.Team), c.shares.Rank(a.job.Spec.Team)), b.placedAt.Compare(a.placedAt))
 	})
 	free := w.free
 	cost := int64(0)
@@ -89,20 +89,20 @@
 	return out, cost
 }
 
-// shed has the newest tasks of teams whose limit was lowered below their use
+// enforceLimits has the newest tasks of teams whose limit was lowered below their use
 // write a checkpoint and wait.
-func (c *Cell) shed() {
-	for _, l := range c.teams {
+func (c *Cell) enforceLimits() {
+	for _, l := range c.teamQueues {
 		excess := c.limits.Excess(LimitName(l.team))
 		if excess <= 0 {
 			continue
 		}
-		for _, t := range c.newest(l.team) {
+		for _, t := range c.newestTasks(l.team) {
 			switch t.state {
-			case taskRunning:
-				t.fire(taskYield)
+			case taskStateRunning:
+				t.fire(taskEventYield)
 				excess -= t.spec().Need.Cores
-			case taskYielding, taskStopping:
+			case taskStateYielding, taskStateStopping:
 				excess -= t.spec().Need.Cores
 			}
 			if excess <= 0 {
@@ -112,17 +112,17 @@
 	}
 }
 
-// newest returns a team's placed tasks, the newest first.
-func (c *Cell) newest(team core.Team) []*Task {
+// newestTasks returns a team's placed tasks, the newest first.
+func (c *Cell) newestTasks(team core.Team) []*Task {
 	var out []*Task
-	for _, w := range c.order {
-		for _, t := range w.sorted() {
+	for _, w := range c.workersByID {
+		for _, t := range w.sortedTasks() {
 			if t.job.Spec.Team == team {
 				out = append(out, t)
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *Task) int { return b.placed.Compare(a.placed) })
+	slices.SortStableFunc(out, func(a, b *Task) int { return b.placedAt.Compare(a.placedAt) })
 	return out
 }
 
@@ -131,16 +131,16 @@
 func (c *Cell) checkBlocked() {
 	fits := map[core.Resources]bool{}
 	for _, j := range c.jobs {
-		j.blocked = ""
-		for _, i := range j.queued {
+		j.blockedReason = ""
+		for _, i := range j.queuedTasks {
 			need := j.Spec.Tasks[i].Need
 			ok, known := fits[need]
 			if !known {
-				ok = c.fitsAny(need)
+				ok = c.fitsAnyWorker(need)
 				fits[need] = ok
 			}
 			if !ok {
-				j.blocked = "a task is larger than any worker of the cell"
+				j.blockedReason = "a task is larger than any worker of the cell"
 				break
 			}
 		}
--- a/core/cell/load.go
+++ b/core/cell/status.go
@@ -27,18 +27,18 @@
 
 // State returns the cell's state for display.
 func (c *Cell) State() Load {
-	l := Load{Cell: c.id, Epoch: c.epoch, Workers: len(c.order), Total: c.total(), Free: c.rooms.Free()}
-	for _, w := range c.order {
-		if w.state == workerLive {
+	l := Load{Cell: c.id, Epoch: c.epoch, Workers: len(c.workersByID), Total: c.totalRoom(), Free: c.roomIndex.Free()}
+	for _, w := range c.workersByID {
+		if w.state == workerStateLive {
 			l.Live++
 		}
 		l.Running += len(w.tasks)
 	}
 	for _, j := range c.jobs {
-		l.Queued += len(j.queued)
+		l.Queued += len(j.queuedTasks)
 	}
-	for team, line := range c.teams {
-		l.Teams = append(l.Teams, TeamLoad{team, c.shares.Used(team).Cores, line.cores})
+	for team, line := range c.teamQueues {
+		l.Teams = append(l.Teams, TeamLoad{team, c.shares.Used(team).Cores, line.queuedCores})
 	}
 	slices.SortFunc(l.Teams, func(a, b TeamLoad) int {
 		if a.Team < b.Team {
@@ -61,10 +61,10 @@
 
 // Workers returns the workers for display.
 func (c *Cell) Workers() []WorkerView {
-	out := make([]WorkerView, 0, len(c.order))
-	for _, w := range c.order {
+	out := make([]WorkerView, 0, len(c.workersByID))
+	for _, w := range c.workersByID {
 		out = append(out, WorkerView{
-			w.id, workerChart.Name(w.state), healthChart.Name(w.health), w.leaves, w.free, w.room, len(w.tasks), len(w.orphans),
+			w.id, workerChart.Name(w.state), healthChart.Name(w.health), w.leaving, w.free, w.room, len(w.tasks), len(w.orphans),
 		})
 	}
 	return out
--- a/core/cell/worker.go
+++ b/core/cell/worker.go
@@ -10,19 +10,19 @@
 )
 
 //go:embed worker.toml
-var workerText []byte
+var workerChartText []byte
 
 //go:embed health.toml
-var healthText []byte
+var healthChartText []byte
 
 const (
-	// failStreak is how many tasks in a row must fail on a worker before it is
+	// maxConsecutiveFailures is how many tasks in a row must fail on a worker before it is
 	// set aside.
-	failStreak = 3
-	// probeAfter is how long a worker stays aside before its first trial; it
+	maxConsecutiveFailures = 3
+	// minProbeDelay is how long a worker stays aside before its first trial; it
 	// doubles with each failed trial up to probeMost.
-	probeAfter = 10 * time.Second
-	probeMost  = 10 * time.Minute
+	minProbeDelay = 10 * time.Second
+	maxProbeDelay = 10 * time.Minute
 )
 
 // The charts and their names are bound in init, as the actions use them in
@@ -30,41 +30,41 @@
 var (
 	workerChart, healthChart *chart.Machine[*Worker]
 
-	workerReport, workerMiss, workerExpire, workerVanish, healthDone, healthFail, healthProbe chart.Event
-	workerNew, workerLive, workerGone, workerLapsed, healthGood, healthAside, healthTrial     chart.State
+	workerEventReport, workerEventMiss, workerEventExpire, workerEventVanish, healthEventDone, healthEventFail, healthEventProbe chart.Event
+	workerStateNew, workerStateLive, workerStateGone, workerStateLapsed, healthStateGood, healthStateAside, healthStateTrial     chart.State
 )
 
 func init() {
-	workerChart = chart.Must(chart.Load(workerText, nil, map[string]chart.Action[*Worker]{
-		"open":    (*Worker).open,
-		"shut":    (*Worker).shut,
-		"requeue": (*Worker).requeue,
+	workerChart = chart.Must(chart.Load(workerChartText, nil, map[string]chart.Action[*Worker]{
+		"open":    (*Worker).offerRoom,
+		"shut":    (*Worker).withdrawRoom,
+		"requeue": (*Worker).requeueTasks,
 	}))
-	workerReport = workerChart.Event("report")
-	workerMiss = workerChart.Event("miss")
-	workerExpire = workerChart.Event("expire")
-	workerVanish = workerChart.Event("vanish")
-	workerNew = workerChart.State("new")
-	workerLive = workerChart.State("live")
-	workerGone = workerChart.State("gone")
-	workerLapsed = workerChart.State("lapsed")
-
-	healthChart = chart.Must(chart.Load(healthText, map[string]chart.Guard[*Worker]{
-		"streak": func(w *Worker) bool { return w.fails >= failStreak },
+	workerEventReport = workerChart.Event("report")
+	workerEventMiss = workerChart.Event("miss")
+	workerEventExpire = workerChart.Event("expire")
+	workerEventVanish = workerChart.Event("vanish")
+	workerStateNew = workerChart.State("new")
+	workerStateLive = workerChart.State("live")
+	workerStateGone = workerChart.State("gone")
+	workerStateLapsed = workerChart.State("lapsed")
+
+	healthChart = chart.Must(chart.Load(healthChartText, map[string]chart.Guard[*Worker]{
+		"streak": func(w *Worker) bool { return w.consecutiveFailures >= maxConsecutiveFailures },
 	}, map[string]chart.Action[*Worker]{
 		"exclude": (*Worker).exclude,
 		"include": (*Worker).include,
-		"trust":   func(w *Worker) { w.fails, w.wait = 0, 0 },
+		"trust":   func(w *Worker) { w.consecutiveFailures, w.probeDelay = 0, 0 },
 	}))
-	healthDone = healthChart.Event("done")
-	healthFail = healthChart.Event("fail")
-	healthProbe = healthChart.Event("probe")
-	healthGood = healthChart.State("good")
-	healthAside = healthChart.State("aside")
-	healthTrial = healthChart.State("trial")
+	healthEventDone = healthChart.Event("done")
+	healthEventFail = healthChart.Event("fail")
+	healthEventProbe = healthChart.Event("probe")
+	healthStateGood = healthChart.State("good")
+	healthStateAside = healthChart.State("aside")
+	healthStateTrial = healthChart.State("trial")
 }
 
-type orphan struct {
+type orphanedRun struct {
 	team core.Team
 	need core.Resources
 }
@@ -84,94 +84,94 @@
 	// stamp is the newest one received; the worker's lease ends a lease time
 	// after it made the stamp, whatever message brings it back.
 	stamp string
-	// heard is when the newest report was received; the lease counts from it.
-	heard time.Time
-	// born is the worker's incarnation; seq and stamp belong to it.
-	born string
-	// seq is that of the newest report; older ones are passed over.
-	seq uint64
-	// due is when a worker that missed a contact is contacted again.
-	due time.Time
-	// watching is set while a contact waits at the worker for news, pushing
+	// lastReportAt is when the newest report was received; the lease counts from it.
+	lastReportAt time.Time
+	// incarnation is the worker's incarnation; seq and stamp belong to it.
+	incarnation string
+	// reportSeq is that of the newest report; older ones are passed over.
+	reportSeq uint64
+	// retryAt is when a worker that missed a contact is contacted again.
+	retryAt time.Time
+	// pollInFlight is set while a contact waits at the worker for news, pushing
 	// while one that brings orders is in flight.
-	watching, pushing bool
-	// listed is set while the worker is on the list of those to be contacted.
-	listed bool
-	// dirty is set while the worker has not been told the newest orders.
-	dirty bool
-	tasks map[core.TaskID]*Task
+	pollInFlight, pushInFlight bool
+	// inSendQueue is set while the worker is on the list of those to be contacted.
+	inSendQueue bool
+	// hasNewOrders is set while the worker has not been told the newest orders.
+	hasNewOrders bool
+	tasks        map[core.TaskID]*Task
 	// orphans run on the worker but do not belong there; they are being
 	// stopped and take room until they are gone.
-	orphans map[core.TaskID]orphan
+	orphans map[core.TaskID]orphanedRun
 	// acks are ended tasks whose end is recorded, so that the worker may
 	// forget them.
-	acks   []Ack
-	fails  int
-	blamed core.JobID
-	wait   time.Duration
-	leaves bool
-	probe  time.Time
+	acks                []Ack
+	consecutiveFailures int
+	lastFailedJob       core.JobID
+	probeDelay          time.Duration
+	leaving             bool
+	nextProbe           time.Time
 }
 
-func (w *Worker) fire(ev chart.Event) { w.cell.note(workerChart.Fire(&w.state, ev, w)) }
+func (w *Worker) fire(ev chart.Event) { w.cell.recordRefused(workerChart.Fire(&w.state, ev, w)) }
 
-func (w *Worker) open() { w.cell.index(w) }
+func (w *Worker) offerRoom() { w.cell.updateRoom(w) }
 
-// shut keeps new tasks off the worker.
-func (w *Worker) shut() { w.cell.rooms.Drop(w.id) }
+// withdrawRoom keeps new tasks off the worker.
+func (w *Worker) withdrawRoom() { w.cell.roomIndex.Drop(w.id) }
 
-// requeue frees all tasks of a worker whose lease has surely ended.
-func (w *Worker) requeue() {
-	for _, t := range w.sorted() {
+// requeueTasks frees all tasks of a worker whose lease has surely ended.
+func (w *Worker) requeueTasks() {
+	for _, t := range w.sortedTasks() {
 		w.cell.counts.Lapses++
-		t.fire(taskLapse)
+		t.fire(taskEventLapse)
 	}
 	for id, o := range w.orphans {
 		delete(w.orphans, id)
-		w.cell.give(w, o.team, o.need)
+		w.cell.deallocate(w, o.team, o.need)
 	}
 	w.acks = nil
-	w.cell.clearHeld()
+	w.cell.requeueHeld()
 }
 
 func (w *Worker) exclude() {
-	w.wait = min(max(2*w.wait, probeAfter), probeMost)
-	w.probe = w.cell.now.Add(w.wait)
-	w.cell.rooms.Drop(w.id)
+	w.probeDelay = min(max(2*w.probeDelay, minProbeDelay), maxProbeDelay)
+	w.nextProbe = w.cell.now.Add(w.probeDelay)
+	w.cell.roomIndex.Drop(w.id)
 }
 
-func (w *Worker) include() { w.cell.index(w) }
+func (w *Worker) include() { w.cell.updateRoom(w) }
 
-// touch has the worker contacted with new orders.
-func (w *Worker) touch() {
-	w.dirty = true
-	w.cell.wake(w)
+// markOrdersChanged has the worker contacted with new orders.
+func (w *Worker) markOrdersChanged() {
+	w.hasNewOrders = true
+	w.cell.queueHeartbeat(w)
 }
 
 // usable reports whether new tasks may be placed on the worker.
 func (w *Worker) usable() bool {
-	if w.state != workerLive || w.leaves {
+	if w.state != workerStateLive || w.leaving {
 		return false
 	}
 	switch w.health {
-	case healthGood:
+	case healthStateGood:
 		return true
-	case healthTrial:
+	case healthStateTrial:
 		return len(w.tasks) == 0
 	default:
 		return false
 	}
 }
 
-// expiry returns when the worker's lease has surely ended.
-func (w *Worker) expiry() time.Time {
+// leaseEnd returns when the worker's lease has surely ended.
+func (w *Worker) leaseEnd() time.Time {
 	ttl := w.cell.workerTTL
-	return w.heard.Add(ttl + ttl*lease.DriftPercent/100)
+	return w.lastReportAt.Add(ttl + ttl*lease.DriftPercent/100)
 }
 
-// sorted returns the worker's tasks in a fixed order, so that a run can be
+// sortedTasks returns the worker's tasks in a fixed order, so that a run can be
 // replayed.
-func (w *Worker) sorted() []*Task {
+func (w *Worker) sortedTasks() []*Task {
 	out := make([]*Task, 0, len(w.tasks))
 	for _, t := range w.tasks {
 		out = append(out, t)
--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -1,7 +1,7 @@
-// Package chart interprets state charts kept in TOML files. A chart names
-// states, events, guards and actions; code registers guards and actions by
-// name. Loading refuses unknown names, unreachable states and states that
-// leave an event undecided.
+// Package chart interprets state charts that are written in TOML files. A chart
+// names states, events, guards and actions; code registers the guards and
+// actions by name. Loading fails if a name is unknown, a state is unreachable,
+// or a state neither handles, ignores nor refuses one of the events.
 package chart
 
 import (
@@ -19,7 +19,7 @@
 // Event is the index of an event within its chart.
 type Event uint8
 
-// LoadError reports a chart that cannot be used.
+// LoadError reports a chart file that cannot be loaded.
 type LoadError struct {
 	Chart  string
 	Reason string
@@ -34,10 +34,10 @@
 	return fmt.Sprintf("chart %s: %s", e.Chart, e.Reason)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *LoadError) Unwrap() error { return e.Err }
 
-// RefusedError reports an event that the current state does not allow.
+// RefusedError reports an event that the current state refuses.
 type RefusedError struct {
 	Chart, State, Event string
 }
@@ -47,236 +47,242 @@
 	return fmt.Sprintf("%s in state %s refuses event %s", e.Chart, e.State, e.Event)
 }
 
-// Step is one way out of a state.
-type Step struct {
-	// On is the event, To the next state.
+// Transition is one transition out of a state, as written in the chart file.
+type Transition struct {
+	// On names the event and To the next state.
 	On string `toml:"on"`
 	To string `toml:"to"`
-	// If names a guard; the first step whose guard holds is taken.
+	// If names a guard. Of the transitions on one event, the first without a
+	// guard or whose guard returns true is taken.
 	If string `toml:"if"`
-	// Do names the actions run on the way, in order.
+	// Do names the actions that the transition runs, in order.
 	Do []string `toml:"do"`
 }
 
-// Node is one state of a chart as written in its file.
-type Node struct {
+// StateDef is one state, as written in the chart file.
+type StateDef struct {
 	Name string `toml:"name"`
-	// Final marks a state without a way out.
-	Final  bool     `toml:"final"`
-	Steps  []Step   `toml:"step"`
-	Ignore []string `toml:"ignore"`
-	Refuse []string `toml:"refuse"`
+	// Final marks a state without transitions.
+	Final       bool         `toml:"final"`
+	Transitions []Transition `toml:"step" json:"Steps"`
+	Ignore      []string     `toml:"ignore"`
+	Refuse      []string     `toml:"refuse"`
 }
 
 // Chart is the content of a chart file.
 type Chart struct {
-	Name   string   `toml:"chart"`
-	About  string   `toml:"about"`
-	Start  string   `toml:"start"`
-	Events []string `toml:"events"`
-	States []Node   `toml:"state"`
+	Name   string     `toml:"chart"`
+	About  string     `toml:"about"`
+	Start  string     `toml:"start"`
+	Events []string   `toml:"events"`
+	States []StateDef `toml:"state"`
 }
 
-// Parse reads a chart and checks that it is whole.
+// Parse decodes a chart file and validates it.
 func Parse(text []byte) (*Chart, error) {
 	var c Chart
 	dec := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields()
 	if err := dec.Decode(&c); err != nil {
-		return nil, &LoadError{Chart: c.Name, Reason: "not readable", Err: err}
+		return nil, &LoadError{Chart: c.Name, Reason: "file is not readable as TOML", Err: err}
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	return &c, nil
 }
 
-func (c *Chart) fail(format string, args ...any) error {
+func (c *Chart) loadError(format string, args ...any) error {
 	return &LoadError{Chart: c.Name, Reason: fmt.Sprintf(format, args...)}
 }
 
-func (c *Chart) index(state string) int {
-	return slices.IndexFunc(c.States, func(n Node) bool { return n.Name == state })
+func (c *Chart) stateIndex(state string) int {
+	return slices.IndexFunc(c.States, func(def StateDef) bool { return def.Name == state })
 }
 
-func (c *Chart) check() error {
+func (c *Chart) validate() error {
 	if c.Name == "" || len(c.States) == 0 || len(c.States) > 255 || len(c.Events) > 255 {
-		return c.fail("needs a name and 1 to 255 states and events")
+		return c.loadError("needs a name and 1 to 255 states and events")
 	}
-	if c.index(c.Start) < 0 {
-		return c.fail("start state %q is not defined", c.Start)
+	if c.stateIndex(c.Start) < 0 {
+		return c.loadError("start state %q is not defined", c.Start)
 	}
-	for _, n := range c.States {
-		if err := c.checkNode(n); err != nil {
+	for _, def := range c.States {
+		if err := c.validateState(def); err != nil {
 			return err
 		}
 	}
-	return c.checkReach()
+	return c.validateReachability()
 }
 
-func (c *Chart) checkNode(n Node) error {
-	decided := map[string]string{}
-	open := map[string]bool{}
-	for _, s := range n.Steps {
-		if c.index(s.To) < 0 {
-			return c.fail("state %s leads to unknown state %q", n.Name, s.To)
+func (c *Chart) validateState(def StateDef) error {
+	// handledBy tells whether transitions ("step") or a list ("list") decide an
+	// event; guarded is true while all transitions on it have a guard.
+	handledBy := map[string]string{}
+	guarded := map[string]bool{}
+	for _, tr := range def.Transitions {
+		if c.stateIndex(tr.To) < 0 {
+			return c.loadError("state %s leads to unknown state %q", def.Name, tr.To)
 		}
-		if !slices.Contains(c.Events, s.On) {
-			return c.fail("state %s names unknown event %q", n.Name, s.On)
+		if !slices.Contains(c.Events, tr.On) {
+			return c.loadError("state %s names unknown event %q", def.Name, tr.On)
 		}
-		if decided[s.On] == "step" && !open[s.On] {
-			return c.fail("state %s has a step on %q after an unguarded one", n.Name, s.On)
+		if handledBy[tr.On] == "step" && !guarded[tr.On] {
+			return c.loadError("state %s has a transition on %q after an unguarded one, which can never be taken", def.Name, tr.On)
 		}
-		decided[s.On] = "step"
-		open[s.On] = s.If != ""
+		handledBy[tr.On] = "step"
+		guarded[tr.On] = tr.If != ""
 	}
-	for _, list := range [][]string{n.Ignore, n.Refuse} {
+	for _, list := range [][]string{def.Ignore, def.Refuse} {
 		for _, ev := range list {
 			if !slices.Contains(c.Events, ev) {
-				return c.fail("state %s names unknown event %q", n.Name, ev)
+				return c.loadError("state %s names unknown event %q", def.Name, ev)
 			}
-			if decided[ev] == "list" || (decided[ev] == "step" && !open[ev]) {
-				return c.fail("state %s decides event %q twice", n.Name, ev)
+			if handledBy[ev] == "list" || (handledBy[ev] == "step" && !guarded[ev]) {
+				return c.loadError("state %s decides event %q twice", def.Name, ev)
 			}
-			decided[ev] = "list"
-			open[ev] = false
+			handledBy[ev] = "list"
+			guarded[ev] = false
 		}
 	}
 	for _, ev := range c.Events {
-		if decided[ev] == "" || open[ev] {
-			return c.fail("state %s leaves event %q undecided", n.Name, ev)
+		if handledBy[ev] == "" || guarded[ev] {
+			return c.loadError("state %s leaves event %q undecided", def.Name, ev)
 		}
 	}
-	if n.Final != (len(n.Steps) == 0) {
-		return c.fail("state %s must be final exactly when it has no step", n.Name)
+	if def.Final != (len(def.Transitions) == 0) {
+		return c.loadError("state %s must be marked final if it has no transitions, and only then", def.Name)
 	}
 	return nil
 }
 
-func (c *Chart) checkReach() error {
+func (c *Chart) validateReachability() error {
 	seen := map[string]bool{c.Start: true}
 	todo := []string{c.Start}
 	for len(todo) > 0 {
-		n := c.States[c.index(todo[0])]
+		def := c.States[c.stateIndex(todo[0])]
 		todo = todo[1:]
-		for _, s := range n.Steps {
-			if !seen[s.To] {
-				seen[s.To] = true
-				todo = append(todo, s.To)
+		for _, tr := range def.Transitions {
+			if !seen[tr.To] {
+				seen[tr.To] = true
+				todo = append(todo, tr.To)
 			}
 		}
 	}
-	for _, n := range c.States {
-		if !seen[n.Name] {
-			return c.fail("state %s cannot be reached", n.Name)
+	for _, def := range c.States {
+		if !seen[def.Name] {
+			return c.loadError("state %s cannot be reached", def.Name)
 		}
 	}
 	return nil
 }
 
-// Draw returns the chart as text, one line a transition.
+// Draw returns the chart as text, with one line per transition.
 func (c *Chart) Draw() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %s\nstart: %s\n", c.Name, c.About, c.Start)
-	for _, n := range c.States {
-		for _, s := range n.Steps {
-			fmt.Fprintf(&b, "  %-10s --%s", n.Name, s.On)
-			if s.If != "" {
-				fmt.Fprintf(&b, " [%s]", s.If)
+	for _, def := range c.States {
+		for _, tr := range def.Transitions {
+			fmt.Fprintf(&b, "  %-10s --%s", def.Name, tr.On)
+			if tr.If != "" {
+				fmt.Fprintf(&b, " [%s]", tr.If)
 			}
-			fmt.Fprintf(&b, "--> %s", s.To)
-			if len(s.Do) > 0 {
-				fmt.Fprintf(&b, " / %s", strings.Join(s.Do, ", "))
+			fmt.Fprintf(&b, "--> %s", tr.To)
+			if len(tr.Do) > 0 {
+				fmt.Fprintf(&b, " / %s", strings.Join(tr.Do, ", "))
 			}
 			b.WriteByte('\n')
 		}
-		if n.Final {
-			fmt.Fprintf(&b, "  %-10s (final)\n", n.Name)
+		if def.Final {
+			fmt.Fprintf(&b, "  %-10s (final)\n", def.Name)
 		}
 	}
 	return b.String()
 }
 
-// Guard decides whether a step may be taken.
+// Guard reports whether a transition may be taken.
 type Guard[T any] func(T) bool
 
-// Action is run on the way from one state to the next.
+// Action is run by a transition, after the state has changed.
 type Action[T any] func(T)
 
-type arc[T any] struct {
-	to    State
-	guard Guard[T]
-	do    []Action[T]
+// boundTransition is a transition with its guard and actions resolved.
+type boundTransition[T any] struct {
+	to      State
+	guard   Guard[T]
+	actions []Action[T]
 }
 
-type verdict[T any] struct {
-	arcs    []arc[T]
-	ignored bool
+// response is what one state does on one event. The event is refused if no
+// transition applies and it is not ignored.
+type response[T any] struct {
+	transitions []boundTransition[T]
+	ignored     bool
 }
 
 // Machine runs one chart over values of type T.
 type Machine[T any] struct {
 	chart *Chart
-	// table is indexed by state, then event; every cell is decided.
-	table [][]verdict[T]
+	// table is indexed by state, then by event.
+	table [][]response[T]
 }
 
-// Load parses a chart and binds its guards and actions. Every registered name
-// must be used by the chart and the other way round.
+// Load parses a chart and binds its guards and actions. Each guard and action in
+// the chart must be registered, and each registered one must be used.
 func Load[T any](text []byte, guards map[string]Guard[T], actions map[string]Action[T]) (*Machine[T], error) {
 	c, err := Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	m := &Machine[T]{chart: c, table: make([][]verdict[T], len(c.States))}
+	m := &Machine[T]{chart: c, table: make([][]response[T], len(c.States))}
 	used := map[string]bool{}
-	for i, n := range c.States {
-		m.table[i] = make([]verdict[T], len(c.Events))
-		for _, ev := range n.Ignore {
+	for i, def := range c.States {
+		m.table[i] = make([]response[T], len(c.Events))
+		for _, ev := range def.Ignore {
 			m.table[i][slices.Index(c.Events, ev)].ignored = true
 		}
-		for _, s := range n.Steps {
-			a := arc[T]{to: State(c.index(s.To))}
-			if s.If != "" {
-				if a.guard = guards[s.If]; a.guard == nil {
-					return nil, c.fail("unknown guard %q", s.If)
+		for _, tr := range def.Transitions {
+			t := boundTransition[T]{to: State(c.stateIndex(tr.To))}
+			if tr.If != "" {
+				if t.guard = guards[tr.If]; t.guard == nil {
+					return nil, c.loadError("unknown guard %q", tr.If)
 				}
-				used["guard "+s.If] = true
+				used["guard "+tr.If] = true
 			}
-			for _, name := range s.Do {
+			for _, name := range tr.Do {
 				if actions[name] == nil {
-					return nil, c.fail("unknown action %q", name)
+					return nil, c.loadError("unknown action %q", name)
 				}
 				used["action "+name] = true
-				a.do = append(a.do, actions[name])
+				t.actions = append(t.actions, actions[name])
 			}
-			v := &m.table[i][slices.Index(c.Events, s.On)]
-			v.arcs = append(v.arcs, a)
+			r := &m.table[i][slices.Index(c.Events, tr.On)]
+			r.transitions = append(r.transitions, t)
 		}
 	}
 	return m, m.checkUsed(used, guards, actions)
 }
 
 func (m *Machine[T]) checkUsed(used map[string]bool, guards map[string]Guard[T], actions map[string]Action[T]) error {
-	var idle []string
+	var unused []string
 	for name := range guards {
 		if !used["guard "+name] {
-			idle = append(idle, "guard "+name)
+			unused = append(unused, "guard "+name)
 		}
 	}
 	for name := range actions {
 		if !used["action "+name] {
-			idle = append(idle, "action "+name)
+			unused = append(unused, "action "+name)
 		}
 	}
-	if len(idle) == 0 {
+	if len(unused) == 0 {
 		return nil
 	}
-	sort.Strings(idle)
-	return m.chart.fail("never uses %s", strings.Join(idle, ", "))
+	sort.Strings(unused)
+	return m.chart.loadError("unused %s", strings.Join(unused, ", "))
 }
 
-// Must returns m or panics; it is for charts embedded in the program, which
-// the tests load.
+// Must returns m and panics if err is set. It is for charts embedded in the
+// program, all of which are loaded by tests.
 func Must[T any](m *Machine[T], err error) *Machine[T] {
 	if err != nil {
 		panic(err)
@@ -284,20 +290,20 @@
 	return m
 }
 
-// Start returns the first state.
-func (m *Machine[T]) Start() State { return State(m.chart.index(m.chart.Start)) }
+// Start returns the initial state.
+func (m *Machine[T]) Start() State { return State(m.chart.stateIndex(m.chart.Start)) }
 
 // Lookup returns the index of a named state, if there is one.
 func (m *Machine[T]) Lookup(name string) (State, bool) {
-	i := m.chart.index(name)
+	i := m.chart.stateIndex(name)
 	return State(max(i, 0)), i >= 0
 }
 
 // State returns the index of a named state; the name must exist.
 func (m *Machine[T]) State(name string) State {
-	i := m.chart.index(name)
+	i := m.chart.stateIndex(name)
 	if i < 0 {
-		panic(m.chart.fail("unknown state %q", name))
+		panic(m.chart.loadError("unknown state %q", name))
 	}
 	return State(i)
 }
@@ -306,7 +312,7 @@
 func (m *Machine[T]) Event(name string) Event {
 	i := slices.Index(m.chart.Events, name)
 	if i < 0 {
-		panic(m.chart.fail("unknown event %q", name))
+		panic(m.chart.loadError("unknown event %q", name))
 	}
 	return Event(i)
 }
@@ -314,29 +320,30 @@
 // Name returns the name of a state.
 func (m *Machine[T]) Name(s State) string { return m.chart.States[s].Name }
 
-// Final reports whether a state has no way out.
+// Final reports whether a state has no transitions.
 func (m *Machine[T]) Final(s State) bool { return m.chart.States[s].Final }
 
-// Fire stores the next state in at, then runs the actions of the step. An
-// ignored event changes nothing; a refused one returns a RefusedError.
-func (m *Machine[T]) Fire(at *State, ev Event, val T) error {
-	v := &m.table[*at][ev]
-	for i := range v.arcs {
-		a := &v.arcs[i]
-		if a.guard != nil && !a.guard(val) {
+// Fire handles an event: it stores the next state in *state, then runs the
+// transition's actions on val. An ignored event changes nothing; a refused event
+// returns a RefusedError.
+func (m *Machine[T]) Fire(state *State, ev Event, val T) error {
+	r := &m.table[*state][ev]
+	for i := range r.transitions {
+		t := &r.transitions[i]
+		if t.guard != nil && !t.guard(val) {
 			continue
 		}
-		*at = a.to
-		for _, act := range a.do {
-			act(val)
+		*state = t.to
+		for _, action := range t.actions {
+			action(val)
 		}
 		return nil
 	}
-	if v.ignored {
+	if r.ignored {
 		return nil
 	}
-	return &RefusedError{m.chart.Name, m.Name(*at), m.chart.Events[ev]}
+	return &RefusedError{m.chart.Name, m.Name(*state), m.chart.Events[ev]}
 }
 
-// Draw returns the chart as text, one line a transition.
+// Draw returns the chart as text, with one line per transition.
 func (m *Machine[T]) Draw() string { return m.chart.Draw() }
--- a/core/chart/chart_test.go
+++ b/core/chart/chart_test.go
@@ -14,7 +14,7 @@
 	"chicoryturn/core/member"
 )
 
-const door = `chart = "door"
+const doorChart = `chart = "door"
 start = "shut"
 events = ["push", "pull"]
 [[state]]
@@ -27,33 +27,33 @@
 refuse = ["push"]
 `
 
-type hinge struct {
+type door struct {
 	free  bool
 	count int
 }
 
-func load(text string) (*chart.Machine[*hinge], error) {
+func load(text string) (*chart.Machine[*door], error) {
 	return chart.Load(
 		[]byte(text),
-		map[string]chart.Guard[*hinge]{"free": func(h *hinge) bool { return h.free }},
-		map[string]chart.Action[*hinge]{"count": func(h *hinge) { h.count++ }},
+		map[string]chart.Guard[*door]{"free": func(d *door) bool { return d.free }},
+		map[string]chart.Action[*door]{"count": func(d *door) { d.count++ }},
 	)
 }
 
 func TestFire(t *testing.T) {
 	is := is.New(t)
-	m, err := load(door)
+	m, err := load(doorChart)
 	is.NoErr(err)
-	h := &hinge{}
-	at := m.Start()
-	is.NoErr(m.Fire(&at, m.Event("push"), h))
-	is.Equal(m.Name(at), "shut") // the guard does not hold
-	h.free = true
-	is.NoErr(m.Fire(&at, m.Event("push"), h))
-	is.Equal(m.Name(at), "open")
-	is.Equal(h.count, 1)
+	d := &door{}
+	state := m.Start()
+	is.NoErr(m.Fire(&state, m.Event("push"), d))
+	is.Equal(m.Name(state), "shut") // the guard returns false
+	d.free = true
+	is.NoErr(m.Fire(&state, m.Event("push"), d))
+	is.Equal(m.Name(state), "open")
+	is.Equal(d.count, 1)
 	var refused *chart.RefusedError
-	is.True(errors.As(m.Fire(&at, m.Event("push"), h), &refused))
+	is.True(errors.As(m.Fire(&state, m.Event("push"), d), &refused))
 }
 
 func TestLoadFaults(t *testing.T) {
@@ -70,7 +70,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, err := load(strings.Replace(door, tt.from, tt.to, 1))
+			_, err := load(strings.Replace(doorChart, tt.from, tt.to, 1))
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
 				t.Errorf("got %v, want %q", err, tt.want)
 			}
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestCharts draws every chart of the program, which loads them all.
+// TestCharts loads and draws every chart of the program.
 func TestCharts(t *testing.T) {
 	is := is.New(t)
 	n := 0
--- a/core/conf/charts.go
+++ b/core/conf/charts.go
@@ -1,4 +1,4 @@
 package conf
 
-// Charts returns the name and the drawing of each chart, in turn.
+// Charts returns the package's charts as alternating names and text drawings.
 func Charts() []string { return []string{"key", keyChart.Draw(), "rules", versionChart.Draw()} }
--- a/core/conf/conf.go
+++ b/core/conf/conf.go
@@ -1,5 +1,5 @@
-// Package conf keeps the configuration in force in one process. Versions are
-// applied one by one and only upwards.
+// Package conf holds the configuration that one process has in force. Versions
+// are applied one at a time, in increasing order.
 package conf
 
 import (
@@ -13,28 +13,30 @@
 )
 
 //go:embed version.toml
-var versionText []byte
+var versionChartText []byte
 
 var (
-	versionChart = chart.Must(chart.Load(versionText, map[string]chart.Guard[*version]{
-		"next": func(v *version) bool { return v.number == v.book.number+1 },
+	versionChart = chart.Must(chart.Load(versionChartText, map[string]chart.Guard[*versionState]{
+		"next": func(v *versionState) bool { return v.number == v.config.version+1 },
 	}, nil))
-	evFetch   = versionChart.Event("fetch")
-	evApply   = versionChart.Event("apply")
-	evReplace = versionChart.Event("replace")
+	versionEventFetch   = versionChart.Event("fetch")
+	versionEventApply   = versionChart.Event("apply")
+	versionEventReplace = versionChart.Event("replace")
 )
 
-type version struct {
+// versionState is one configuration version and its state in the chart.
+type versionState struct {
 	number core.Version
 	state  chart.State
-	book   *Config
+	config *Config
 }
 
-// ConfirmWithin is how long a process goes on honouring keys without having
-// confirmed that it runs the newest version.
+// ConfirmWithin is the maximum age of the last confirmation that the process
+// runs the newest version. A process refuses all keys when it is exceeded, so
+// that a withdrawn key does not stay usable.
 const ConfirmWithin = 4 * time.Second
 
-// ChangeKind says what a change does.
+// ChangeKind is the kind of a configuration change.
 type ChangeKind string
 
 // The kinds of change.
@@ -44,149 +46,152 @@
 	WithdrawKey ChangeKind = "withdraw"
 )
 
-// Change is one accepted step of the configuration.
+// Change is one accepted configuration change.
 type Change struct {
-	// Version is one more than that of the change before.
+	// Version is one more than the version of the previous change.
 	Version core.Version
 	Kind    ChangeKind
-	// Rules is set for PushRules, Key for the others.
+	// Rules is set for PushRules; Key is set for GrantKey and WithdrawKey.
 	Rules *rules.Set
 	Key   *Key
 	At    time.Time
 }
 
-// Config is the configuration that one process runs.
+// Config is the configuration that one process has in force.
 type Config struct {
-	number    core.Version
-	current   *version
-	rules     *rules.Set
-	keys      map[string]*Key
+	version core.Version
+	current *versionState
+	rules   *rules.Set
+	keys    map[string]*Key
+	// confirmed is the send time of the newest query that confirmed the version.
 	confirmed time.Time
 }
 
-// New returns a book at version 0, which lets no work in.
+// New returns a configuration at version 0, which admits no work.
 func New() *Config {
 	return &Config{rules: &rules.Set{}, keys: map[string]*Key{}}
 }
 
 // Version returns the version in force.
-func (b *Config) Version() core.Version { return b.number }
+func (c *Config) Version() core.Version { return c.version }
 
-// State returns the state of the version in force.
-func (b *Config) State() string {
-	if b.current == nil {
+// State returns the chart state of the version in force, or "none".
+func (c *Config) State() string {
+	if c.current == nil {
 		return "none"
 	}
-	return versionChart.Name(b.current.state)
+	return versionChart.Name(c.current.state)
 }
 
 // Rules returns the rules in force; the caller must not change them.
-func (b *Config) Rules() *rules.Set { return b.rules }
+func (c *Config) Rules() *rules.Set { return c.rules }
 
 // Keys returns the keys sorted by ID.
-func (b *Config) Keys() []*Key {
-	out := make([]*Key, 0, len(b.keys))
-	for _, k := range b.keys {
+func (c *Config) Keys() []*Key {
+	out := make([]*Key, 0, len(c.keys))
+	for _, k := range c.keys {
 		out = append(out, k)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
 }
 
-// Restore replaces the whole content by that of a newer snapshot.
-func (b *Config) Restore(number core.Version, set *rules.Set, keys []*Key) {
-	if number <= b.number {
+// Restore replaces the configuration with a snapshot. It ignores a snapshot
+// that is not newer than the version in force.
+func (c *Config) Restore(version core.Version, set *rules.Set, keys []*Key) {
+	if version <= c.version {
 		return
 	}
-	b.number = number
-	b.current = &version{number: number, state: versionChart.State("inforce"), book: b}
-	b.rules = set
-	b.keys = map[string]*Key{}
+	c.version = version
+	c.current = &versionState{number: version, state: versionChart.State("inforce"), config: c}
+	c.rules = set
+	c.keys = map[string]*Key{}
 	for _, k := range keys {
-		b.keys[k.ID] = k
+		c.keys[k.ID] = k
 	}
 }
 
-// Apply puts the next change in force. A change already applied is ignored;
-// one that skips a version is refused.
-func (b *Config) Apply(c Change) error {
-	if c.Version <= b.number {
+// Apply puts the next change in force. It ignores a change that is already
+// applied and refuses one that skips a version.
+func (c *Config) Apply(change Change) error {
+	if change.Version <= c.version {
 		return nil
 	}
-	v := &version{number: c.Version, state: versionChart.Start(), book: b}
-	if err := versionChart.Fire(&v.state, evFetch, v); err != nil {
+	v := &versionState{number: change.Version, state: versionChart.Start(), config: c}
+	if err := versionChart.Fire(&v.state, versionEventFetch, v); err != nil {
 		return err
 	}
-	if err := versionChart.Fire(&v.state, evApply, v); err != nil {
+	if err := versionChart.Fire(&v.state, versionEventApply, v); err != nil {
 		return err
 	}
-	if err := b.change(c); err != nil {
+	if err := c.applyChange(change); err != nil {
 		return err
 	}
-	if b.current != nil {
-		if err := versionChart.Fire(&b.current.state, evReplace, b.current); err != nil {
+	if c.current != nil {
+		if err := versionChart.Fire(&c.current.state, versionEventReplace, c.current); err != nil {
 			return err
 		}
 	}
-	b.current = v
-	b.number = c.Version
+	c.current = v
+	c.version = change.Version
 	return nil
 }
 
-func (b *Config) change(c Change) error {
-	switch c.Kind {
+func (c *Config) applyChange(change Change) error {
+	switch change.Kind {
 	case PushRules:
-		b.rules = c.Rules
+		c.rules = change.Rules
 	case GrantKey:
-		k := *c.Key
+		k := *change.Key
 		k.state = keyChart.Start()
-		b.keys[k.ID] = &k
+		c.keys[k.ID] = &k
 	case WithdrawKey:
-		k, ok := b.keys[c.Key.ID]
+		k, ok := c.keys[change.Key.ID]
 		if !ok {
 			return nil
 		}
 		return keyChart.Fire(&k.state, keyChart.Event("withdraw"), k)
 	default:
-		return core.Refuse(core.CodeBadInput, "unknown kind of change %q", c.Kind)
+		return core.Refuse(core.CodeBadInput, "unknown kind of change %q", change.Kind)
 	}
 	return nil
 }
 
-// Confirm notes that the version in force was the newest when the question
-// was sent.
-func (b *Config) Confirm(sent time.Time) {
-	if sent.After(b.confirmed) {
-		b.confirmed = sent
+// Confirm records that the version in force was the newest when the query for
+// the newest version was sent.
+func (c *Config) Confirm(sent time.Time) {
+	if sent.After(c.confirmed) {
+		c.confirmed = sent
 	}
 }
 
-// Confirmed returns when the version was last known to be the newest.
-func (b *Config) Confirmed() time.Time { return b.confirmed }
+// Confirmed returns when the version in force was last known to be the newest.
+func (c *Config) Confirmed() time.Time { return c.confirmed }
 
-// Admit returns the team and rule under which work may enter a queue. Key is
-// empty for a caller that showed none; team is what the caller claims.
-func (b *Config) Admit(now time.Time, queue core.Queue, team core.Team, key string) (core.Team, *rules.Queue, error) {
-	if b.number == 0 {
-		r := core.Refuse(core.CodeConfig, "no configuration has been read yet")
+// Admit checks whether work may enter a queue and returns its team and the
+// queue's rule. The key is empty if the caller sent none; team is the team that
+// the caller named, or empty.
+func (c *Config) Admit(now time.Time, queue core.Queue, team core.Team, key string) (core.Team, *rules.Queue, error) {
+	if c.version == 0 {
+		r := core.Refuse(core.CodeConfig, "no configuration has been loaded yet")
 		r.RetryAfter = time.Second
 		return "", nil, r
 	}
-	q, ok := b.rules.Queues[queue]
+	q, ok := c.rules.Queues[queue]
 	if !ok {
 		return "", nil, core.Refuse(core.CodeNoQueue, "no rule for queue %q", queue)
 	}
 	if key != "" || !q.Open {
-		owner, err := b.owner(now, key)
+		keyTeam, err := c.teamOf(now, key)
 		if err != nil {
 			return "", nil, err
 		}
-		if team != "" && team != owner {
-			return "", nil, core.Refuse(core.CodeBadKey, "the key is not one of team %q", team)
+		if team != "" && team != keyTeam {
+			return "", nil, core.Refuse(core.CodeBadKey, "the key does not belong to team %q", team)
 		}
-		team = owner
+		team = keyTeam
 	}
-	if _, ok := b.rules.Teams[team]; !ok {
+	if _, ok := c.rules.Teams[team]; !ok {
 		return "", nil, core.Refuse(core.CodeNoTeam, "no rule for team %q", team)
 	}
 	if !q.Allows(team) {
@@ -195,31 +200,31 @@
 	return team, &q, nil
 }
 
-// TeamOf returns the team of a key.
-func (b *Config) TeamOf(now time.Time, key string) (core.Team, error) { return b.owner(now, key) }
+// TeamOf returns the team of a key that is in force.
+func (c *Config) TeamOf(now time.Time, key string) (core.Team, error) { return c.teamOf(now, key) }
 
-func (b *Config) owner(now time.Time, key string) (core.Team, error) {
-	if now.Sub(b.confirmed) > ConfirmWithin {
-		r := core.Refuse(core.CodeConfig, "cannot confirm that keys are current")
+func (c *Config) teamOf(now time.Time, key string) (core.Team, error) {
+	if now.Sub(c.confirmed) > ConfirmWithin {
+		r := core.Refuse(core.CodeConfig, "cannot confirm that the configuration is current; keys are not accepted")
 		r.RetryAfter = time.Second
 		return "", r
 	}
 	id, secret, ok := SplitKey(key)
 	if !ok {
-		return "", core.Refuse(core.CodeBadKey, "no key, or not of the form ID.SECRET")
+		return "", core.Refuse(core.CodeBadKey, "the key is missing or not of the form ID.SECRET")
 	}
-	k, ok := b.keys[id]
-	if !ok || !k.matches(secret) || !k.live() {
+	k, ok := c.keys[id]
+	if !ok || !k.matchesSecret(secret) || !k.isGranted() {
 		return "", core.Refuse(core.CodeBadKey, "the key is unknown or withdrawn")
 	}
 	return k.Team, nil
 }
 
-// RestoreKey returns a key in the named state, for snapshots.
-func RestoreKey(id string, team core.Team, hash, state string) (*Key, error) {
-	at, ok := keyChart.Lookup(state)
+// RestoreKey rebuilds a key from a snapshot, where its state is stored by name.
+func RestoreKey(id string, team core.Team, hash, stateName string) (*Key, error) {
+	state, ok := keyChart.Lookup(stateName)
 	if !ok {
-		return nil, core.Refuse(core.CodeBadInput, "key %s has unknown state %q", id, state)
+		return nil, core.Refuse(core.CodeBadInput, "key %s has unknown state %q", id, stateName)
 	}
-	return &Key{ID: id, Team: team, Hash: hash, state: at}, nil
+	return &Key{ID: id, Team: team, Hash: hash, state: state}, nil
 }
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -12,7 +12,7 @@
 	"chicoryturn/core/rules"
 )
 
-func set() *rules.Set {
+func testRules() *rules.Set {
 	return &rules.Set{
 		Teams: map[core.Team]rules.Team{"press": {}, "office": {}},
 		Queues: map[core.Queue]rules.Queue{
@@ -22,21 +22,21 @@
 	}
 }
 
-func newBook(t *testing.T) (*conf.Config, time.Time) {
+func newConfig(t *testing.T) (*conf.Config, time.Time) {
 	t.Helper()
-	b, now := conf.New(), time.Now()
+	c, now := conf.New(), time.Now()
 	changes := []conf.Change{
-		{Version: 1, Kind: conf.PushRules, Rules: set()},
+		{Version: 1, Kind: conf.PushRules, Rules: testRules()},
 		{Version: 2, Kind: conf.GrantKey, Key: &conf.Key{ID: "p", Team: "press", Hash: conf.HashSecret("s")}},
 		{Version: 3, Kind: conf.GrantKey, Key: &conf.Key{ID: "o", Team: "office", Hash: conf.HashSecret("s")}},
 	}
-	for _, c := range changes {
-		if err := b.Apply(c); err != nil {
+	for _, change := range changes {
+		if err := c.Apply(change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.Confirm(now)
-	return b, now
+	c.Confirm(now)
+	return c, now
 }
 
 func TestAdmit(t *testing.T) {
@@ -44,7 +44,7 @@
 		queue core.Queue
 		team  core.Team
 		key   string
-		later time.Duration
+		age   time.Duration // time since the configuration was confirmed
 		want  core.Code
 	}{
 		"own key":          {"angle", "", "p.s", 0, ""},
@@ -62,8 +62,8 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b, now := newBook(t)
-			_, _, err := b.Admit(now.Add(tt.later), tt.queue, tt.team, tt.key)
+			c, now := newConfig(t)
+			_, _, err := c.Admit(now.Add(tt.age), tt.queue, tt.team, tt.key)
 			if tt.want == "" {
 				is.NoErr(err)
 				return
@@ -78,11 +78,11 @@
 
 func TestVersions(t *testing.T) {
 	is := is.New(t)
-	b, now := newBook(t)
-	is.True(b.Apply(conf.Change{Version: 5, Kind: conf.PushRules, Rules: set()}) != nil) // skips 4
-	is.NoErr(b.Apply(conf.Change{Version: 2, Kind: conf.WithdrawKey, Key: &conf.Key{ID: "p"}}))
-	is.Equal(b.Version(), core.Version(3)) // an older one changes nothing
-	is.NoErr(b.Apply(conf.Change{Version: 4, Kind: conf.WithdrawKey, Key: &conf.Key{ID: "p"}}))
-	_, _, err := b.Admit(now, "angle", "", "p.s")
-	is.True(err != nil) // withdrawn
+	c, now := newConfig(t)
+	is.True(c.Apply(conf.Change{Version: 5, Kind: conf.PushRules, Rules: testRules()}) != nil) // version 4 is missing
+	is.NoErr(c.Apply(conf.Change{Version: 2, Kind: conf.WithdrawKey, Key: &conf.Key{ID: "p"}}))
+	is.Equal(c.Version(), core.Version(3)) // an older change is ignored
+	is.NoErr(c.Apply(conf.Change{Version: 4, Kind: conf.WithdrawKey, Key: &conf.Key{ID: "p"}}))
+	_, _, err := c.Admit(now, "angle", "", "p.s")
+	is.True(err != nil) // the key is withdrawn
 }
--- a/core/conf/key.go
+++ b/core/conf/key.go
@@ -12,13 +12,13 @@
 )
 
 //go:embed key.toml
-var keyText []byte
+var keyChartText []byte
 
-var keyChart = chart.Must(chart.Load[*Key](keyText, nil, nil))
+var keyChart = chart.Must(chart.Load[*Key](keyChartText, nil, nil))
 
-// Key lets its bearer submit work for one team.
+// Key authorises its bearer to submit work for one team.
 type Key struct {
-	// ID is public; the secret is stored only as a hash.
+	// ID is the public part of the key; the secret is stored only as a hash.
 	ID   string
 	Team core.Team
 	// Hash is the hexadecimal SHA-256 of the secret.
@@ -29,21 +29,22 @@
 // State returns the name of the key's state.
 func (k *Key) State() string { return keyChart.Name(k.state) }
 
-func (k *Key) live() bool { return k.state == keyChart.State("granted") }
+func (k *Key) isGranted() bool { return k.state == keyChart.State("granted") }
 
-// HashSecret returns the stored form of a secret. Secrets are random and long,
-// so that one round of a fast hash is enough.
+// HashSecret returns the stored form of a secret. Secrets are long and random,
+// so one round of a fast hash is enough.
 func HashSecret(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
 }
 
-// SplitKey returns the public ID and the secret of a key as shown to callers.
+// SplitKey splits a key of the form ID.SECRET; ok reports whether it has that
+// form.
 func SplitKey(text string) (id, secret string, ok bool) {
 	id, secret, ok = strings.Cut(text, ".")
 	return id, secret, ok && id != "" && secret != ""
 }
 
-func (k *Key) matches(secret string) bool {
+func (k *Key) matchesSecret(secret string) bool {
 	return subtle.ConstantTimeCompare([]byte(HashSecret(secret)), []byte(k.Hash)) == 1
 }
--- a/core/error.go
+++ b/core/error.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Execution says what is known about whether a request or job ran.
+// Execution tells a caller whether its request or job was executed.
 type Execution string
 
-// The three answers that a caller can get about its own request.
+// The values of Execution.
 const (
 	Executed         Execution = "yes"
 	NotExecuted      Execution = "no"
 	ExecutionUnknown Execution = "unknown"
 )
 
-// Code classifies a refusal; it is part of the public interface.
+// Code classifies a refusal; the codes are part of the public API.
 type Code string
 
-// The codes of all refusals.
+// The refusal codes.
 const (
 	CodeBadInput Code = "bad-input"
 	CodeBadKey   Code = "bad-key"
@@ -39,15 +39,16 @@
 	CodeConfig   Code = "config-unconfirmed"
 )
 
-// RefusalError is the one error type that reaches callers and operators.
+// RefusalError is the only error type that callers and operators receive.
 type RefusalError struct {
 	Code Code
-	// Execution is RunNo unless a byte of the request may have reached a target.
+	// Execution is NotExecuted unless a byte of the request may have reached a
+	// target.
 	Execution Execution
 	Reason    string
-	// RetryAfter is zero when a retry does not help.
+	// RetryAfter is the delay before a retry, or zero if a retry cannot succeed.
 	RetryAfter time.Duration
-	// Err is the cause, if any.
+	// Err is the underlying error, if any.
 	Err error
 }
 
@@ -59,20 +60,20 @@
 	return fmt.Sprintf("%s: %s", e.Code, e.Reason)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *RefusalError) Unwrap() error { return e.Err }
 
-// Refuse returns a refusal of work that surely did not run.
+// Refuse returns a refusal of work that was certainly not executed.
 func Refuse(code Code, format string, args ...any) *RefusalError {
 	return &RefusalError{Code: code, Execution: NotExecuted, Reason: fmt.Sprintf(format, args...)}
 }
 
-// RefuseUnknown returns a refusal of work that may have run.
+// RefuseUnknown returns a refusal of work that may have been executed.
 func RefuseUnknown(code Code, err error, format string, args ...any) *RefusalError {
 	return &RefusalError{Code: code, Execution: ExecutionUnknown, Reason: fmt.Sprintf(format, args...), Err: err}
 }
 
-// LineError is a fault of a text file at one line.
+// LineError is an error at one line of a text file.
 type LineError struct {
 	File   string
 	Line   int
@@ -82,17 +83,17 @@
 // Error implements error.
 func (e *LineError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason) }
 
-// LineErrors collects every fault of a text file.
+// LineErrors holds all errors of a text file.
 type LineErrors []*LineError
 
 // Error implements error.
 func (e LineErrors) Error() string {
 	out := ""
-	for i, l := range e {
+	for i, line := range e {
 		if i > 0 {
 			out += "\n"
 		}
-		out += l.Error()
+		out += line.Error()
 	}
 	return out
 }
--- a/core/types.go
+++ b/core/types.go
@@ -1,6 +1,7 @@
-// Package core holds the value types shared by every decision of the
-// scheduler. Nothing below core performs I/O, reads a clock or starts a
-// goroutine: values go in and values come out.
+// Package core defines the value types that all packages under core share.
+// These packages decide only: they perform no I/O, read no clock, take no lock
+// and start no goroutine. Time and input are passed in as values, and decisions
+// are returned as values.
 package core
 
 import (
@@ -11,15 +12,15 @@
 	"time"
 )
 
-// Identifiers are distinct types so that one cannot be passed for another.
+// Identifiers have distinct types so that one cannot be passed as another.
 type (
-	// Team names a customer that owns keys, a share and a limit.
+	// Team names a customer, who has keys, a share and a limit.
 	Team string
-	// Queue names one rule for a kind of work.
+	// Queue names the rule that applies to one kind of work.
 	Queue string
 	// Service names a group of interchangeable targets.
 	Service string
-	// Region names a group of data centres with short links between them.
+	// Region names a group of data centres with low latency between them.
 	Region string
 	// Zone names one data centre.
 	Zone string
@@ -27,17 +28,17 @@
 	WorkerID string
 	// TargetID names one target VM.
 	TargetID string
-	// JobID names a job; it is unique across the fleet.
+	// JobID names a job uniquely in the fleet.
 	JobID string
 	// SessionID names one incarnation of one process.
 	SessionID string
-	// Version numbers the accepted configurations; it only grows.
+	// Version numbers the accepted configurations in increasing order.
 	Version uint64
-	// Epoch numbers the owners of a cell; it only grows.
+	// Epoch numbers the successive owners of a cell in increasing order.
 	Epoch uint64
 )
 
-// CellID names a part of a region's workers and jobs.
+// CellID names a cell, which is a part of a region's workers and jobs.
 type CellID struct {
 	Region Region
 	Index  int
@@ -70,38 +71,39 @@
 	return Resources{r.Cores + o.Cores, r.Memory + o.Memory, r.Accel + o.Accel}
 }
 
-// Sub returns r less o.
+// Sub returns r minus o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.Cores - o.Cores, r.Memory - o.Memory, r.Accel - o.Accel}
 }
 
-// Min returns the lesser of r and o in every dimension.
+// Min returns the smaller of r and o in each dimension.
 func (r Resources) Min(o Resources) Resources {
 	return Resources{min(r.Cores, o.Cores), min(r.Memory, o.Memory), min(r.Accel, o.Accel)}
 }
 
-// Max returns the greater of r and o in every dimension.
+// Max returns the larger of r and o in each dimension.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.Cores, o.Cores), max(r.Memory, o.Memory), max(r.Accel, o.Accel)}
 }
 
-// Fits reports whether r is at most o in every dimension.
+// Fits reports whether r is at most o in each dimension.
 func (r Resources) Fits(o Resources) bool {
 	return r.Cores <= o.Cores && r.Memory <= o.Memory && r.Accel <= o.Accel
 }
 
-// Dominant returns the largest fraction that r takes of total.
+// Dominant returns the dominant share of r: the largest of its fractions of
+// total in any dimension.
 func (r Resources) Dominant(total Resources) float64 {
-	most := 0.0
-	for _, p := range [][2]int64{{r.Cores, total.Cores}, {r.Memory, total.Memory}, {r.Accel, total.Accel}} {
-		if p[1] > 0 {
-			most = max(most, float64(p[0])/float64(p[1]))
+	largest := 0.0
+	for _, pair := range [][2]int64{{r.Cores, total.Cores}, {r.Memory, total.Memory}, {r.Accel, total.Accel}} {
+		if pair[1] > 0 {
+			largest = max(largest, float64(pair[0])/float64(pair[1]))
 		}
 	}
-	return most
+	return largest
 }
 
-// VM is one row of the platform's list.
+// VM is one entry of the platform's list of VMs.
 type VM struct {
 	// Name is unique within the fleet.
 	Name string
@@ -111,36 +113,37 @@
 	Region Region
 	Zone   Zone
 	Rack   string
-	// Leaving is set when the platform is about to take the VM away.
+	// Leaving is set when the platform is about to remove the VM.
 	Leaving bool
 	// Room is the capacity of a worker.
 	Room Resources
-	// Service and Slots describe a target.
+	// Service is the service of a target, and Slots the number of requests that
+	// it handles at once.
 	Service Service
 	Slots   int64
 }
 
-// Role says what a process does.
+// Role is the function of a process.
 type Role string
 
-// The roles of the processes on an entry VM.
+// The roles of the processes of an entry VM.
 const (
 	RoleGate  Role = "gate"
 	RoleSched Role = "sched"
 )
 
-// Process describes one incarnation of a gate or sched.
+// Process describes one incarnation of a gate or sched process.
 type Process struct {
 	ID     SessionID
 	VM     string
 	Role   Role
 	Region Region
 	Zone   Zone
-	// Peer is where the process answers other processes of the system.
+	// Peer is the address at which the process answers other gates and scheds.
 	Peer netip.AddrPort
 }
 
-// Set is a set of small comparable values.
+// Set is a set of comparable values.
 type Set[T comparable] map[T]struct{}
 
 // NewSet returns a set of the given values.
@@ -170,14 +173,14 @@
 // Get returns the value and whether it is present.
 func (o Option[T]) Get() (T, bool) { return o.val, o.ok }
 
-// Row is a value read from the store with the version of its row.
+// Row is a value read from the store, with its row version.
 type Row[T any] struct {
 	Val T
 	// Version is 0 for a row that does not exist.
 	Version uint64
 }
 
-// Earlier returns the earlier of two times, a zero time counting as never.
+// Earlier returns the earlier of two times. A zero time means never.
 func Earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -185,12 +188,12 @@
 	return a
 }
 
-// NewJobID returns the name of a job in a cell.
+// NewJobID returns the ID of a job in a cell, such as "hobart.0.cure-1".
 func NewJobID(c CellID, name string) JobID {
 	return JobID(fmt.Sprintf("%s.%d.%s", c.Region, c.Index, name))
 }
 
-// Cell returns the cell in whose journal the job is.
+// Cell returns the cell whose journal holds the job.
 func (j JobID) Cell() (CellID, bool) {
 	parts := strings.SplitN(string(j), ".", 3)
 	if len(parts) != 3 || parts[0] == "" || parts[2] == "" {
@@ -202,10 +205,10 @@
 
 // ParseTaskID is the inverse of TaskID.String.
 func ParseTaskID(s string) (TaskID, bool) {
-	at := strings.LastIndexByte(s, '.')
-	if at <= 0 {
+	dot := strings.LastIndexByte(s, '.')
+	if dot <= 0 {
 		return TaskID{}, false
 	}
-	n, err := strconv.Atoi(s[at+1:])
-	return TaskID{JobID(s[:at]), n}, err == nil && n >= 0
+	n, err := strconv.Atoi(s[dot+1:])
+	return TaskID{JobID(s[:dot]), n}, err == nil && n >= 0
 }
