--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -78,7 +78,8 @@
 	workerTTL time.Duration
 	policy    Policy
 	limits    Limits
-	now       time.Time
+	// now is the time passed to the current call.
+	now time.Time
 	// loading is set while Load replays entries, which must not be written again.
 	loading bool
 
@@ -228,6 +229,7 @@
 	c.checkBlocked()
 }
 
+// addWorker adds a worker, and a journal entry unless it is already recorded.
 func (c *Cell) addWorker(id core.WorkerID) *Worker {
 	w := &Worker{
 		id: id, cell: c, state: workerChart.Start(), health: healthChart.Start(), lastReportAt: c.now,
@@ -242,6 +244,8 @@
 	return w
 }
 
+// removeGoneWorkers removes the workers in state gone and adds journal entries
+// for them.
 func (c *Cell) removeGoneWorkers() {
 	c.workersByID = slices.DeleteFunc(c.workersByID, func(w *Worker) bool {
 		if w.state == workerStateGone {
@@ -262,6 +266,7 @@
 	return out
 }
 
+// sortedJobs returns the jobs in order of submission.
 func (c *Cell) sortedJobs() []*Job {
 	out := make([]*Job, 0, len(c.jobs))
 	for _, j := range c.jobs {
@@ -307,6 +312,7 @@
 	c.limits.Use(LimitName(t.job.Spec.Team), t.spec().Need.Cores)
 }
 
+// removeHeld reverses addHeld if the task is held.
 func (c *Cell) removeHeld(t *Task) {
 	if c.heldTasks.Has(t) {
 		delete(c.heldTasks, t)
@@ -383,12 +389,13 @@
 	return true, nil
 }
 
-// Recording reports whether the acceptance of a job is not yet in the store.
+// Recording reports whether a job's acceptance is still being stored.
 func (c *Cell) Recording(id core.JobID) bool {
 	j := c.jobs[id]
 	return j != nil && jobChart.Name(j.state) == "offered"
 }
 
+// addJob adds a job in its initial state.
 func (c *Cell) addJob(spec JobSpec) *Job {
 	c.lastJobSeq++
 	j := &Job{Spec: spec, cell: c, state: jobChart.Start(), seq: c.lastJobSeq, openTasks: len(spec.Tasks)}
--- a/core/cell/heartbeat.go
+++ b/core/cell/heartbeat.go
@@ -195,7 +195,8 @@
 	w.fire(workerEventMiss)
 }
 
-// heartbeatEnded marks a heartbeat as no longer in flight.
+// heartbeatEnded marks a heartbeat as no longer in flight. A heartbeat without
+// a stamp counts as a long poll, although the worker answers it at once.
 func (c *Cell) heartbeatEnded(w *Worker, h Heartbeat) {
 	c.queueHeartbeat(w)
 	if h.Wait > 0 || h.Stamp == "" {
@@ -246,6 +247,7 @@
 	w.room = smaller
 }
 
+// applyTaskReports updates the tasks of a worker from its report.
 func (c *Cell) applyTaskReports(w *Worker, h Heartbeat, r Report) {
 	seen := core.NewSet[core.TaskID]()
 	for i := range r.Tasks {
@@ -303,6 +305,7 @@
 	return false
 }
 
+// applyTaskReport updates one task from a worker's report.
 func (c *Cell) applyTaskReport(w *Worker, r *TaskReport) {
 	t := c.task(r.Task)
 	if t == nil || t.outcome != "" || !t.matchesRun(w, r) {
--- a/core/cell/journal.go
+++ b/core/cell/journal.go
@@ -91,7 +91,8 @@
 	for i := range entries {
 		c.replayEntry(&entries[i])
 	}
-	// A worker of an earlier owner may run tasks until it has reported.
+	// A recorded worker may run tasks of an earlier owner until it has reported,
+	// even if it is no longer in the list of VMs.
 	for _, id := range c.recordedWorkerIDs() {
 		c.addWorker(id)
 	}
--- a/core/cell/task.go
+++ b/core/cell/task.go
@@ -19,8 +19,12 @@
 var (
 	taskChart *chart.Machine[*Task]
 
-	taskEventRestore, taskEventRecover, taskEventPlace, taskEventFound, taskEventRefused, taskEventClear, taskEventLapse, taskEventDone, taskEventFail, taskEventCancel, taskEventYield chart.Event
-	taskStateQueued, taskStateStarting, taskStateRunning, taskStateStopping, taskStateYielding                                                                                          chart.State
+	taskEventRestore, taskEventRecover, taskEventPlace, taskEventFound,
+	taskEventRefused, taskEventClear, taskEventLapse, taskEventDone,
+	taskEventFail, taskEventCancel, taskEventYield chart.Event
+
+	taskStateQueued, taskStateStarting, taskStateRunning,
+	taskStateStopping, taskStateYielding chart.State
 )
 
 func init() {
@@ -61,8 +65,8 @@
 	state chart.State
 	// worker is the worker on which the task holds room, or nil.
 	worker *Worker
-	// eventWorker is the worker that the place or found event being fired
-	// refers to.
+	// eventWorker is the worker of the newest placement or report. The actions
+	// of the place and found events use it.
 	eventWorker *Worker
 	// placedAt is when the current run was assigned, and startedAt when its
 	// worker first reported it as running.
--- a/core/cell/worker.go
+++ b/core/cell/worker.go
@@ -30,8 +30,11 @@
 var (
 	workerChart, healthChart *chart.Machine[*Worker]
 
-	workerEventReport, workerEventMiss, workerEventExpire, workerEventVanish, healthEventDone, healthEventFail, healthEventProbe chart.Event
-	workerStateNew, workerStateLive, workerStateGone, workerStateLapsed, healthStateGood, healthStateAside, healthStateTrial     chart.State
+	workerEventReport, workerEventMiss, workerEventExpire, workerEventVanish,
+	healthEventDone, healthEventFail, healthEventProbe chart.Event
+
+	workerStateNew, workerStateLive, workerStateGone, workerStateLapsed,
+	healthStateGood, healthStateAside, healthStateTrial chart.State
 )
 
 func init() {
@@ -104,7 +107,7 @@
 	pollInFlight, pushInFlight bool
 	// inSendQueue is set while the worker is in the cell's send queue.
 	inSendQueue bool
-	// hasNewOrders is set while no heartbeat has carried the newest orders.
+	// hasNewOrders is set while the newest orders have not been sent.
 	hasNewOrders bool
 	tasks        map[core.TaskID]*Task
 	// orphans are the orphaned runs. They take room until they have ended.
--- a/core/types.go
+++ b/core/types.go
@@ -1,7 +1,7 @@
 // Package core defines the value types that all packages under core share.
-// These packages decide only: they perform no I/O, read no clock, take no lock
-// and start no goroutine. Time and input are passed in as values, and decisions
-// are returned as values.
+// These packages perform no I/O, read no clock, take no lock and start no
+// goroutine. Time and input are passed in as values, and decisions are returned
+// as values.
 package core
 
 import (
