--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -64,7 +64,7 @@
 	Name string `toml:"name"`
 	// Final marks a state without transitions.
 	Final       bool         `toml:"final"`
-	Transitions []Transition `toml:"step" json:"Steps"`
+	Transitions []Transition `toml:"step"`
 	Ignore      []string     `toml:"ignore"`
 	Refuse      []string     `toml:"refuse"`
 }
