--- a/core/cell/journal.go
+++ b/core/cell/journal.go
@@ -151,7 +151,7 @@
 }
 
 // removeRecordedWorker removes a worker whose removal is in the store. If the
-// worker has been listed again meanwhile, it is recorded anew.
+// worker has been listed again meanwhile, it is recorded again.
 func (c *Cell) removeRecordedWorker(id core.WorkerID) {
 	delete(c.recordedWorkers, id)
 	if w := c.workers[id]; w != nil {
--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -114,6 +114,8 @@
 	return c.validateReachability()
 }
 
+// validateState checks that a state decides each event exactly once and names
+// only known states and events.
 func (c *Chart) validateState(def StateDef) error {
 	// handledBy tells whether transitions ("step") or a list ("list") decide an
 	// event; guarded is true while all transitions on it have a guard.
@@ -155,6 +157,8 @@
 	return nil
 }
 
+// validateReachability checks that each state can be reached from the start
+// state.
 func (c *Chart) validateReachability() error {
 	seen := map[string]bool{c.Start: true}
 	todo := []string{c.Start}
@@ -262,6 +266,7 @@
 	return m, m.checkUsed(used, guards, actions)
 }
 
+// checkUsed returns an error if a registered guard or action is not used.
 func (m *Machine[T]) checkUsed(used map[string]bool, guards map[string]Guard[T], actions map[string]Action[T]) error {
 	var unused []string
 	for name := range guards {
