--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -1,5 +1,6 @@
-// Package cell decides on the workers and jobs of one cell. Its owner calls it
-// from one goroutine; time enters as a value and messages leave as values.
+// Package cell schedules the jobs of one cell on its workers. The owner of the
+// cell calls it from one goroutine, passes the time in, and sends the messages
+// that it returns.
 package cell
 
 import (
@@ -17,46 +18,54 @@
 )
 
 const (
-	// unhurried is the latest start of work that is owed none.
-	unhurried = time.Hour
-	// watchPart divides the lease time of a worker into contacts.
-	watchPart = 3
-	// retryPart divides it into the pause before a missed contact is retried.
-	retryPart = 12
-	// maxBatch bounds the entries of one write.
-	maxBatch = 2000
-	// keepEnded is how many ended jobs are kept for display.
-	keepEnded = 2000
-	// queueDegree is that of the trees of waiting jobs.
+	// defaultStartDelay is the time from submission to the latest start of a
+	// job that declares neither a start nor a due time.
+	defaultStartDelay = time.Hour
+	// longPollDivisor divides the lease time of a worker into the duration of
+	// one long poll.
+	longPollDivisor = 3
+	// retryDivisor divides the lease time into the delay before a failed
+	// heartbeat is retried.
+	retryDivisor = 12
+	// maxBatchEntries is the maximum number of journal entries in one write.
+	maxBatchEntries = 2000
+	// maxEndedJobs is the number of ended jobs that are kept for display.
+	maxEndedJobs = 2000
+	// queueDegree is the degree of the B-trees of queued jobs.
 	queueDegree = 16
-	// epochShift leaves room for the runs of one epoch below its number.
+	// epochShift puts the epoch into the upper bits of a run number, so that run
+	// numbers of different epochs never collide.
 	epochShift = 32
-	// DefaultWorkerTTL is how long a worker goes on without contact.
+	// DefaultWorkerTTL is the duration of a worker's lease, which a heartbeat
+	// renews.
 	DefaultWorkerTTL = 6 * time.Second
 )
 
-// IndexOf returns the cell of its region to which a worker belongs.
+// IndexOf returns the index, within its region, of the cell that a worker
+// belongs to.
 func IndexOf(w core.WorkerID, cells int) int {
 	return int(xxhash.Sum64String(string(w)) % uint64(max(cells, 1)))
 }
 
-// Limits says how much of each team's limit this cell may use.
+// Limits is this cell's part of each team's limit.
 type Limits interface {
-	// Available returns what is left of the cell's part of a limit.
+	// Available returns the unused amount of the cell's part of a limit.
 	Available(name string) int64
-	// Use takes n of it; negative n gives back.
+	// Use adds n to the used amount of a limit; a negative n subtracts.
 	Use(name string, n int64)
-	// Excess returns what must be ended because a limit has been lowered.
+	// Excess returns the used amount that must be freed because the limit has
+	// been lowered.
 	Excess(name string) int64
-	// SetDemand tells what the cell could use now, the used part included.
+	// SetDemand reports the amount that the cell could use now, including what it
+	// already uses.
 	SetDemand(name string, n int64)
 }
 
 // LimitName returns the name of the limit on a team's running tasks.
 func LimitName(t core.Team) string { return "cores/" + string(t) }
 
-// Wait is the time from a task's submission to its start.
-type Wait struct {
+// TaskWait is the time from a task's submission to its start.
+type TaskWait struct {
 	Queue core.Queue
 	Team  core.Team
 	Time  time.Duration
@@ -69,41 +78,52 @@
 	workerTTL time.Duration
 	policy    Policy
 	limits    Limits
-	now       time.Time
-	loading   bool
+	// now is the time passed to the current call.
+	now time.Time
+	// loading is set while Load replays entries, which must not be written again.
+	loading bool
 
 	workers map[core.WorkerID]*Worker
-	// order holds the workers sorted by ID.
-	order []*Worker
-	ready []*Worker
-	// known are the workers that have ever been recorded as used here; tasks
-	// are placed on no other.
-	known  core.Set[core.WorkerID]
-	orders uint64
-	// runs counts the runs begun under this epoch.
-	runs   uint64
-	rooms  *place.Index
-	guess  *Estimator
-	shares *share.Table
+	// workersByID holds the workers in order of their ID.
+	workersByID []*Worker
+	// sendQueue holds the workers for which a heartbeat may be due.
+	sendQueue []*Worker
+	// recordedWorkers are the workers that the journal lists as used by the
+	// cell. Tasks are placed only on these, so that the next owner knows all
+	// workers that may run tasks.
+	recordedWorkers core.Set[core.WorkerID]
+	// lastOrder is the order number of the newest heartbeat of this epoch.
+	lastOrder uint64
+	// runCount is the number of runs assigned in this epoch.
+	runCount  uint64
+	roomIndex *place.Index
+	estimator *Estimator
+	shares    *share.Table
 
 	jobs     map[core.JobID]*Job
 	openJobs int
-	// endedOrder holds the ended jobs, the oldest first.
-	endedOrder []core.JobID
-	teams      map[core.Team]*line
-	// held are the recovered tasks that may run on a worker not heard of yet;
-	// they count against their team's limit.
-	held    core.Set[*Task]
-	gang    *reservation
-	seq     uint64
-	changed bool
-	// yieldTurn is the worker at which the last search for room ended.
-	yieldTurn int
-	pending   []Entry
-	flying    []Entry
-	waits     []Wait
-	refusals  []error
-	counts    Counts
+	// endedJobs holds the ended jobs, oldest first.
+	endedJobs  []core.JobID
+	teamQueues map[core.Team]*teamQueue
+	// heldTasks are the tasks in state held. They may run on a worker that has
+	// not reported yet, so they count against their team's limit.
+	heldTasks core.Set[*Task]
+	// reservation is the room reserved for one gang, if any.
+	reservation *gangReservation
+	// lastJobSeq is the sequence number of the newest job.
+	lastJobSeq uint64
+	// needsPlan is set when a change may allow a task to be placed.
+	needsPlan bool
+	// preemptCursor is the index in workersByID at which the last search for
+	// tasks to preempt ended.
+	preemptCursor  int
+	pendingEntries []Entry
+	// inFlight is the batch being written, if any.
+	inFlight  []Entry
+	taskWaits []TaskWait
+	// refusedEvents are the events that a chart refused, for the log.
+	refusedEvents []error
+	counts        Counts
 }
 
 // Counts are running totals for metrics.
@@ -111,31 +131,31 @@
 	Starts, Ends, Lapses, Yields uint64
 }
 
-// line is one team's waiting work.
-type line struct {
+// teamQueue holds one team's queued work.
+type teamQueue struct {
 	team core.Team
-	// jobs holds the jobs with queued tasks by latest start.
+	// jobs holds the jobs with queued tasks, ordered by latest start.
 	jobs *btree.BTreeG[*Job]
-	// cores sums the queued tasks, in thousandths of a core.
-	cores int64
+	// queuedCores is the sum over the queued tasks, in thousandths of a core.
+	queuedCores int64
 }
 
-// Option changes a cell under construction.
+// Option configures a new cell.
 type Option func(*Cell)
 
-// WithWorkerTTL sets how long a worker goes on without contact.
+// WithWorkerTTL sets the duration of a worker's lease.
 func WithWorkerTTL(ttl time.Duration) Option { return func(c *Cell) { c.workerTTL = ttl } }
 
 // WithPolicy sets the placement policy.
 func WithPolicy(p Policy) Option { return func(c *Cell) { c.policy = p } }
 
-// New returns an empty cell under a new owner's epoch.
+// New returns an empty cell for an owner with the given epoch.
 func New(id core.CellID, epoch core.Epoch, limits Limits, opts ...Option) *Cell {
 	c := &Cell{
 		id: id, epoch: epoch, limits: limits, workerTTL: DefaultWorkerTTL, policy: DefaultPolicy(),
-		workers: map[core.WorkerID]*Worker{}, known: core.NewSet[core.WorkerID](),
-		rooms: place.New(), guess: NewEstimator(), shares: share.New(),
-		jobs: map[core.JobID]*Job{}, teams: map[core.Team]*line{}, held: core.NewSet[*Task](),
+		workers: map[core.WorkerID]*Worker{}, recordedWorkers: core.NewSet[core.WorkerID](),
+		roomIndex: place.New(), estimator: NewEstimator(), shares: share.New(),
+		jobs: map[core.JobID]*Job{}, teamQueues: map[core.Team]*teamQueue{}, heldTasks: core.NewSet[*Task](),
 	}
 	for _, o := range opts {
 		o(c)
@@ -143,47 +163,49 @@
 	return c
 }
 
-// ID returns the cell's name.
+// ID returns the ID of the cell.
 func (c *Cell) ID() core.CellID { return c.id }
 
 // Epoch returns the owner's epoch.
 func (c *Cell) Epoch() core.Epoch { return c.epoch }
 
-// note keeps an event that a chart refused, for the log.
-func (c *Cell) note(err error) {
+// recordRefused keeps the error of an event that a chart refused, for the log.
+func (c *Cell) recordRefused(err error) {
 	if err != nil {
-		c.refusals = append(c.refusals, err)
+		c.refusedEvents = append(c.refusedEvents, err)
 	}
 }
 
-// Refusals returns and forgets the events that a chart refused.
+// Refusals returns the events that a chart refused since the last call.
 func (c *Cell) Refusals() []error {
-	out := c.refusals
-	c.refusals = nil
+	out := c.refusedEvents
+	c.refusedEvents = nil
 	return out
 }
 
-// Waits returns and forgets the waiting times of tasks started since the last
-// call.
-func (c *Cell) Waits() []Wait {
-	out := c.waits
-	c.waits = nil
+// Waits returns the wait times of the tasks that started since the last call.
+func (c *Cell) Waits() []TaskWait {
+	out := c.taskWaits
+	c.taskWaits = nil
 	return out
 }
 
 // Counts returns the running totals.
 func (c *Cell) Counts() Counts { return c.counts }
 
-// SetRules follows a new configuration.
+// SetRules applies the rules of a new configuration.
 func (c *Cell) SetRules(set *rules.Set) {
 	c.shares.SetRules(set)
-	c.changed = true
+	c.needsPlan = true
 }
 
-// SetRemoteUse tells what a team uses in other cells and the fleet's room.
-func (c *Cell) SetRemoteUse(team core.Team, cores, fleet int64) { c.shares.SetAfar(team, cores, fleet) }
+// SetRemoteUse sets the cores that a team uses in other cells and the cores of
+// the whole fleet, in thousandths of a core.
+func (c *Cell) SetRemoteUse(team core.Team, cores, fleetCores int64) {
+	c.shares.SetAfar(team, cores, fleetCores)
+}
 
-// SetWorkers follows a new list of the cell's worker VMs.
+// SetWorkers replaces the list of the cell's worker VMs.
 func (c *Cell) SetWorkers(now time.Time, vms []core.VM) {
 	c.now = now
 	listed := core.NewSet[core.WorkerID]()
@@ -191,56 +213,60 @@
 		id := core.WorkerID(vm.Name)
 		listed.Add(id)
 		w := c.workers[id]
-		if w == nil || w.state == workerGone {
+		if w == nil || w.state == workerStateGone {
 			w = c.addWorker(id)
 		}
-		w.vm, w.leaves = vm, vm.Leaving
-		c.wake(w)
-		c.index(w)
+		w.vm, w.leaving = vm, vm.Leaving
+		c.queueHeartbeat(w)
+		c.updateRoom(w)
 	}
-	for _, w := range c.order {
+	for _, w := range c.workersByID {
 		if !listed.Has(w.id) && w.vm.Addr.IsValid() {
-			w.fire(workerVanish)
+			w.fire(workerEventVanish)
 		}
 	}
-	c.dropGone()
+	c.removeGoneWorkers()
 	c.checkBlocked()
 }
 
+// addWorker adds a worker, and a journal entry unless it is already recorded.
 func (c *Cell) addWorker(id core.WorkerID) *Worker {
 	w := &Worker{
-		id: id, cell: c, state: workerChart.Start(), health: healthChart.Start(), heard: c.now,
-		tasks: map[core.TaskID]*Task{}, orphans: map[core.TaskID]orphan{},
+		id: id, cell: c, state: workerChart.Start(), health: healthChart.Start(), lastReportAt: c.now,
+		tasks: map[core.TaskID]*Task{}, orphans: map[core.TaskID]orphanedRun{},
 	}
 	c.workers[id] = w
-	i, _ := slices.BinarySearchFunc(c.order, id, func(o *Worker, id core.WorkerID) int { return cmp.Compare(o.id, id) })
-	c.order = slices.Insert(c.order, i, w)
-	if !c.known.Has(id) {
-		c.write(Entry{Worker: id})
+	i, _ := slices.BinarySearchFunc(c.workersByID, id, func(o *Worker, id core.WorkerID) int { return cmp.Compare(o.id, id) })
+	c.workersByID = slices.Insert(c.workersByID, i, w)
+	if !c.recordedWorkers.Has(id) {
+		c.appendEntry(Entry{Worker: id})
 	}
 	return w
 }
 
-func (c *Cell) dropGone() {
-	c.order = slices.DeleteFunc(c.order, func(w *Worker) bool {
-		if w.state == workerGone {
+// removeGoneWorkers removes the workers in state gone and adds journal entries
+// for them.
+func (c *Cell) removeGoneWorkers() {
+	c.workersByID = slices.DeleteFunc(c.workersByID, func(w *Worker) bool {
+		if w.state == workerStateGone {
 			delete(c.workers, w.id)
-			c.rooms.Drop(w.id)
-			c.write(Entry{Gone: w.id})
+			c.roomIndex.Drop(w.id)
+			c.appendEntry(Entry{Gone: w.id})
 		}
-		return w.state == workerGone
+		return w.state == workerStateGone
 	})
 }
 
-func (c *Cell) knownWorkers() []core.WorkerID {
-	out := make([]core.WorkerID, 0, len(c.known))
-	for id := range c.known {
+func (c *Cell) recordedWorkerIDs() []core.WorkerID {
+	out := make([]core.WorkerID, 0, len(c.recordedWorkers))
+	for id := range c.recordedWorkers {
 		out = append(out, id)
 	}
 	slices.Sort(out)
 	return out
 }
 
+// sortedJobs returns the jobs in order of submission.
 func (c *Cell) sortedJobs() []*Job {
 	out := make([]*Job, 0, len(c.jobs))
 	for _, j := range c.jobs {
@@ -250,99 +276,106 @@
 	return out
 }
 
-// index shows the worker's room to placement if it may take tasks.
-func (c *Cell) index(w *Worker) {
-	if !w.usable() || !c.known.Has(w.id) {
-		c.rooms.Drop(w.id)
+// updateRoom puts the worker's room into the placement index if tasks may be
+// placed on it, and removes it otherwise.
+func (c *Cell) updateRoom(w *Worker) {
+	if !w.usable() || !c.recordedWorkers.Has(w.id) {
+		c.roomIndex.Drop(w.id)
 		return
 	}
-	c.rooms.Put(w.id, w.free, w.room)
-	c.changed = true
+	c.roomIndex.Put(w.id, w.free, w.room)
+	c.needsPlan = true
 }
 
-// take charges room on a worker and a team's limit.
-func (c *Cell) take(w *Worker, team core.Team, need core.Resources) {
+// allocate takes room of a worker and counts it against a team's share and
+// limit.
+func (c *Cell) allocate(w *Worker, team core.Team, need core.Resources) {
 	w.free = w.free.Sub(need)
 	c.shares.Use(team, need)
 	c.limits.Use(LimitName(team), need.Cores)
-	c.index(w)
+	c.updateRoom(w)
 }
 
-func (c *Cell) give(w *Worker, team core.Team, need core.Resources) {
-	back := core.Resources{}.Sub(need)
+// deallocate reverses allocate.
+func (c *Cell) deallocate(w *Worker, team core.Team, need core.Resources) {
+	negated := core.Resources{}.Sub(need)
 	w.free = w.free.Add(need)
-	c.shares.Use(team, back)
+	c.shares.Use(team, negated)
 	c.limits.Use(LimitName(team), -need.Cores)
-	c.index(w)
+	c.updateRoom(w)
 }
 
-// hold counts a task against its team's limit while it may run somewhere.
-func (c *Cell) hold(t *Task) {
-	c.held.Add(t)
+// addHeld counts a held task against its team's limit, because it may run on a
+// worker that has not reported yet.
+func (c *Cell) addHeld(t *Task) {
+	c.heldTasks.Add(t)
 	c.limits.Use(LimitName(t.job.Spec.Team), t.spec().Need.Cores)
 }
 
-func (c *Cell) unhold(t *Task) {
-	if c.held.Has(t) {
-		delete(c.held, t)
+// removeHeld reverses addHeld if the task is held.
+func (c *Cell) removeHeld(t *Task) {
+	if c.heldTasks.Has(t) {
+		delete(c.heldTasks, t)
 		c.limits.Use(LimitName(t.job.Spec.Team), -t.spec().Need.Cores)
 	}
 }
 
-// clearHeld queues the recovered tasks once no worker can be running them.
-func (c *Cell) clearHeld() {
-	if len(c.held) == 0 || c.loading || c.unheard() > 0 {
+// requeueHeld queues the held tasks once no worker can be running them.
+func (c *Cell) requeueHeld() {
+	if len(c.heldTasks) == 0 || c.loading || c.countUnreported() > 0 {
 		return
 	}
-	held := make([]*Task, 0, len(c.held))
-	for t := range c.held {
+	held := make([]*Task, 0, len(c.heldTasks))
+	for t := range c.heldTasks {
 		held = append(held, t)
 	}
 	sortTasks(held)
 	for _, t := range held {
-		t.fire(taskClear)
+		t.fire(taskEventClear)
 	}
 }
 
-// unheard counts the workers that may run tasks of an earlier owner.
-func (c *Cell) unheard() int {
+// countUnreported returns the number of workers that have not reported to this
+// owner and may run tasks of an earlier one.
+func (c *Cell) countUnreported() int {
 	n := 0
-	for _, w := range c.order {
-		if w.state == workerNew {
+	for _, w := range c.workersByID {
+		if w.state == workerStateNew {
 			n++
 		}
 	}
 	return n
 }
 
-// Tick follows the passing of time.
+// Tick handles everything that is due at a given time: expired leases, trials of
+// excluded workers, heartbeats, gang reservations and lowered limits.
 func (c *Cell) Tick(now time.Time) {
 	c.now = now
-	gone := false
-	for _, w := range c.order {
-		if w.state != workerLapsed && now.After(w.expiry()) {
-			w.fire(workerExpire)
+	removeGone := false
+	for _, w := range c.workersByID {
+		if w.state != workerStateLapsed && now.After(w.leaseEnd()) {
+			w.fire(workerEventExpire)
 		}
-		if w.state == workerLapsed && !w.vm.Addr.IsValid() {
-			w.fire(workerVanish)
-			gone = true
+		if w.state == workerStateLapsed && !w.vm.Addr.IsValid() {
+			w.fire(workerEventVanish)
+			removeGone = true
 		}
-		if w.health == healthAside && now.After(w.probe) {
-			c.note(healthChart.Fire(&w.health, healthProbe, w))
+		if w.health == healthStateAside && now.After(w.nextProbe) {
+			c.recordRefused(healthChart.Fire(&w.health, healthEventProbe, w))
 		}
-		if !w.watching || w.dirty {
-			c.wake(w)
+		if !w.pollInFlight || w.hasNewOrders {
+			c.queueHeartbeat(w)
 		}
 	}
-	if gone {
-		c.dropGone()
+	if removeGone {
+		c.removeGoneWorkers()
 	}
-	c.expireGang()
-	c.shed()
+	c.expireReservation()
+	c.enforceLimits()
 }
 
-// Submit takes in a job. The job counts once Recorded has named it; a repeated
-// submission of the same ID returns false and no error.
+// Submit adds a job. The job is accepted once BatchStored has returned its ID. A
+// repeated submission of the same ID returns false and no error.
 func (c *Cell) Submit(now time.Time, spec JobSpec) (bool, error) {
 	c.now = now
 	if c.jobs[spec.ID] != nil {
@@ -351,20 +384,21 @@
 	if err := c.checkSize(&spec); err != nil {
 		return false, err
 	}
-	j := c.add(spec)
-	c.write(Entry{Accept: &j.Spec})
+	j := c.addJob(spec)
+	c.appendEntry(Entry{Accept: &j.Spec})
 	return true, nil
 }
 
-// Recording reports whether a job is still on its way to the store.
+// Recording reports whether a job's acceptance is still being stored.
 func (c *Cell) Recording(id core.JobID) bool {
 	j := c.jobs[id]
 	return j != nil && jobChart.Name(j.state) == "offered"
 }
 
-func (c *Cell) add(spec JobSpec) *Job {
-	c.seq++
-	j := &Job{Spec: spec, cell: c, state: jobChart.Start(), seq: c.seq, open: len(spec.Tasks)}
+// addJob adds a job in its initial state.
+func (c *Cell) addJob(spec JobSpec) *Job {
+	c.lastJobSeq++
+	j := &Job{Spec: spec, cell: c, state: jobChart.Start(), seq: c.lastJobSeq, openTasks: len(spec.Tasks)}
 	j.tasks = make([]Task, len(spec.Tasks))
 	for i := range j.tasks {
 		j.tasks[i] = Task{job: j, index: i, state: taskChart.Start()}
@@ -374,6 +408,7 @@
 	return j
 }
 
+// checkSize refuses a job that could never run in this cell.
 func (c *Cell) checkSize(spec *JobSpec) error {
 	if len(spec.Tasks) == 0 || len(spec.Tasks) > MaxTasks {
 		return core.Refuse(core.CodeBadInput, "a job has 1 to %d tasks, not %d", MaxTasks, len(spec.Tasks))
@@ -383,20 +418,21 @@
 		if t.Need.Cores <= 0 || t.Need.Memory < 0 || t.Need.Accel < 0 || t.Estimate < 0 {
 			return core.Refuse(core.CodeBadInput, "task %d needs a positive number of cores and no negative amount", i)
 		}
-		if !c.fitsAny(t.Need) {
+		if !c.fitsAnyWorker(t.Need) {
 			return core.Refuse(core.CodeTooLarge, "task %d is larger than any worker of cell %s", i, c.id)
 		}
 		sum = sum.Add(t.Need)
 	}
-	if spec.Kind == rules.Gang && !sum.Fits(c.total()) {
+	if spec.Kind == rules.Gang && !sum.Fits(c.totalRoom()) {
 		return core.Refuse(core.CodeTooLarge, "the job's tasks together are larger than cell %s", c.id)
 	}
 	return nil
 }
 
-// fitsAny reports whether a task fits some worker that is empty.
-func (c *Cell) fitsAny(need core.Resources) bool {
-	for _, w := range c.order {
+// fitsAnyWorker reports whether a task would fit on some worker if it were
+// empty.
+func (c *Cell) fitsAnyWorker(need core.Resources) bool {
+	for _, w := range c.workersByID {
 		if need.Fits(w.vm.Room) {
 			return true
 		}
@@ -404,23 +440,24 @@
 	return false
 }
 
-func (c *Cell) total() core.Resources {
+// totalRoom returns the sum of the listed room of all workers.
+func (c *Cell) totalRoom() core.Resources {
 	sum := core.Resources{}
-	for _, w := range c.order {
+	for _, w := range c.workersByID {
 		sum = sum.Add(w.vm.Room)
 	}
 	return sum
 }
 
-// Cancel ends a job. Its queued tasks end at once, the others when their
-// workers have confirmed.
+// Cancel cancels a job. Its queued tasks end at once, the others when their
+// workers have confirmed the stop.
 func (c *Cell) Cancel(now time.Time, id core.JobID) error {
 	c.now = now
 	j := c.jobs[id]
 	if j == nil {
 		return core.Refuse(core.CodeNoJob, "no job %q in cell %s", id, c.id)
 	}
-	if j.cancelled || j.open == 0 {
+	if j.cancelled || j.openTasks == 0 {
 		return nil
 	}
 	if c.Recording(id) {
@@ -428,8 +465,8 @@
 		r.RetryAfter = time.Second
 		return r
 	}
-	c.write(Entry{Cancel: id})
-	j.fire(jobCancel)
+	c.appendEntry(Entry{Cancel: id})
+	j.fire(jobEventCancel)
 	return nil
 }
 
@@ -442,13 +479,14 @@
 	return j.View(), true
 }
 
-// List returns the jobs of a team, or of all teams, the newest first.
-func (c *Cell) List(team core.Team, most int) []View {
+// List returns up to limit jobs of a team, newest first. An empty team means all
+// teams.
+func (c *Cell) List(team core.Team, limit int) []View {
 	var out []View
 	jobs := c.sortedJobs()
 	slices.Reverse(jobs)
 	for _, j := range jobs {
-		if len(out) < most && (team == "" || j.Spec.Team == team) {
+		if len(out) < limit && (team == "" || j.Spec.Team == team) {
 			out = append(out, j.View())
 		}
 	}
@@ -463,12 +501,14 @@
 	return &j.tasks[id.Index]
 }
 
-func (c *Cell) learn(t *Task, ran time.Duration) {
+// recordSuccess counts a task that is done and passes its run time to the
+// estimator.
+func (c *Cell) recordSuccess(t *Task, elapsed time.Duration) {
 	c.counts.Ends++
-	c.guess.Learn(t.job.Spec.Queue, t.spec().Estimate, ran)
+	c.estimator.Learn(t.job.Spec.Queue, t.spec().Estimate, elapsed)
 }
 
-func lessTask(a, b core.TaskID) bool {
+func lessTaskID(a, b core.TaskID) bool {
 	if a.Job != b.Job {
 		return a.Job < b.Job
 	}
@@ -477,7 +517,7 @@
 
 func sortTasks(ts []*Task) {
 	slices.SortFunc(ts, func(a, b *Task) int {
-		if lessTask(a.ID(), b.ID()) {
+		if lessTaskID(a.ID(), b.ID()) {
 			return -1
 		}
 		return 1
--- a/core/cell/gang.go
+++ b/core/cell/gang.go
@@ -9,63 +9,65 @@
 )
 
 const (
-	// reserveFor is how long room is kept for one gang before another gets its
-	// turn, so that two half-placed gangs never block each other.
-	reserveFor = 30 * time.Second
-	// gangPause keeps a gang back after its reservation has expired.
-	gangPause = 5 * time.Second
+	// reservationTTL is how long room is reserved for one gang before another
+	// may reserve, so that two partly placed gangs never block each other.
+	reservationTTL = 30 * time.Second
+	// gangBackoff is the delay before a gang is tried again after its
+	// reservation has expired.
+	gangBackoff = 5 * time.Second
 )
 
-// reservation keeps room for the one gang whose turn it is.
-type reservation struct {
+// gangReservation is the room reserved for one gang. A cell has at most one.
+type gangReservation struct {
 	job     *Job
 	workers core.Set[core.WorkerID]
-	// at is when the gang is expected to start.
-	at    time.Time
-	until time.Time
+	// expectedStart is when the last reserved worker is expected to be free.
+	expectedStart time.Time
+	expiresAt     time.Time
 }
 
-// blocks reports whether a task must stay off a worker because it would delay
-// the gang.
-func (r *reservation) blocks(c *Cell, t *Task, id core.WorkerID) bool {
+// blocks reports whether a task must not be placed on a worker because it would
+// delay the gang.
+func (r *gangReservation) blocks(c *Cell, t *Task, id core.WorkerID) bool {
 	if r == nil || r.job == t.job || !r.workers.Has(id) {
 		return false
 	}
 	if !c.policy.Backfill {
 		return true
 	}
-	run := c.guess.Predict(t.job.Spec.Queue, t.spec().Estimate)
-	return c.now.Add(run).After(r.at)
+	runTime := c.estimator.Predict(t.job.Spec.Queue, t.spec().Estimate)
+	return c.now.Add(runTime).After(r.expectedStart)
 }
 
-// placeGang places every task of a gang or none.
-func (c *Cell) placeGang(p *pass, j *Job) bool {
+// placeGang places all tasks of a gang or none.
+func (c *Cell) placeGang(p *placementPass, j *Job) bool {
 	if c.now.Before(j.retryAfter) {
 		return false
 	}
-	if c.limits.Available(LimitName(j.Spec.Team)) < j.cores {
+	if c.limits.Available(LimitName(j.Spec.Team)) < j.queuedCores {
 		return false
 	}
-	where, ok := c.fitGang(p, j)
+	placement, ok := c.fitGang(p, j)
 	if !ok {
-		c.reserve(j)
+		c.reserveForGang(j)
 		return false
 	}
 	c.dequeue(j)
-	if c.gang != nil && c.gang.job == j {
-		c.gang = nil
+	if c.reservation != nil && c.reservation.job == j {
+		c.reservation = nil
 	}
-	for _, i := range slices.Clone(j.queued) {
-		p.place(&j.tasks[i], c.workers[where[i]])
+	for _, i := range slices.Clone(j.queuedTasks) {
+		p.placeTask(&j.tasks[i], c.workers[placement[i]])
 	}
 	return true
 }
 
-// fitGang tries all tasks on the index, then takes the trial back.
-func (c *Cell) fitGang(p *pass, j *Job) (map[int]core.WorkerID, bool) {
-	where := map[int]core.WorkerID{}
-	before := map[core.WorkerID]core.Resources{}
-	order := slices.Clone(j.queued)
+// fitGang looks for a placement of all tasks of a gang. It takes room in the
+// index for each task tried and restores the index at the end.
+func (c *Cell) fitGang(p *placementPass, j *Job) (map[int]core.WorkerID, bool) {
+	placement := map[int]core.WorkerID{}
+	original := map[core.WorkerID]core.Resources{}
+	order := slices.Clone(j.queuedTasks)
 	slices.SortStableFunc(order, func(a, b int) int {
 		return cmp.Compare(j.Spec.Tasks[b].Need.Cores, j.Spec.Tasks[a].Need.Cores)
 	})
@@ -73,56 +75,58 @@
 	free := map[core.WorkerID]core.Resources{}
 	for _, i := range order {
 		t := &j.tasks[i]
-		id, found := p.find(t, t.spec().Need)
+		id, found := p.findWorker(t, t.spec().Need)
 		if !found {
 			ok = false
 			break
 		}
 		w := c.workers[id]
-		if _, seen := before[id]; !seen {
-			before[id], free[id] = w.free, w.free
+		if _, seen := original[id]; !seen {
+			original[id], free[id] = w.free, w.free
 		}
 		free[id] = free[id].Sub(t.spec().Need)
-		c.rooms.Put(id, free[id], w.room)
-		where[i] = id
+		c.roomIndex.Put(id, free[id], w.room)
+		placement[i] = id
 	}
-	for id, r := range before {
-		c.rooms.Put(id, r, c.workers[id].room)
+	for id, r := range original {
+		c.roomIndex.Put(id, r, c.workers[id].room)
 	}
 	if !ok {
-		p.unfit = nil
+		// These needs may fit once the room of the gang's tasks is restored.
+		p.unfitNeeds = nil
 	}
-	return where, ok
+	return placement, ok
 }
 
-// reserve chooses the workers that are soonest free for the gang.
-func (c *Cell) reserve(j *Job) {
-	if !c.policy.Reserve || (c.gang != nil && c.gang.job != j) {
+// reserveForGang reserves the workers that are expected to be free for the gang
+// soonest.
+func (c *Cell) reserveForGang(j *Job) {
+	if !c.policy.Reserve || (c.reservation != nil && c.reservation.job != j) {
 		return
 	}
-	type choice struct {
+	type candidate struct {
 		worker *Worker
-		at     time.Time
+		idleAt time.Time
 	}
-	var all []choice
-	for _, w := range c.order {
-		if w.usable() && c.known.Has(w.id) {
-			all = append(all, choice{w, w.freeAt()})
+	var candidates []candidate
+	for _, w := range c.workersByID {
+		if w.usable() && c.recordedWorkers.Has(w.id) {
+			candidates = append(candidates, candidate{w, w.expectedIdleAt()})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b choice) int { return a.at.Compare(b.at) })
-	left := slices.Clone(j.queued)
-	r := &reservation{job: j, workers: core.NewSet[core.WorkerID](), until: c.now.Add(reserveFor)}
-	if c.gang != nil {
-		r.until = c.gang.until
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return a.idleAt.Compare(b.idleAt) })
+	unplaced := slices.Clone(j.queuedTasks)
+	r := &gangReservation{job: j, workers: core.NewSet[core.WorkerID](), expiresAt: c.now.Add(reservationTTL)}
+	if c.reservation != nil {
+		r.expiresAt = c.reservation.expiresAt
 	}
-	for _, ch := range all {
-		if len(left) == 0 {
+	for _, cand := range candidates {
+		if len(unplaced) == 0 {
 			break
 		}
-		room := ch.worker.room
-		before := len(left)
-		left = slices.DeleteFunc(left, func(i int) bool {
+		room := cand.worker.room
+		unplacedBefore := len(unplaced)
+		unplaced = slices.DeleteFunc(unplaced, func(i int) bool {
 			need := j.Spec.Tasks[i].Need
 			if !need.Fits(room) {
 				return false
@@ -130,38 +134,39 @@
 			room = room.Sub(need)
 			return true
 		})
-		if len(left) < before {
-			r.workers.Add(ch.worker.id)
-			r.at = ch.at
+		if len(unplaced) < unplacedBefore {
+			r.workers.Add(cand.worker.id)
+			r.expectedStart = cand.idleAt
 		}
 	}
-	if len(left) == 0 {
-		c.gang = r
+	if len(unplaced) == 0 {
+		c.reservation = r
 	}
 }
 
-// freeAt returns when the worker's tasks are expected to have ended.
-func (w *Worker) freeAt() time.Time {
-	at := w.cell.now
+// expectedIdleAt returns when the worker's tasks are expected to have ended.
+func (w *Worker) expectedIdleAt() time.Time {
+	idleAt := w.cell.now
 	for _, t := range w.tasks {
-		end := t.placed.Add(w.cell.guess.Predict(t.job.Spec.Queue, t.spec().Estimate))
-		if end.After(at) {
-			at = end
+		end := t.placedAt.Add(w.cell.estimator.Predict(t.job.Spec.Queue, t.spec().Estimate))
+		if end.After(idleAt) {
+			idleAt = end
 		}
 	}
-	return at
+	return idleAt
 }
 
-// expireGang ends a reservation that has not been used in time.
-func (c *Cell) expireGang() {
-	g := c.gang
-	if g == nil {
+// expireReservation ends a reservation whose time has expired or whose job is
+// no longer queued.
+func (c *Cell) expireReservation() {
+	r := c.reservation
+	if r == nil {
 		return
 	}
-	if c.now.Before(g.until) && g.job.inQueue {
+	if c.now.Before(r.expiresAt) && r.job.inTeamQueue {
 		return
 	}
-	g.job.retryAfter = c.now.Add(gangPause)
-	c.gang = nil
-	c.changed = true
+	r.job.retryAfter = c.now.Add(gangBackoff)
+	c.reservation = nil
+	c.needsPlan = true
 }
--- /dev/null
+++ b/core/cell/status.go
@@ -0,0 +1,71 @@
+package cell
+
+import (
+	"slices"
+
+	"chicoryturn/core"
+)
+
+// TeamLoad is the cores that a team uses and the cores of its queued tasks in a
+// cell, in thousandths of a core.
+type TeamLoad struct {
+	Team   core.Team
+	Cores  int64
+	Queued int64
+}
+
+// Load is the state of a cell for display.
+type Load struct {
+	Cell          core.CellID
+	Epoch         core.Epoch
+	Workers, Live int
+	Total, Free   core.Resources
+	// Queued and Running are numbers of tasks.
+	Queued, Running int
+	Teams           []TeamLoad
+}
+
+// State returns the state of the cell for display.
+func (c *Cell) State() Load {
+	load := Load{Cell: c.id, Epoch: c.epoch, Workers: len(c.workersByID), Total: c.totalRoom(), Free: c.roomIndex.Free()}
+	for _, w := range c.workersByID {
+		if w.state == workerStateLive {
+			load.Live++
+		}
+		load.Running += len(w.tasks)
+	}
+	for _, j := range c.jobs {
+		load.Queued += len(j.queuedTasks)
+	}
+	for team, queue := range c.teamQueues {
+		load.Teams = append(load.Teams, TeamLoad{team, c.shares.Used(team).Cores, queue.queuedCores})
+	}
+	slices.SortFunc(load.Teams, func(a, b TeamLoad) int {
+		if a.Team < b.Team {
+			return -1
+		}
+		return 1
+	})
+	return load
+}
+
+// WorkerView is the state of a worker for display.
+type WorkerView struct {
+	Name          core.WorkerID
+	State, Health string
+	Leaving       bool
+	Free, Room    core.Resources
+	Tasks         int
+	Orphans       int
+}
+
+// Workers returns the state of each worker for display.
+func (c *Cell) Workers() []WorkerView {
+	out := make([]WorkerView, 0, len(c.workersByID))
+	for _, w := range c.workersByID {
+		out = append(out, WorkerView{
+			w.id, workerChart.Name(w.state), healthChart.Name(w.health), w.leaving, w.free, w.room, len(w.tasks), len(w.orphans),
+		})
+	}
+	return out
+}
