--- a/io/link/client.go
+++ b/io/link/client.go
@@ -24,69 +24,72 @@
 )
 
 const (
-	// dialTime bounds the opening of a connection to the owner.
-	dialTime = 700 * time.Millisecond
-	// redial is the pause before the owner is joined again.
-	redial = 250 * time.Millisecond
+	// dialTimeout bounds the opening of a connection to the owner.
+	dialTimeout = 700 * time.Millisecond
+	// reconnectDelay is the time between the end of a stream and the next
+	// attempt to open one.
+	reconnectDelay = 250 * time.Millisecond
 )
 
-// Advisor makes calls to the placement policy for the owner.
+// Advisor sends the owner's advice requests to the placement advisor.
 type Advisor interface {
-	Request(a fleet.AdviceRequest, then func(advice.Result))
+	Request(a fleet.AdviceRequest, onResult func(advice.Result))
 }
 
-// OwnerWatcher is told whether the owner answers.
+// OwnerWatcher is notified when the stream to the owner opens and ends.
 type OwnerWatcher interface {
-	// OwnerLost tells that the stream has ended; over is set if the owner's
-	// incarnation seems to have ended as well.
-	OwnerLost(holder core.SessionID, over bool)
+	// OwnerLost reports that the stream to holder has ended; hasEnded is
+	// set if holder's process seems to have ended, too.
+	OwnerLost(holder core.SessionID, hasEnded bool)
+	// OwnerFound reports that the stream to the owner has opened.
 	OwnerFound()
 }
 
-// Client keeps a stream to the owner, wherever it is.
+// Client keeps a stream open to the current owner.
 type Client struct {
 	vm, zone string
-	adviser  Advisor
+	advisor  Advisor
 	log      *logrus.Entry
-	watch    OwnerWatcher
-
-	// mu guards what the traffic goroutines share.
-	mu      sync.Mutex
-	target  OwnerAddr
-	changed chan struct{}
-	out     chan *wire.Up
-
-	// onRoomy is told the owner's hints of where room is.
-	onRoomy func([]core.WorkerID)
-	asked   *waits[*wire.Reply]
-	carrier *carrier
+	watcher  OwnerWatcher
+
+	// mu guards owner, ownerChanged and outgoing.
+	mu           sync.Mutex
+	owner        OwnerAddr
+	ownerChanged chan struct{}
+	outgoing     chan *wire.Up
+
+	// onRoomHint is called with the workers of each room hint.
+	onRoomHint func([]core.WorkerID)
+	replies    *pendingReplies[*wire.Reply]
+	forwarder  *forwarder
 }
 
-// OwnerAddr is one incarnation of the owner.
+// OwnerAddr is the address and the session of one incarnation of the owner.
 type OwnerAddr struct {
 	Addr    netip.AddrPort
 	Session core.SessionID
 }
 
-// OverError reports that the owner's incarnation has ended.
-type OverError struct{ Reason string }
+// OwnerEndedError reports that the owner's incarnation has ended.
+type OwnerEndedError struct{ Reason string }
 
 // Error implements error.
-func (e *OverError) Error() string { return "the owner has ended: " + e.Reason }
+func (e *OwnerEndedError) Error() string { return "the owner's incarnation has ended: " + e.Reason }
 
-// Option changes a client under construction.
+// Option configures a client.
 type Option func(*Client)
 
-// WithRoomHint has a function told which workers have room.
-func WithRoomHint(f func([]core.WorkerID)) Option { return func(c *Client) { c.onRoomy = f } }
+// WithRoomHint sets a function that is called with the workers of each room
+// hint.
+func WithRoomHint(f func([]core.WorkerID)) Option { return func(c *Client) { c.onRoomHint = f } }
 
-// NewClient returns a client without a stream; Run opens one. Own carries out
-// calls of the table for the owner.
-func NewClient(vm, zone string, a Advisor, w OwnerWatcher, own Serve, log *logrus.Entry, opts ...Option) *Client {
+// NewClient returns a client without a stream; Run opens one. h makes the table
+// calls that the owner forwards.
+func NewClient(vm, zone string, a Advisor, w OwnerWatcher, h CallHandler, log *logrus.Entry, opts ...Option) *Client {
 	c := &Client{
-		vm: vm, zone: zone, adviser: a, watch: w, log: log, changed: make(chan struct{}),
-		asked: newWaits[*wire.Reply](), carrier: newCarrier(own),
-		onRoomy: func([]core.WorkerID) {},
+		vm: vm, zone: zone, advisor: a, watcher: w, log: log, ownerChanged: make(chan struct{}),
+		replies: newPendingReplies[*wire.Reply](), forwarder: newForwarder(h),
+		onRoomHint: func([]core.WorkerID) {},
 	}
 	for _, o := range opts {
 		o(c)
@@ -94,63 +97,65 @@
 	return c
 }
 
-// SetOwner tells where the owner is; an invalid address means nowhere.
-func (c *Client) SetOwner(t OwnerAddr) {
+// SetOwner sets the owner to connect to; an invalid address means that there is
+// none.
+func (c *Client) SetOwner(a OwnerAddr) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t == c.target {
+	if a == c.owner {
 		return
 	}
-	c.target = t
-	close(c.changed)
-	c.changed = make(chan struct{})
+	c.owner = a
+	close(c.ownerChanged)
+	c.ownerChanged = make(chan struct{})
 }
 
-func (c *Client) where() (OwnerAddr, <-chan struct{}) {
+func (c *Client) currentOwner() (OwnerAddr, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.target, c.changed
+	return c.owner, c.ownerChanged
 }
 
-// Run keeps the stream until the context ends.
+// Run keeps a stream open to the owner until the context ends.
 func (c *Client) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		to, changed := c.where()
-		if !to.Addr.IsValid() {
+		owner, changed := c.currentOwner()
+		if !owner.Addr.IsValid() {
 			select {
 			case <-ctx.Done():
 			case <-changed:
 			}
 			continue
 		}
-		err := c.join(ctx, to, changed)
+		err := c.runStream(ctx, owner, changed)
 		if ctx.Err() == nil {
-			c.log.WithError(err).WithField("owner", to.Addr.String()).Info("link ended")
-			var over *OverError
-			c.watch.OwnerLost(to.Session, errors.As(err, &over))
+			c.log.WithError(err).WithField("owner", owner.Addr.String()).Info("stream to the owner ended")
+			var ended *OwnerEndedError
+			c.watcher.OwnerLost(owner.Session, errors.As(err, &ended))
 		}
-		t := time.NewTimer(redial)
+		delay := time.NewTimer(reconnectDelay)
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-t.C:
+		case <-delay.C:
 		}
-		t.Stop()
+		delay.Stop()
 	}
 	return nil
 }
 
-// join opens a stream and serves it until it breaks or the owner changes.
-func (c *Client) join(ctx context.Context, to OwnerAddr, changed <-chan struct{}) error {
+// runStream opens a stream to the owner and serves it until it breaks or the
+// owner changes.
+func (c *Client) runStream(ctx context.Context, owner OwnerAddr, changed <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	refused := make(chan struct{}, 1)
-	conn, err := grpc.NewClient("passthrough:///"+to.Addr.String(),
-		grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithKeepaliveParams(keepAlive),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.DefaultConfig, MinConnectTimeout: dialTime}),
-		grpc.WithContextDialer(func(ctx context.Context, at string) (net.Conn, error) {
-			d := net.Dialer{Timeout: dialTime}
-			conn, err := d.DialContext(ctx, "tcp", at)
+	conn, err := grpc.NewClient("passthrough:///"+owner.Addr.String(),
+		grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithKeepaliveParams(clientKeepAlive),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.DefaultConfig, MinConnectTimeout: dialTimeout}),
+		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) {
+			d := net.Dialer{Timeout: dialTimeout}
+			conn, err := d.DialContext(ctx, "tcp", addr)
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				select {
 				case refused <- struct{}{}:
@@ -159,7 +164,7 @@
 			}
 			return conn, err
 		}),
-		grpc.WithInitialWindowSize(window), grpc.WithInitialConnWindowSize(window),
+		grpc.WithInitialWindowSize(flowControlWindow), grpc.WithInitialConnWindowSize(flowControlWindow),
 		grpc.WithReadBufferSize(4<<10), grpc.WithWriteBufferSize(4<<10))
 	if err != nil {
 		return err
@@ -169,7 +174,7 @@
 	if err != nil {
 		select {
 		case <-refused:
-			return &OverError{"its address refuses connections"}
+			return &OwnerEndedError{"its address refuses connections"}
 		default:
 			return err
 		}
@@ -177,28 +182,28 @@
 	if err := stream.Send(&wire.Up{Kind: &wire.Up_Hello{Hello: &wire.Hello{Vm: c.vm, Zone: c.zone}}}); err != nil {
 		return err
 	}
-	out := make(chan *wire.Up, sendQueue)
+	outgoing := make(chan *wire.Up, sendQueueLen)
 	done := make(chan error, 1)
-	heard := make(chan struct{}, 1)
-	go func() { done <- c.receive(stream, to.Session, out, heard) }()
-	defer c.shut()
-	silence := time.NewTimer(silentAfter)
-	defer silence.Stop()
+	received := make(chan struct{}, 1)
+	go func() { done <- c.receive(stream, owner.Session, outgoing, received) }()
+	defer c.streamClosed()
+	silenceTimer := time.NewTimer(ownerSilenceTimeout)
+	defer silenceTimer.Stop()
 	for {
 		select {
-		case <-heard:
-			silence.Reset(silentAfter)
-		case <-silence.C:
-			return &ClosedError{"nothing has come from the owner for " + silentAfter.String()}
+		case <-received:
+			silenceTimer.Reset(ownerSilenceTimeout)
+		case <-silenceTimer.C:
+			return &ClosedError{"no message from the owner for " + ownerSilenceTimeout.String()}
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-changed:
 			return &ClosedError{"the owner has changed"}
 		case <-refused:
-			return &OverError{"its address refuses connections"}
+			return &OwnerEndedError{"its address refuses connections"}
 		case err := <-done:
 			return err
-		case m := <-out:
+		case m := <-outgoing:
 			if err := stream.Send(m); err != nil {
 				return err
 			}
@@ -206,151 +211,161 @@
 	}
 }
 
-func (c *Client) open(out chan *wire.Up) {
+// streamOpened makes outgoing the queue of messages to the owner.
+func (c *Client) streamOpened(outgoing chan *wire.Up) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.out = out
+	c.outgoing = outgoing
 }
 
-// shut ends all that waits for the owner.
-func (c *Client) shut() {
+// streamClosed ends all requests to the owner that are in flight.
+func (c *Client) streamClosed() {
 	c.mu.Lock()
-	c.out = nil
+	c.outgoing = nil
 	c.mu.Unlock()
-	c.asked.close()
-	c.carrier.waits.close()
+	c.replies.close()
+	c.forwarder.replies.close()
 }
 
-func (c *Client) receive(stream grpc.BidiStreamingClient[wire.Up, wire.Down], session core.SessionID, out chan *wire.Up, heard chan<- struct{}) error {
+// receive handles the owner's messages. The first one must name the expected
+// session.
+func (c *Client) receive(stream grpc.BidiStreamingClient[wire.Up, wire.Down], session core.SessionID, outgoing chan *wire.Up, received chan<- struct{}) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
 	if first.GetSession() != string(session) {
-		return &OverError{"another incarnation answers at its address"}
+		return &OwnerEndedError{"another incarnation answers at its address"}
 	}
-	c.open(out)
-	c.watch.OwnerFound()
-	c.log.WithField("owner", string(session)).Info("joined the owner")
+	c.streamOpened(outgoing)
+	c.watcher.OwnerFound()
+	c.log.WithField("owner", string(session)).Info("connected to the owner")
 	for {
 		m, err := stream.Recv()
 		if err != nil {
 			return err
 		}
 		select {
-		case heard <- struct{}{}:
+		case received <- struct{}{}:
 		default:
 		}
 		if _, ok := m.Kind.(*wire.Down_Resigned); ok {
 			return &ClosedError{"the owner has resigned"}
 		}
-		if err := c.take(stream.Context(), m); err != nil {
+		if err := c.handle(stream.Context(), m); err != nil {
 			c.log.WithError(err).Error("message dropped")
 		}
 	}
 }
 
-func (c *Client) take(ctx context.Context, m *wire.Down) error {
+// handle passes one message of the owner to its receiver in this process.
+func (c *Client) handle(ctx context.Context, m *wire.Down) error {
 	switch k := m.Kind.(type) {
 	case *wire.Down_Advise:
-		a, err := toAsk(k.Advise)
+		a, err := toAdviceRequest(k.Advise)
 		if err != nil {
 			return err
 		}
-		c.adviser.Request(a, c.Advised)
+		c.advisor.Request(a, c.Advised)
 	case *wire.Down_Roomy:
-		c.onRoomy(workers(k.Roomy.Workers))
+		c.onRoomHint(workerIDs(k.Roomy.Workers))
 	case *wire.Down_Reply:
-		c.asked.deliver(k.Reply.Number, k.Reply)
+		c.replies.deliver(k.Reply.Number, k.Reply)
 	case *wire.Down_Carried:
-		return c.carrier.carried(k.Carried)
+		return c.forwarder.handleOutcome(k.Carried)
 	case *wire.Down_Call:
-		return c.carrier.serve(ctx, k.Call, func(r *wire.Carried) { c.send(&wire.Up{Kind: &wire.Up_Carried{Carried: r}}) })
+		return c.forwarder.handleCall(ctx, k.Call, func(r *wire.Carried) { c.send(&wire.Up{Kind: &wire.Up_Carried{Carried: r}}) })
 	}
 	return nil
 }
 
-// Forward implements relay.Carrier: the owner's VM carries out the call.
+// Forward implements relay.Forwarder; the owner's VM makes the call.
 func (c *Client) Forward(ctx context.Context, call table.Call) (table.Outcome, error) {
-	return c.carrier.carry(ctx, call, func(m *wire.Call) bool { return c.send(&wire.Up{Kind: &wire.Up_Call{Call: m}}) })
+	return c.forwarder.forward(ctx, call, func(m *wire.Call) bool { return c.send(&wire.Up{Kind: &wire.Up_Call{Call: m}}) })
 }
 
 // Connected reports whether the stream to the owner is open.
 func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.out != nil
+	return c.outgoing != nil
 }
 
-// send reports whether the message was queued; without a stream it is not.
+// send queues a message and reports whether it did: without a stream, or with a
+// full queue, it does not.
 func (c *Client) send(m *wire.Up) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.out == nil {
+	if c.outgoing == nil {
 		return false
 	}
 	select {
-	case c.out <- m:
+	case c.outgoing <- m:
 		return true
 	default:
 		return false
 	}
 }
 
-// Advised passes the result of a call for advice to the owner. A lost one is
-// asked for again once its time is up.
+// Advised sends the result of an advice request to the owner. If the result is
+// lost, the owner repeats the request after a time-out.
 func (c *Client) Advised(r advice.Result) {
 	if !c.send(&wire.Up{Kind: &wire.Up_Advised{Advised: fromResult(r)}}) {
-		c.log.WithField("job", r.Request.Phase.Job).Warn("advice not passed on")
+		c.log.WithField("job", r.Request.Phase.Job).Warn("advice result not sent to the owner")
 	}
 }
 
-// Accepted tells the owner of a job that is in the store. If it is not
-// delivered, the owner finds the job there.
-func (c *Client) Accepted(spec jobs.Spec, asking bool) {
+// Accepted notifies the owner of a job that has been stored. requestsAdvice is set
+// if this VM requests advice for the job's first phase. If the message is lost,
+// the owner reads the job from the store.
+func (c *Client) Accepted(spec jobs.Spec, requestsAdvice bool) {
 	text, err := json.Marshal(spec)
 	if err != nil {
 		c.log.WithError(err).WithField("job", spec.ID).Error("job not passed on")
 		return
 	}
-	if !c.send(&wire.Up{Kind: &wire.Up_Accepted{Accepted: &wire.Accepted{Spec: text, Asking: asking}}}) {
+	if !c.send(&wire.Up{Kind: &wire.Up_Accepted{Accepted: &wire.Accepted{Spec: text, Asking: requestsAdvice}}}) {
 		c.log.WithField("job", spec.ID).Info("job left to the store")
 	}
 }
 
-// Cancelled tells the owner of a cancellation that is in the store.
+// Cancelled notifies the owner of a cancellation that has been stored. If the
+// message is lost, the owner reads the cancellation from the store.
 func (c *Client) Cancelled(id core.JobID) {
 	if !c.send(&wire.Up{Kind: &wire.Up_Cancelled{Cancelled: string(id)}}) {
-		c.log.WithField("job", id).Info("cancellation left to the store")
+		c.log.WithField("job", id).Info("cancellation not sent to the owner, which reads it from the store")
 	}
 }
 
-// State asks the owner for the state of a job.
+// State queries the owner for the state of a job; the boolean is false if the
+// owner does not know the job.
 func (c *Client) State(ctx context.Context, id core.JobID) (jobs.State, bool, error) {
-	r, err := c.question(ctx, &wire.Question{Job: string(id)})
+	r, err := c.query(ctx, &wire.Question{Job: string(id)})
 	if err != nil {
 		return "", false, err
 	}
 	return jobs.State(r.State), r.Known, nil
 }
 
-// Pending asks the owner for the length of a queue.
+// Pending queries the owner for the length of a queue; the boolean is false if
+// the VM that replies does not own the fleet.
 func (c *Client) Pending(ctx context.Context, q core.Queue) (int, bool, error) {
-	r, err := c.question(ctx, &wire.Question{Queue: string(q)})
+	r, err := c.query(ctx, &wire.Question{Queue: string(q)})
 	if err != nil {
 		return 0, false, err
 	}
 	return int(r.Pending), r.Known, nil
 }
 
-func (c *Client) question(ctx context.Context, q *wire.Question) (*wire.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, replyTime)
+// query sends a question to the owner and waits for the reply.
+func (c *Client) query(ctx context.Context, q *wire.Question) (*wire.Reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
-	n, reply := c.asked.add()
-	defer c.asked.drop(n)
+	n, reply := c.replies.add()
+	defer c.replies.remove(n)
 	q.Number = n
 	if !c.send(&wire.Up{Kind: &wire.Up_Question{Question: q}}) {
-		return nil, &ClosedError{"not joined"}
+		return nil, &ClosedError{"not connected"}
 	}
 	select {
 	case r, ok := <-reply:
--- /dev/null
+++ b/io/link/forward.go
@@ -0,0 +1,134 @@
+package link
+
+import (
+	"context"
+	"encoding/json"
+	"sync"
+	"time"
+
+	"chicoryturn/io/table"
+	"chicoryturn/io/wire"
+)
+
+// forwardTimeout bounds a table call that is forwarded to another VM, on both
+// sides of the stream.
+const forwardTimeout = 2500 * time.Millisecond
+
+// pendingReplies holds a channel for each request in flight, by the request's
+// number.
+type pendingReplies[R any] struct {
+	mu         sync.Mutex
+	lastNumber uint64
+	channels   map[uint64]chan R
+}
+
+func newPendingReplies[R any]() *pendingReplies[R] {
+	return &pendingReplies[R]{channels: map[uint64]chan R{}}
+}
+
+// add registers a request. It returns the request's number and the channel for
+// its reply; the channel is closed without a reply if the stream ends first.
+func (w *pendingReplies[R]) add() (uint64, <-chan R) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.lastNumber++
+	ch := make(chan R, 1)
+	w.channels[w.lastNumber] = ch
+	return w.lastNumber, ch
+}
+
+func (w *pendingReplies[R]) remove(n uint64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	delete(w.channels, n)
+}
+
+func (w *pendingReplies[R]) deliver(n uint64, r R) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if ch, ok := w.channels[n]; ok {
+		ch <- r
+		delete(w.channels, n)
+	}
+}
+
+// close closes the channels of all requests in flight.
+func (w *pendingReplies[R]) close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for n, ch := range w.channels {
+		close(ch)
+		delete(w.channels, n)
+	}
+}
+
+// CallHandler makes a table call for another VM.
+type CallHandler func(ctx context.Context, c table.Call) table.Outcome
+
+// forwarder forwards table calls to the other side of a stream, and makes the
+// calls that the other side forwards.
+type forwarder struct {
+	handler CallHandler
+	replies *pendingReplies[table.Outcome]
+}
+
+func newForwarder(h CallHandler) *forwarder {
+	return &forwarder{handler: h, replies: newPendingReplies[table.Outcome]()}
+}
+
+// forward sends a call and waits for its outcome. It returns an error only if
+// the call was not sent; a call that was sent and has no outcome may have taken
+// effect.
+func (f *forwarder) forward(ctx context.Context, call table.Call, send func(*wire.Call) bool) (table.Outcome, error) {
+	body, err := json.Marshal(call)
+	if err != nil {
+		return table.Outcome{}, &table.RelayError{Reason: err.Error()}
+	}
+	n, reply := f.replies.add()
+	defer f.replies.remove(n)
+	if !send(&wire.Call{Number: n, Body: body}) {
+		return table.Outcome{}, &table.RelayError{Reason: "no stream to the other VM"}
+	}
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
+	defer cancel()
+	select {
+	case o, ok := <-reply:
+		if !ok {
+			return table.Outcome{NoAnswer: "the stream has ended"}, nil
+		}
+		return o, nil
+	case <-ctx.Done():
+		return table.Outcome{NoAnswer: ctx.Err().Error()}, nil
+	}
+}
+
+// handleOutcome delivers the outcome of a forwarded call.
+func (f *forwarder) handleOutcome(m *wire.Carried) error {
+	var o table.Outcome
+	if err := json.Unmarshal(m.Body, &o); err != nil {
+		return &FormatError{err.Error()}
+	}
+	f.replies.deliver(m.Number, o)
+	return nil
+}
+
+// handleCall makes a call for the other side in a new goroutine and sends the
+// outcome back.
+func (f *forwarder) handleCall(ctx context.Context, m *wire.Call, send func(*wire.Carried)) error {
+	var call table.Call
+	if err := json.Unmarshal(m.Body, &call); err != nil {
+		return &FormatError{err.Error()}
+	}
+	go func() {
+		ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
+		defer cancel()
+		body, err := json.Marshal(f.handler(ctx, call))
+		if err != nil {
+			// Without a message, the other side times out and treats the outcome
+			// as unknown.
+			return
+		}
+		send(&wire.Carried{Number: m.Number, Body: body})
+	}()
+	return nil
+}
--- a/io/link/link.go
+++ b/io/link/link.go
@@ -1,6 +1,7 @@
-// Package link joins the VMs of the system to the owner of the fleet with one
-// grpc stream each. Jobs, answers of the placement policy and questions travel
-// up; replies and calls for advice travel down.
+// Package link connects each VM of the system to the owner of the fleet by one
+// gRPC stream. VMs send accepted jobs, results of advice requests and questions
+// to the owner; the owner sends advice requests, room hints and replies. Both
+// sides forward table calls to each other.
 package link
 
 import (
@@ -18,47 +19,50 @@
 )
 
 const (
-	// aliveEvery and aliveWithin find a connection that has gone silent: grpc
-	// allows no shorter pause than 10 s between pings of a client, so the user
-	// timeout of TCP, which aliveWithin also sets, does most of it.
-	aliveEvery  = 10 * time.Second
-	aliveWithin = time.Second
-	// sendQueue bounds the messages that wait for a stream.
-	sendQueue = 512
-	// replyTime bounds the wait for the owner's reply to a question.
-	replyTime = 600 * time.Millisecond
-	// carryTries bounds the VMs that are asked in turn to carry one call, and
-	// shunTime is how long one that the table turns away is not asked again.
-	carryTries = 4
-	shunTime   = time.Second
-	// beatPause is the time between two messages of the owner at the most, and
-	// silentAfter how long none comes before it counts as silent: a lost packet
-	// takes a few hundred milliseconds.
-	beatPause   = 300 * time.Millisecond
-	silentAfter = 1200 * time.Millisecond
-	// maxMessage bounds one message, in bytes.
-	maxMessage = 1 << 20
-	// window bounds what is in flight on a stream, and so its memory.
-	window = 64 << 10
+	// keepAliveInterval and keepAliveTimeout detect a dead connection. gRPC
+	// allows a client at most one ping every 10 s, so most dead connections are
+	// detected by the TCP user timeout, which keepAliveTimeout also sets.
+	keepAliveInterval = 10 * time.Second
+	keepAliveTimeout  = time.Second
+	// sendQueueLen bounds the messages queued for one stream.
+	sendQueueLen = 512
+	// replyTimeout bounds the wait for the owner's reply to a question.
+	replyTimeout = 600 * time.Millisecond
+	// maxForwardAttempts bounds the VMs to which one call is forwarded in turn.
+	// forwardBackoff is how long a VM is not chosen after a call has failed
+	// there.
+	maxForwardAttempts = 4
+	forwardBackoff     = time.Second
+	// emptyMessageInterval is the time between two empty messages from the
+	// owner. A VM closes the stream after ownerSilenceTimeout without any
+	// message; this time-out exceeds the few hundred milliseconds that TCP
+	// takes to resend a lost packet.
+	emptyMessageInterval = 300 * time.Millisecond
+	ownerSilenceTimeout  = 1200 * time.Millisecond
+	// maxMessageBytes bounds the size of one message.
+	maxMessageBytes = 1 << 20
+	// flowControlWindow bounds the bytes in flight on a stream, and so its
+	// memory.
+	flowControlWindow = 64 << 10
 )
 
 // ClosedError reports that there is no stream to the owner.
 type ClosedError struct{ Reason string }
 
 // Error implements error.
-func (e *ClosedError) Error() string { return "no link to the owner: " + e.Reason }
+func (e *ClosedError) Error() string { return "no stream to the owner: " + e.Reason }
 
-// FormatError reports a message that cannot be used.
-type FormatError struct{ What string }
+// FormatError reports an invalid message from the other side of a stream.
+type FormatError struct{ Reason string }
 
 // Error implements error.
-func (e *FormatError) Error() string { return fmt.Sprintf("message of a peer: %s", e.What) }
+func (e *FormatError) Error() string { return fmt.Sprintf("invalid message from a peer: %s", e.Reason) }
 
-var keepAlive = keepalive.ClientParameters{Time: aliveEvery, Timeout: aliveWithin, PermitWithoutStream: true}
+var clientKeepAlive = keepalive.ClientParameters{Time: keepAliveInterval, Timeout: keepAliveTimeout, PermitWithoutStream: true}
 
-var enforce = keepalive.EnforcementPolicy{MinTime: aliveEvery / 2, PermitWithoutStream: true}
+var keepAlivePolicy = keepalive.EnforcementPolicy{MinTime: keepAliveInterval / 2, PermitWithoutStream: true}
 
-var serverAlive = keepalive.ServerParameters{Time: time.Second, Timeout: aliveWithin}
+var serverKeepAlive = keepalive.ServerParameters{Time: time.Second, Timeout: keepAliveTimeout}
 
 func fromPhase(p jobs.PhaseID) *wire.Phase {
 	return &wire.Phase{Job: string(p.Job), Occurrence: int32(p.Occurrence), Phase: int32(p.Phase)}
@@ -66,24 +70,24 @@
 
 func toPhase(p *wire.Phase) (jobs.PhaseID, error) {
 	if p.GetJob() == "" || p.GetOccurrence() < 0 || p.GetPhase() < 0 {
-		return jobs.PhaseID{}, &FormatError{"a phase without a name"}
+		return jobs.PhaseID{}, &FormatError{"phase without a job name or with a negative number"}
 	}
 	return jobs.PhaseID{Job: core.JobID(p.Job), Occurrence: int(p.Occurrence), Phase: int(p.Phase)}, nil
 }
 
-func fromAsk(a fleet.AdviceRequest) *wire.Advise {
-	return &wire.Advise{Phase: fromPhase(a.Phase), Workers: names(a.Workers), Cost: durationpb.New(a.Cost)}
+func fromAdviceRequest(a fleet.AdviceRequest) *wire.Advise {
+	return &wire.Advise{Phase: fromPhase(a.Phase), Workers: workerNames(a.Workers), Cost: durationpb.New(a.Cost)}
 }
 
-func toAsk(a *wire.Advise) (fleet.AdviceRequest, error) {
+func toAdviceRequest(a *wire.Advise) (fleet.AdviceRequest, error) {
 	id, err := toPhase(a.GetPhase())
 	if err != nil {
 		return fleet.AdviceRequest{}, err
 	}
-	return fleet.AdviceRequest{Phase: id, Workers: workers(a.Workers), Cost: a.GetCost().AsDuration()}, nil
+	return fleet.AdviceRequest{Phase: id, Workers: workerIDs(a.Workers), Cost: a.GetCost().AsDuration()}, nil
 }
 
-func names(ids []core.WorkerID) []string {
+func workerNames(ids []core.WorkerID) []string {
 	out := make([]string, len(ids))
 	for i, id := range ids {
 		out[i] = string(id)
@@ -91,7 +95,7 @@
 	return out
 }
 
-func workers(names []string) []core.WorkerID {
+func workerIDs(names []string) []core.WorkerID {
 	out := make([]core.WorkerID, len(names))
 	for i, n := range names {
 		out[i] = core.WorkerID(n)
@@ -100,7 +104,7 @@
 }
 
 func fromResult(r advice.Result) *wire.Advised {
-	out := &wire.Advised{Phase: fromPhase(r.Request.Phase), Failed: r.Err != nil, Named: names(r.Request.Workers), Valid: durationpb.New(r.TicketsLeft(time.Now()))}
+	out := &wire.Advised{Phase: fromPhase(r.Request.Phase), Failed: r.Err != nil, Named: workerNames(r.Request.Workers), Valid: durationpb.New(r.TicketsLeft(time.Now()))}
 	for _, a := range r.Allowed {
 		out.Allowed = append(out.Allowed, string(a.Worker))
 		out.Tickets = append(out.Tickets, a.Ticket)
@@ -114,14 +118,14 @@
 		return advice.Result{}, err
 	}
 	if len(a.Allowed) != len(a.Tickets) {
-		return advice.Result{}, &FormatError{"workers and tickets differ in number"}
+		return advice.Result{}, &FormatError{"the number of workers differs from the number of tickets"}
 	}
-	r := advice.Result{Request: fleet.AdviceRequest{Phase: id, Workers: workers(a.Named)}, TicketTTL: a.GetValid().AsDuration(), At: time.Now()}
+	r := advice.Result{Request: fleet.AdviceRequest{Phase: id, Workers: workerIDs(a.Named)}, TicketTTL: a.GetValid().AsDuration(), At: time.Now()}
 	for i := range a.Allowed {
 		r.Allowed = append(r.Allowed, fleet.AllowedWorker{Worker: core.WorkerID(a.Allowed[i]), Ticket: a.Tickets[i]})
 	}
 	if a.Failed {
-		r.Err = &FormatError{"the call for advice has failed"}
+		r.Err = &FormatError{"the advice request failed"}
 	}
 	return r, nil
 }
--- a/io/link/link_test.go
+++ b/io/link/link_test.go
@@ -22,46 +22,46 @@
 	"chicoryturn/io/table"
 )
 
-// seat is the control state of a process that owns the fleet, as far as links
-// need it.
-type seat struct{ joined, found, lost atomic.Int64 }
+// fakeOwner is the control state of a process that owns the fleet. It counts
+// the link's notifications.
+type fakeOwner struct{ peers, found, lost atomic.Int64 }
 
-func (s *seat) AddPeer(owner.Peer)                 { s.joined.Add(1) }
-func (s *seat) RemovePeer(owner.Peer)              { s.joined.Add(-1) }
-func (*seat) Accepted(jobs.Spec, string)           {}
-func (*seat) Cancelled(core.JobID)                 {}
-func (*seat) AdviceReceived(string, advice.Result) {}
-func (s *seat) OwnerLost(core.SessionID, bool)     { s.lost.Add(1) }
-func (s *seat) OwnerFound()                        { s.found.Add(1) }
-func (*seat) Request(a fleet.AdviceRequest, then func(advice.Result)) {
-	then(advice.Result{Request: a})
+func (o *fakeOwner) AddPeer(owner.Peer)                 { o.peers.Add(1) }
+func (o *fakeOwner) RemovePeer(owner.Peer)              { o.peers.Add(-1) }
+func (*fakeOwner) Accepted(jobs.Spec, string)           {}
+func (*fakeOwner) Cancelled(core.JobID)                 {}
+func (*fakeOwner) AdviceReceived(string, advice.Result) {}
+func (o *fakeOwner) OwnerLost(core.SessionID, bool)     { o.lost.Add(1) }
+func (o *fakeOwner) OwnerFound()                        { o.found.Add(1) }
+func (*fakeOwner) Request(a fleet.AdviceRequest, onResult func(advice.Result)) {
+	onResult(advice.Result{Request: a})
 }
-func (*seat) State(context.Context, core.JobID) (state jobs.State, known, mine bool, err error) {
+func (*fakeOwner) State(context.Context, core.JobID) (state jobs.State, known, isOwner bool, err error) {
 	return "", false, true, nil
 }
-func (*seat) Pending(context.Context, core.Queue) (int, bool, error) { return 0, true, nil }
+func (*fakeOwner) Pending(context.Context, core.Queue) (int, bool, error) { return 0, true, nil }
 
-// way is how a VM reaches the table.
-type way struct {
-	out   table.Outcome
-	calls atomic.Int64
+// fakeTable answers every forwarded call with the same outcome.
+type fakeTable struct {
+	outcome table.Outcome
+	calls   atomic.Int64
 }
 
-func (w *way) serve(context.Context, table.Call) table.Outcome {
-	w.calls.Add(1)
-	return w.out
+func (f *fakeTable) handle(context.Context, table.Call) table.Outcome {
+	f.calls.Add(1)
+	return f.outcome
 }
 
-func quiet() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log.WithField("part", "link")
 }
 
-// serveOwner runs the owner's side until the test ends.
-func serveOwner(t *testing.T, s *seat, log *logrus.Entry) (*link.Server, netip.AddrPort) {
+// serveOwner runs the owner's server until the test ends.
+func serveOwner(t *testing.T, o *fakeOwner, log *logrus.Entry) (*link.Server, netip.AddrPort) {
 	t.Helper()
-	srv := link.NewServer(s, "owner/1", (&way{}).serve, log)
+	srv := link.NewServer(o, "owner/1", (&fakeTable{}).handle, log)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -71,59 +71,61 @@
 	return srv, netip.MustParseAddrPort(l.Addr().String())
 }
 
-// TestCarry has the owner's calls carried by VMs of which the table turns most
-// away: one that does not is found, and kept to.
-func TestCarry(t *testing.T) {
+// TestForwardAvoidsRefusedPeers guards against calls that keep going to VMs
+// without access to the table: of three VMs, the owner must find the only one
+// that reaches it, and forward all further calls there.
+func TestForwardAvoidsRefusedPeers(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	log := quiet()
-	s := &seat{}
-	srv, at := serveOwner(t, s, log)
-	ways := []*way{{out: table.Outcome{RefusedStatus: 503}}, {out: table.NotSent()}, {out: table.Outcome{Done: &table.Done{Version: 7}}}}
-	for i, w := range ways {
-		c := link.NewClient(string(rune('a'+i)), "zone", s, s, w.serve, log)
-		c.SetOwner(link.OwnerAddr{Addr: at, Session: "owner/1"})
+	log := discardLog()
+	o := &fakeOwner{}
+	srv, addr := serveOwner(t, o, log)
+	tables := []*fakeTable{{outcome: table.Outcome{RefusedStatus: 503}}, {outcome: table.NotSent()}, {outcome: table.Outcome{Done: &table.Done{Version: 7}}}}
+	for i, f := range tables {
+		c := link.NewClient(string(rune('a'+i)), "zone", o, o, f.handle, log)
+		c.SetOwner(link.OwnerAddr{Addr: addr, Session: "owner/1"})
 		go func() { _ = c.Run(ctx) }()
 	}
-	for s.joined.Load() < int64(len(ways)) {
+	for o.peers.Load() < int64(len(tables)) {
 		time.Sleep(time.Millisecond)
 	}
 	for range 5 {
-		o, err := srv.Forward(ctx, table.Call{Write: &table.Txn{}})
+		outcome, err := srv.Forward(ctx, table.Call{Write: &table.Txn{}})
 		is.NoErr(err)
-		is.Equal(o.Done.Version, uint64(7))
+		is.Equal(outcome.Done.Version, uint64(7))
 	}
-	is.True(ways[0].calls.Load() <= 1)
-	is.True(ways[1].calls.Load() <= 1)
-	is.Equal(ways[2].calls.Load(), int64(5))
+	is.True(tables[0].calls.Load() <= 1)
+	is.True(tables[1].calls.Load() <= 1)
+	is.Equal(tables[2].calls.Load(), int64(5))
 }
 
-// TestSilentOwner freezes the way to the owner without closing it: the VM
-// notices within some 1.2 s, and the seat is looked at.
+// TestSilentOwner guards against an owner that goes unnoticed when its connection
+// stays open but transmits nothing: the VM must report it as lost after about
+// 1.2 s. An owner that is connected and idle must not be reported.
 func TestSilentOwner(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	log := quiet()
-	s := &seat{}
-	_, at := serveOwner(t, s, log)
-	p := fakes.NewProxy(at)
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	log := discardLog()
+	o := &fakeOwner{}
+	_, addr := serveOwner(t, o, log)
+	proxy := fakes.NewProxy(addr)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	go func() { _ = p.Serve(ctx, front) }()
-	w := &seat{}
-	c := link.NewClient("a", "zone", s, w, (&way{}).serve, log)
-	c.SetOwner(link.OwnerAddr{Addr: netip.MustParseAddrPort(front.Addr().String()), Session: "owner/1"})
+	go func() { _ = proxy.Serve(ctx, l) }()
+	watcher := &fakeOwner{}
+	c := link.NewClient("a", "zone", o, watcher, (&fakeTable{}).handle, log)
+	c.SetOwner(link.OwnerAddr{Addr: netip.MustParseAddrPort(l.Addr().String()), Session: "owner/1"})
 	go func() { _ = c.Run(ctx) }()
-	for w.found.Load() == 0 {
+	for watcher.found.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(1500 * time.Millisecond)
-	is.Equal(w.lost.Load(), int64(0)) // an idle owner is not a silent one
-	is.NoErr(p.Set(fakes.LinkFaults{Cut: true}))
+	is.Equal(watcher.lost.Load(), int64(0)) // the idle owner's empty messages keep the stream open
+	is.NoErr(proxy.Set(fakes.LinkFaults{Cut: true}))
 	began := time.Now()
-	for w.lost.Load() == 0 {
+	for watcher.lost.Load() == 0 {
 		is.True(time.Since(began) < 3*time.Second)
 		time.Sleep(time.Millisecond)
 	}
--- a/io/link/server.go
+++ b/io/link/server.go
@@ -19,135 +19,141 @@
 	"chicoryturn/io/wire"
 )
 
-// Owner is what the server needs of the process's control state.
+// Owner is the control state of the process that serves the streams.
 type Owner interface {
 	AddPeer(p owner.Peer)
 	RemovePeer(p owner.Peer)
-	Accepted(spec jobs.Spec, asking string)
+	Accepted(spec jobs.Spec, requester string)
 	Cancelled(id core.JobID)
 	AdviceReceived(vm string, r advice.Result)
-	State(ctx context.Context, id core.JobID) (state jobs.State, known, mine bool, err error)
+	State(ctx context.Context, id core.JobID) (state jobs.State, known, isOwner bool, err error)
 	Pending(ctx context.Context, q core.Queue) (n int, ok bool, err error)
 }
 
+// server implements wire.LinkServer.
 type server struct {
 	wire.UnimplementedLinkServer
 	owner   Owner
 	session core.SessionID
-	serve   Serve
+	handler CallHandler
 	log     *logrus.Entry
 
-	// mu guards the VMs that have joined.
+	// mu guards the fields below.
 	mu    sync.Mutex
 	peers []*peer
-	next  int
-	// good is the peer that has last had an answer of the table.
-	good *peer
+	// lastPeer is the index, modulo the number of peers, of the peer last chosen
+	// in turn.
+	lastPeer int
+	// preferred is the last peer through which the table processed a call. It
+	// is nil if a later call through it failed.
+	preferred *peer
 }
 
-// Server takes the streams of other VMs.
+// Server accepts the streams of other VMs.
 type Server struct {
 	*grpc.Server
 	impl *server
 }
 
-// NewServer returns a grpc server that takes the streams of other VMs. Session
-// names this incarnation, serve carries out calls of the table for them.
-func NewServer(o Owner, session core.SessionID, serve Serve, log *logrus.Entry) *Server {
-	s := grpc.NewServer(grpc.KeepaliveEnforcementPolicy(enforce), grpc.KeepaliveParams(serverAlive),
-		grpc.MaxRecvMsgSize(maxMessage), grpc.InitialWindowSize(window), grpc.InitialConnWindowSize(window),
+// NewServer returns a gRPC server that accepts the streams of other VMs. session
+// names this incarnation; h makes the table calls that the VMs forward.
+func NewServer(o Owner, session core.SessionID, h CallHandler, log *logrus.Entry) *Server {
+	s := grpc.NewServer(grpc.KeepaliveEnforcementPolicy(keepAlivePolicy), grpc.KeepaliveParams(serverKeepAlive),
+		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.InitialWindowSize(flowControlWindow), grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.ReadBufferSize(4<<10), grpc.WriteBufferSize(4<<10))
-	impl := &server{owner: o, session: session, serve: serve, log: log}
+	impl := &server{owner: o, session: session, handler: h, log: log}
 	wire.RegisterLinkServer(s, impl)
 	return &Server{s, impl}
 }
 
-// Forward implements relay.Carrier: a VM that has joined carries out a call. One
-// that the table turns away as well is passed over for a while.
+// Forward implements relay.Forwarder; a connected VM makes the call. A VM
+// through which the table refused or did not answer a call is not chosen again
+// for forwardBackoff.
 func (s *Server) Forward(ctx context.Context, call table.Call) (table.Outcome, error) {
-	for try := 0; ; try++ {
-		p := s.impl.pick(time.Now())
+	for attempt := 0; ; attempt++ {
+		p := s.impl.choosePeer(time.Now())
 		if p == nil {
-			return table.Outcome{}, &table.RelayError{Reason: "no VM that has joined reaches the table"}
+			return table.Outcome{}, &table.RelayError{Reason: "no connected VM can reach the table"}
 		}
-		o, err := p.carrier.carry(ctx, call, func(m *wire.Call) bool { return p.send(&wire.Down{Kind: &wire.Down_Call{Call: m}}) })
+		o, err := p.forwarder.forward(ctx, call, func(m *wire.Call) bool { return p.send(&wire.Down{Kind: &wire.Down_Call{Call: m}}) })
 		if err != nil {
 			return o, err
 		}
 		answered := o.Answered() && o.RefusedStatus == 0
-		s.impl.rate(p, answered, time.Now())
-		// A call without an outcome may have been carried out: only reads are
-		// made again.
-		again := o.RefusedStatus != 0 || o.NoAnswer != "" && call.Write == nil
-		if answered || !again || try+1 == carryTries || ctx.Err() != nil {
+		s.impl.recordResult(p, answered, time.Now())
+		// A call without an outcome may have taken effect, so only reads are
+		// retried.
+		retry := o.RefusedStatus != 0 || o.NoAnswer != "" && call.Write == nil
+		if answered || !retry || attempt+1 == maxForwardAttempts || ctx.Err() != nil {
 			return o, nil
 		}
 	}
 }
 
-// Joined reports whether any VM has joined.
-func (s *Server) Joined() bool {
+// HasPeers reports whether any VM is connected.
+func (s *Server) HasPeers() bool {
 	s.impl.mu.Lock()
 	defer s.impl.mu.Unlock()
 	return len(s.impl.peers) > 0
 }
 
-// pick returns the VM that should carry a call: the one that did so last, or one
-// after the other of those not known to be turned away.
-func (s *server) pick(now time.Time) *peer {
+// choosePeer returns the VM that should make a call: the preferred one, or else
+// the next in turn that is not in back-off. It returns nil if there is none.
+func (s *server) choosePeer(now time.Time) *peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.good != nil {
-		return s.good
+	if s.preferred != nil {
+		return s.preferred
 	}
 	for range s.peers {
-		s.next++
-		if p := s.peers[s.next%len(s.peers)]; now.After(p.shunned) {
+		s.lastPeer++
+		if p := s.peers[s.lastPeer%len(s.peers)]; now.After(p.avoidUntil) {
 			return p
 		}
 	}
 	return nil
 }
 
-// rate takes in whether the table has answered a call through a VM.
-func (s *server) rate(p *peer, answered bool, now time.Time) {
+// recordResult updates the choice of peers after a call through p; answered
+// reports whether the table processed the call.
+func (s *server) recordResult(p *peer, answered bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case answered:
-		s.good = p
+		s.preferred = p
 	default:
-		p.shunned = now.Add(shunTime)
-		if s.good == p {
-			s.good = nil
+		p.avoidUntil = now.Add(forwardBackoff)
+		if s.preferred == p {
+			s.preferred = nil
 		}
 	}
 }
 
-func (s *server) enter(p *peer) {
+func (s *server) addPeer(p *peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers = append(s.peers, p)
 }
 
-func (s *server) exit(p *peer) {
+func (s *server) removePeer(p *peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.peers = slices.DeleteFunc(s.peers, func(o *peer) bool { return o == p })
-	if s.good == p {
-		s.good = nil
+	if s.preferred == p {
+		s.preferred = nil
 	}
 }
 
-// peer is a VM that has joined.
+// peer is a connected VM.
 type peer struct {
-	name string
-	out  chan *wire.Down
-	// cancel ends the stream.
-	cancel  context.CancelFunc
-	carrier *carrier
-	// shunned is until when the VM is not asked to carry calls.
-	shunned time.Time
+	name     string
+	outgoing chan *wire.Down
+	// cancel closes the stream.
+	cancel    context.CancelFunc
+	forwarder *forwarder
+	// avoidUntil is the end of the back-off after a failed call.
+	avoidUntil time.Time
 }
 
 // Name implements owner.Peer.
@@ -155,22 +161,22 @@
 
 // RequestAdvice implements owner.Peer.
 func (p *peer) RequestAdvice(a fleet.AdviceRequest) {
-	p.send(&wire.Down{Kind: &wire.Down_Advise{Advise: fromAsk(a)}})
+	p.send(&wire.Down{Kind: &wire.Down_Advise{Advise: fromAdviceRequest(a)}})
 }
 
 // RoomHint implements owner.Peer.
 func (p *peer) RoomHint(ids []core.WorkerID) {
-	p.send(&wire.Down{Kind: &wire.Down_Roomy{Roomy: &wire.Roomy{Workers: names(ids)}}})
+	p.send(&wire.Down{Kind: &wire.Down_Roomy{Roomy: &wire.Roomy{Workers: workerNames(ids)}}})
 }
 
 // OwnerResigned implements owner.Peer.
 func (p *peer) OwnerResigned() { p.send(&wire.Down{Kind: &wire.Down_Resigned{Resigned: true}}) }
 
-// send never blocks: a VM that does not keep up loses its stream and joins
-// again.
+// send queues a message without blocking and reports whether it did. If the queue
+// is full, send closes the stream; the VM reconnects.
 func (p *peer) send(m *wire.Down) bool {
 	select {
-	case p.out <- m:
+	case p.outgoing <- m:
 		return true
 	default:
 		p.cancel()
@@ -185,28 +191,28 @@
 		return err
 	}
 	if first.GetHello().GetVm() == "" {
-		return &FormatError{"the first message is no hello"}
+		return &FormatError{"the first message is not a hello"}
 	}
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	p := &peer{name: first.GetHello().GetVm(), out: make(chan *wire.Down, sendQueue), cancel: cancel, carrier: newCarrier(s.serve)}
+	p := &peer{name: first.GetHello().GetVm(), outgoing: make(chan *wire.Down, sendQueueLen), cancel: cancel, forwarder: newForwarder(s.handler)}
 	if err := stream.Send(&wire.Down{Kind: &wire.Down_Session{Session: string(s.session)}}); err != nil {
 		return err
 	}
 	s.owner.AddPeer(p)
 	defer s.owner.RemovePeer(p)
-	s.enter(p)
+	s.addPeer(p)
 	defer func() {
-		s.exit(p)
-		p.carrier.waits.close()
+		s.removePeer(p)
+		p.forwarder.replies.close()
 	}()
 	done := make(chan error, 1)
 	go func() { done <- s.receive(ctx, stream, p) }()
-	beat := time.NewTicker(beatPause)
-	defer beat.Stop()
+	emptyMessages := time.NewTicker(emptyMessageInterval)
+	defer emptyMessages.Stop()
 	for {
 		select {
-		case <-beat.C:
+		case <-emptyMessages.C:
 			if err := stream.Send(&wire.Down{}); err != nil {
 				return err
 			}
@@ -214,7 +220,7 @@
 			return ctx.Err()
 		case err := <-done:
 			return err
-		case m := <-p.out:
+		case m := <-p.outgoing:
 			if err := stream.Send(m); err != nil {
 				return err
 			}
@@ -222,30 +228,32 @@
 	}
 }
 
+// receive handles a VM's messages until its stream ends.
 func (s *server) receive(ctx context.Context, stream grpc.BidiStreamingServer[wire.Up, wire.Down], p *peer) error {
 	for {
 		m, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		if err := s.take(ctx, p, m); err != nil {
+		if err := s.handle(ctx, p, m); err != nil {
 			s.log.WithError(err).WithField("vm", p.name).Error("message dropped")
 		}
 	}
 }
 
-func (s *server) take(ctx context.Context, p *peer, m *wire.Up) error {
+// handle passes one message to the control state or the forwarder.
+func (s *server) handle(ctx context.Context, p *peer, m *wire.Up) error {
 	switch k := m.Kind.(type) {
 	case *wire.Up_Accepted:
 		var spec jobs.Spec
 		if err := json.Unmarshal(k.Accepted.Spec, &spec); err != nil {
 			return &FormatError{err.Error()}
 		}
-		asking := ""
+		requester := ""
 		if k.Accepted.Asking {
-			asking = p.name
+			requester = p.name
 		}
-		s.owner.Accepted(spec, asking)
+		s.owner.Accepted(spec, requester)
 	case *wire.Up_Advised:
 		r, err := toResult(k.Advised)
 		if err != nil {
@@ -255,16 +263,17 @@
 	case *wire.Up_Cancelled:
 		s.owner.Cancelled(core.JobID(k.Cancelled))
 	case *wire.Up_Carried:
-		return p.carrier.carried(k.Carried)
+		return p.forwarder.handleOutcome(k.Carried)
 	case *wire.Up_Call:
-		return p.carrier.serve(ctx, k.Call, func(r *wire.Carried) { p.send(&wire.Down{Kind: &wire.Down_Carried{Carried: r}}) })
+		return p.forwarder.handleCall(ctx, k.Call, func(r *wire.Carried) { p.send(&wire.Down{Kind: &wire.Down_Carried{Carried: r}}) })
 	case *wire.Up_Question:
-		return s.reply(ctx, p, k.Question)
+		return s.answer(ctx, p, k.Question)
 	}
 	return nil
 }
 
-func (s *server) reply(ctx context.Context, p *peer, q *wire.Question) error {
+// answer replies to a VM's question about a job or a queue.
+func (s *server) answer(ctx context.Context, p *peer, q *wire.Question) error {
 	r := &wire.Reply{Number: q.Number}
 	if q.Job != "" {
 		state, known, _, err := s.owner.State(ctx, core.JobID(q.Job))
--- a/io/node/meter.go
+++ b/io/node/meter.go
@@ -9,17 +9,18 @@
 	"chicoryturn/core/fleet"
 )
 
-// gauge keeps the metrics of the process.
-type gauge struct{}
+// meter writes to the process's metrics.
+type meter struct{}
 
-// Call takes in one answered call: of a client or to a worker.
-func (gauge) Call(kind, result string, took time.Duration) {
+// Call counts one answered call, from a client or to a worker, and its
+// duration.
+func (meter) Call(kind, result string, took time.Duration) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`chicoryturn_calls_total{call=%q,result=%q}`, kind, result)).Inc()
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`chicoryturn_call_seconds{call=%q}`, kind)).Update(took.Seconds())
 }
 
-// Counts takes in the running totals of the owner's decisions.
-func (gauge) Counts(c fleet.Counts) {
+// Counts sets the totals of the owner's decisions.
+func (meter) Counts(c fleet.Counts) {
 	for name, n := range map[string]uint64{
 		"starts": c.Starts, "refused": c.Refused, "unanswered": c.Unanswered, "ends": c.Ends, "failures": c.Failures,
 		"lapses": c.Lapses, "stops": c.Stops, "asks": c.Asks,
@@ -28,21 +29,21 @@
 	}
 }
 
-// Record takes in one write of the owner.
-func (gauge) Record(rows int, took time.Duration) {
+// Record counts one write of the owner and its duration.
+func (meter) Record(rows int, took time.Duration) {
 	metrics.GetOrCreateCounter("chicoryturn_recorded_rows_total").Add(rows)
 	metrics.GetOrCreateHistogram("chicoryturn_record_seconds").Update(took.Seconds())
 }
 
-// Placement takes in the length of one placement pass.
-func (gauge) Placement(took time.Duration) {
+// Placement records the duration of one placement pass.
+func (meter) Placement(took time.Duration) {
 	metrics.GetOrCreateHistogram("chicoryturn_plan_seconds").Update(took.Seconds())
 }
 
-// Own tells whether the process owns the fleet.
-func (gauge) Own(owning bool) {
+// Own sets whether this process owns the fleet.
+func (meter) Own(isOwner bool) {
 	v := 0.0
-	if owning {
+	if isOwner {
 		v = 1
 	}
 	metrics.GetOrCreateGauge("chicoryturn_owning", nil).Set(v)
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -36,88 +36,90 @@
 )
 
 const (
-	// sessionBytes is the length of the random part of a session's name.
-	sessionBytes = 6
-	// policyWait is how long one call waits for a new configuration. It bounds
-	// how late a VM finds that its connection has gone silent.
+	// sessionIDBytes is the length of the random part of a session ID.
+	sessionIDBytes = 6
+	// policyWait bounds one call that waits for a new configuration, and so the
+	// time until a VM notices that its connection is dead.
 	policyWait = 800 * time.Millisecond
-	// policyPause is the time before a failed reading is repeated.
-	policyPause = 200 * time.Millisecond
-	// collectAt is the growth of the heap, in percent, that starts a collection;
-	// peak memory is priced higher than processor time.
-	collectAt = 50
-	// memoryPart is the part of the memory limit from which on collections are
-	// forced.
-	memoryPart = 0.75
-	// drainTime is how long a stopping process goes on taking connections: the
-	// balancer needs two probes, a second apart, to notice.
+	// policyRetryDelay is the time before a failed read is retried.
+	policyRetryDelay = 200 * time.Millisecond
+	// gcPercent is the growth of the heap, in percent, that starts a garbage
+	// collection. It is low since peak memory costs more than processor time.
+	gcPercent = 50
+	// memoryLimitShare is the share of the process's memory that is set as the
+	// soft memory limit of the Go runtime.
+	memoryLimitShare = 0.75
+	// drainTime is how long a stopping process still accepts connections: the
+	// load balancer needs two probes, one second apart, to notice.
 	drainTime = 2600 * time.Millisecond
-	// exitSlack is what is left of the grace period for the exit itself.
-	exitSlack = 700 * time.Millisecond
-	// ampleShare is the part of a core from which on a VM claims at once, and
-	// unhurried is how much later one without any would, so that the seat goes to
-	// a large VM.
-	ampleShare = 0.8
-	unhurried  = 300 * time.Millisecond
-	// settingsPause is the time between two looks at the settings, which may
+	// exitReserve is the part of the grace period reserved for the exit itself.
+	exitReserve = 700 * time.Millisecond
+	// A VM with at least fullShare of a core claims ownership at once; one with
+	// less waits, up to maxShareDelay longer, so that a large VM becomes the
+	// owner.
+	fullShare     = 0.8
+	maxShareDelay = 300 * time.Millisecond
+	// settingsInterval is the time between two reads of the settings, which may
 	// change without a signal.
-	settingsPause = 3 * time.Second
-	// recordSize is what a new owner reads on a busy day, in megabits: 3,000 jobs
-	// of 2.5 KB. slowestLink bounds the delay of a VM with a slow link.
-	recordSize  = 60.0
-	slowestLink = 4 * time.Second
-	// headerTime bounds the time in which a client sends its headers.
-	headerTime = 5 * time.Second
-	// idleTime bounds the time that a connection is kept without a call.
-	idleTime = time.Minute
+	settingsInterval = 3 * time.Second
+	// snapshotMegabits is what a new owner reads on a busy day: 3,000 jobs of
+	// 2.5 KB. maxReadDelay bounds the claim delay of a VM with a slow link.
+	snapshotMegabits = 60.0
+	maxReadDelay     = 4 * time.Second
+	// headerTimeout bounds the time that a client takes to send its headers.
+	headerTimeout = 5 * time.Second
+	// idleTimeout bounds how long an idle connection is kept open.
+	idleTimeout = time.Minute
 )
 
-// Lister reads the configuration and the workers.
+// Lister reads the configuration and the list of workers.
 type Lister interface {
 	owner.WorkerLister
-	// Policy reads the configuration, nil if there is none, and the version
-	// from which Changed goes on.
+	// Policy reads the configuration, nil if there is none, and the version to
+	// pass to Changed.
 	Policy(ctx context.Context) (*policy.Policy, uint64, error)
-	// Changed waits for the next configuration.
+	// Changed waits up to wait for a configuration newer than version after.
 	Changed(ctx context.Context, after uint64, wait time.Duration) (*policy.Policy, uint64, error)
 }
 
-// Platform is all that a process needs of the outside.
+// Platform is the process's access to the platform.
 type Platform struct {
-	// Store is the table as this VM reaches it.
+	// Store is the table, called directly from this VM.
 	Store table.Client
-	// Lister makes a reader of the platform's lists over a table.
+	// Lister returns a Lister that reads through a table client.
 	Lister  func(table.Client) Lister
 	Workers owner.WorkerClient
 	Advice  advice.Advisor
-	// CallerHandler and Probes make the handlers of the process's doors.
+	// CallerHandler and ProbeHandler return the HTTP handlers for clients and
+	// for readiness probes.
 	CallerHandler, ProbeHandler func(*entry.Entry) http.Handler
-	// Settings reads the settings again, and Reload tells when they may have
-	// changed.
+	// Settings reads the settings. ReloadSignal receives a signal when they may
+	// have changed.
 	Settings     func() (Settings, error)
 	ReloadSignal <-chan os.Signal
 }
 
-// Node is one process.
+// Node is the process of one VM.
 type Node struct {
 	settings Settings
-	// grace is the time to stop in, in nanoseconds; it follows the settings.
-	grace    atomic.Int64
-	session  core.SessionID
-	platform Platform
-	log      *logrus.Logger
-	spool    *logbuf.Writer
-	entry    *entry.Entry
-	owner    *owner.Owner
-	link     *link.Client
-	rpc      *link.Server
-	lists    Lister
-	guide    *advice.Client
-	vault    *record.Store
+	// grace is the grace period of a stop in nanoseconds; applySettings updates
+	// it.
+	grace      atomic.Int64
+	session    core.SessionID
+	platform   Platform
+	log        *logrus.Logger
+	logBuf     *logbuf.Writer
+	entry      *entry.Entry
+	owner      *owner.Owner
+	linkClient *link.Client
+	linkServer *link.Server
+	lister     Lister
+	advice     *advice.Client
+	records    *record.Store
 }
 
 // Run runs a process until stop is closed and all calls have been answered, or
-// the context ends.
+// until the context ends.
 func Run(ctx context.Context, s Settings, p Platform, stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -125,96 +127,99 @@
 }
 
 func assemble(s Settings, p Platform, l *loop.Loop) *Node {
-	n := &Node{settings: s, platform: p, spool: logbuf.New(os.Stdout), log: logrus.New()}
+	n := &Node{settings: s, platform: p, logBuf: logbuf.New(os.Stdout), log: logrus.New()}
 	n.grace.Store(int64(s.Grace))
-	n.log.SetOutput(n.spool)
+	n.log.SetOutput(n.logBuf)
 	n.log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "15:04:05.000"})
 	if level, err := logrus.ParseLevel(s.Level); err == nil {
 		n.log.SetLevel(level)
 	}
-	n.guide = advice.New(p.Advice)
-	d := &desk{vm: s.VM}
-	store := relay.New(p.Store, d)
-	// The lists are larger than what the vault reads, and paced by themselves.
-	n.vault, n.lists = record.New(adapt.New(store), record.WithReach(store)), p.Lister(adapt.New(store))
-	n.entry = entry.New(n.vault, d, n.guide, gauge{}, n.part("entry"))
-	n.session = session(s.VM)
-	me := elect.Record{Holder: n.session, VM: s.VM, Addr: s.Peers}
-	n.owner = owner.New(l, owner.Deps{Records: n.vault, Workers: p.Workers, Lister: n.lists, Meter: gauge{}}, me, patience(s), s.Limits, n.part("owner"),
+	n.advice = advice.New(p.Advice)
+	toOwner := &ownerLink{vm: s.VM}
+	store := relay.New(p.Store, toOwner)
+	// The lister has its own adaptive time-outs, since its reads are larger
+	// than those of the record store.
+	n.records, n.lister = record.New(adapt.New(store), record.WithReach(store)), p.Lister(adapt.New(store))
+	n.entry = entry.New(n.records, toOwner, n.advice, meter{}, n.logger("entry"))
+	n.session = newSessionID(s.VM)
+	candidate := elect.Record{Holder: n.session, VM: s.VM, Addr: s.Peers}
+	n.owner = owner.New(l, owner.Deps{Records: n.records, Workers: p.Workers, Lister: n.lister, Meter: meter{}}, candidate, claimDelay(s), s.Limits, n.logger("owner"),
 		owner.WithWorkersHook(n.entry.SetWorkers),
-		owner.WithOwnerHook(func(seat elect.Record, mine bool) { n.follow(d, seat, mine) }))
-	n.link = link.NewClient(s.VM, string(s.Zone), n.guide, n.owner, store.ServeDirect, n.part("link"), link.WithRoomHint(n.entry.SetRoomHint))
-	n.rpc = link.NewServer(n.owner, n.session, store.Serve, n.part("link"))
-	d.owner, d.link, d.rpc = n.owner, n.link, n.rpc
+		owner.WithOwnerHook(func(r elect.Record, isOwner bool) { n.ownerChanged(toOwner, r, isOwner) }))
+	n.linkClient = link.NewClient(s.VM, string(s.Zone), n.advice, n.owner, store.ServeDirect, n.logger("link"), link.WithRoomHint(n.entry.SetRoomHint))
+	n.linkServer = link.NewServer(n.owner, n.session, store.Serve, n.logger("link"))
+	toOwner.owner, toOwner.client, toOwner.server = n.owner, n.linkClient, n.linkServer
 	return n
 }
 
-func (n *Node) part(name string) *logrus.Entry {
+// logger returns the process's logger with the name of a part.
+func (n *Node) logger(name string) *logrus.Entry {
 	return n.log.WithFields(logrus.Fields{"vm": n.settings.VM, "part": name})
 }
 
-// patience delays the claims of small VMs, and of those that would take long to
-// read what is recorded.
-func patience(s Settings) time.Duration {
-	p := time.Duration(max(1-s.CoreShare/ampleShare, 0) * float64(unhurried))
+// claimDelay returns how long this VM waits before it claims ownership: longer
+// for small VMs, and for those that would take long to read the stored jobs.
+func claimDelay(s Settings) time.Duration {
+	delay := time.Duration(max(1-s.CoreShare/fullShare, 0) * float64(maxShareDelay))
 	if s.LinkMbps > 0 {
-		p += min(time.Duration(recordSize/s.LinkMbps*float64(time.Second)), slowestLink)
+		delay += min(time.Duration(snapshotMegabits/s.LinkMbps*float64(time.Second)), maxReadDelay)
 	}
-	return p
+	return delay
 }
 
-func session(vm string) core.SessionID {
-	b := make([]byte, sessionBytes)
-	// rand.Read never fails: it ends the program instead.
+func newSessionID(vm string) core.SessionID {
+	b := make([]byte, sessionIDBytes)
+	// rand.Read never returns an error: it ends the program instead.
 	_, _ = rand.Read(b)
 	return core.SessionID(fmt.Sprintf("%s/%x", vm, b))
 }
 
-// follow joins the owner of the fleet.
-func (n *Node) follow(d *desk, seat elect.Record, mine bool) {
-	d.mine.Store(mine)
-	n.entry.SetOwner(seat)
-	if mine || seat.Holder == "" {
-		n.link.SetOwner(link.OwnerAddr{})
+// ownerChanged connects to a new owner, or to none if this process is the owner
+// or nobody is.
+func (n *Node) ownerChanged(l *ownerLink, r elect.Record, isOwner bool) {
+	l.isOwner.Store(isOwner)
+	n.entry.SetOwner(r)
+	if isOwner || r.Holder == "" {
+		n.linkClient.SetOwner(link.OwnerAddr{})
 		return
 	}
-	n.link.SetOwner(link.OwnerAddr{Addr: seat.Addr, Session: seat.Holder})
+	n.linkClient.SetOwner(link.OwnerAddr{Addr: r.Addr, Session: r.Holder})
 }
 
-func (n *Node) run(ctx context.Context, stop <-chan struct{}, end context.CancelFunc) error {
-	debug.SetGCPercent(collectAt)
+func (n *Node) run(ctx context.Context, stop <-chan struct{}, exit context.CancelFunc) error {
+	debug.SetGCPercent(gcPercent)
 	if n.settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(n.settings.Memory)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(n.settings.Memory)))
 	}
 	g, ctx := errgroup.WithContext(ctx)
-	logs, endLogs := context.WithCancel(context.WithoutCancel(ctx))
-	written := make(chan struct{})
+	logCtx, stopLogs := context.WithCancel(context.WithoutCancel(ctx))
+	logsWritten := make(chan struct{})
 	go func() {
-		defer close(written)
-		_ = n.spool.Run(logs)
+		defer close(logsWritten)
+		_ = n.logBuf.Run(logCtx)
 	}()
 	defer func() {
-		endLogs()
-		<-written
+		stopLogs()
+		<-logsWritten
 	}()
-	if err := n.serve(ctx, g, stop, end); err != nil {
+	if err := n.serve(ctx, g, stop, exit); err != nil {
 		return err
 	}
 	g.Go(n.owner.Run)
-	g.Go(func() error { return n.vault.Run(ctx) })
-	g.Go(func() error { return n.guide.Run(ctx) })
-	g.Go(func() error { return n.link.Run(ctx) })
+	g.Go(func() error { return n.records.Run(ctx) })
+	g.Go(func() error { return n.advice.Run(ctx) })
+	g.Go(func() error { return n.linkClient.Run(ctx) })
 	g.Go(func() error { return n.watchPolicy(ctx) })
 	g.Go(func() error { return n.watchSettings(ctx) })
-	n.owner.AddPeer(&local{vm: n.settings.VM, guide: n.guide, owner: n.owner, entry: n.entry})
-	n.part("node").WithFields(logrus.Fields{
+	n.owner.AddPeer(&localPeer{vm: n.settings.VM, advice: n.advice, owner: n.owner, entry: n.entry})
+	n.logger("node").WithFields(logrus.Fields{
 		"callers": n.settings.Callers.String(), "peers": n.settings.Peers.String(), "share": n.settings.CoreShare, "memory": n.settings.Memory,
 	}).Info("started")
 	return g.Wait()
 }
 
-// serve binds the process's addresses.
-func (n *Node) serve(ctx context.Context, g *errgroup.Group, stop <-chan struct{}, end context.CancelFunc) error {
+// serve listens on the process's addresses and starts their servers.
+func (n *Node) serve(ctx context.Context, g *errgroup.Group, stop <-chan struct{}, exit context.CancelFunc) error {
 	callers, err := proc.Listen("callers", n.settings.Callers)
 	if err != nil {
 		return err
@@ -231,21 +236,21 @@
 	if err != nil {
 		return errors.Join(err, callers.Close(), probes.Close(), peers.Close())
 	}
-	g.Go(func() error { return n.rpc.Serve(peers) })
+	g.Go(func() error { return n.linkServer.Serve(peers) })
 	g.Go(func() error {
 		<-ctx.Done()
-		n.rpc.Stop()
+		n.linkServer.Stop()
 		return nil
 	})
-	door := n.httpServer(ctx, g, callers, n.platform.CallerHandler(n.entry))
+	callerServer := n.httpServer(ctx, g, callers, n.platform.CallerHandler(n.entry))
 	n.httpServer(ctx, g, probes, n.platform.ProbeHandler(n.entry))
-	n.httpServer(ctx, g, ops, n.ops())
-	g.Go(func() error { return n.shutdown(ctx, stop, door, end) })
+	n.httpServer(ctx, g, ops, n.opsHandler())
+	g.Go(func() error { return n.shutdown(ctx, stop, callerServer, exit) })
 	return nil
 }
 
 func (n *Node) httpServer(ctx context.Context, g *errgroup.Group, l net.Listener, h http.Handler) *http.Server {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ErrorLog: nil}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: nil}
 	g.Go(func() error {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			return err
@@ -259,55 +264,55 @@
 	return srv
 }
 
-// shutdown follows a planned stop: the balancer is told, the seat given up,
-// and what has been taken is answered.
-func (n *Node) shutdown(ctx context.Context, stop <-chan struct{}, door *http.Server, end context.CancelFunc) error {
+// shutdown handles a planned stop: it fails the readiness probes, resigns
+// ownership and waits for the calls in flight.
+func (n *Node) shutdown(ctx context.Context, stop <-chan struct{}, callerServer *http.Server, exit context.CancelFunc) error {
 	select {
 	case <-ctx.Done():
 		return nil
 	case <-stop:
 	}
-	began := time.Now()
-	log := n.part("node")
+	start := time.Now()
+	log := n.logger("node")
 	log.Info("stopping")
 	grace := time.Duration(n.grace.Load())
 	n.entry.Drain()
 	n.owner.Drain()
-	// Each further answer closes its connection.
-	door.SetKeepAlivesEnabled(false)
+	// Without keep-alives, each further response closes its connection.
+	callerServer.SetKeepAlivesEnabled(false)
 	clock.Sleep(ctx, min(drainTime, grace/2))
-	limit, cancel := context.WithTimeout(ctx, max(grace-exitSlack-time.Since(began), exitSlack))
+	deadline, cancel := context.WithTimeout(ctx, max(grace-exitReserve-time.Since(start), exitReserve))
 	defer cancel()
-	if err := door.Shutdown(limit); err != nil {
-		log.WithError(err).WithField("calls", n.entry.InFlight()).Warn("calls left")
+	if err := callerServer.Shutdown(deadline); err != nil {
+		log.WithError(err).WithField("calls", n.entry.InFlight()).Warn("calls still in flight at the deadline")
 	}
 	select {
 	case <-n.owner.Drained():
-	case <-limit.Done():
+	case <-deadline.Done():
 	}
-	log.WithField("took", time.Since(began).Round(time.Millisecond).String()).Info("stopped")
-	end()
+	log.WithField("took", time.Since(start).Round(time.Millisecond).String()).Info("stopped")
+	exit()
 	return nil
 }
 
-// watchPolicy follows the configuration.
+// watchPolicy reads the configuration and applies its changes.
 func (n *Node) watchPolicy(ctx context.Context) error {
-	log := n.part("config")
+	log := n.logger("config")
 	for ctx.Err() == nil {
-		p, version, err := n.lists.Policy(ctx)
+		p, version, err := n.lister.Policy(ctx)
 		if err != nil {
-			log.WithError(err).Warn("configuration not read")
-			clock.Sleep(ctx, policyPause)
+			log.WithError(err).Warn("configuration could not be read")
+			clock.Sleep(ctx, policyRetryDelay)
 			continue
 		}
 		n.setPolicy(p)
 		for ctx.Err() == nil {
-			p, version, err = n.lists.Changed(ctx, version, policyWait)
+			p, version, err = n.lister.Changed(ctx, version, policyWait)
 			if err != nil {
-				var trimmed *table.CompactedError
-				if !errors.As(err, &trimmed) {
-					log.WithError(err).Warn("configuration not followed")
-					clock.Sleep(ctx, policyPause)
+				var compacted *table.CompactedError
+				if !errors.As(err, &compacted) {
+					log.WithError(err).Warn("configuration change could not be read")
+					clock.Sleep(ctx, policyRetryDelay)
 				}
 				break
 			}
@@ -317,24 +322,26 @@
 	return nil
 }
 
+// setPolicy applies a configuration unless it is nil or not newer than the
+// current one.
 func (n *Node) setPolicy(p *policy.Policy) {
 	if p == nil {
 		return
 	}
-	old := n.entry.Version()
+	last := n.entry.Version()
 	n.entry.SetPolicy(p)
-	if p.Version > old {
+	if p.Version > last {
 		n.owner.SetPolicy(p)
-		n.part("config").WithFields(logrus.Fields{"version": p.Version, "last": old}).Info("configuration in force")
+		n.logger("config").WithFields(logrus.Fields{"version": p.Version, "last": last}).Info("configuration in force")
 	}
 }
 
-// ops returns the operators' pages.
-func (n *Node) ops() http.Handler {
+// opsHandler returns the HTTP handler for operators.
+func (n *Node) opsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
-		metrics.GetOrCreateCounter("chicoryturn_log_lines_dropped_total").Set(n.spool.Dropped())
+		metrics.GetOrCreateCounter("chicoryturn_log_lines_dropped_total").Set(n.logBuf.Dropped())
 		metrics.WritePrometheus(w, true)
 	})
 	mux.HandleFunc("GET /dump", func(w http.ResponseWriter, r *http.Request) {
@@ -344,7 +351,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// An error here means that the reader has gone.
+		// An error means that the client has disconnected.
 		_ = json.NewEncoder(w).Encode(d)
 	})
 	return mux
--- a/io/node/ownerlink.go
+++ b/io/node/ownerlink.go
@@ -14,98 +14,98 @@
 	"chicoryturn/io/table"
 )
 
-// desk brings what the entry has for the owner to it: across the link, or
+// ownerLink passes the entry's messages to the owner: over the link, or
 // directly if this process is the owner.
-type desk struct {
-	vm    string
-	owner *owner.Owner
-	link  *link.Client
-	rpc   *link.Server
-	mine  atomic.Bool
+type ownerLink struct {
+	vm      string
+	owner   *owner.Owner
+	client  *link.Client
+	server  *link.Server
+	isOwner atomic.Bool
 }
 
-// Forward implements relay.Carrier.
-func (d *desk) Forward(ctx context.Context, c table.Call) (table.Outcome, error) {
-	if d.mine.Load() {
-		return d.rpc.Forward(ctx, c)
+// Forward implements relay.Forwarder.
+func (l *ownerLink) Forward(ctx context.Context, c table.Call) (table.Outcome, error) {
+	if l.isOwner.Load() {
+		return l.server.Forward(ctx, c)
 	}
-	return d.link.Forward(ctx, c)
+	return l.client.Forward(ctx, c)
 }
 
-// Accepted implements entry.Link.
-func (d *desk) Accepted(spec jobs.Spec, asking bool) {
-	if !d.mine.Load() {
-		d.link.Accepted(spec, asking)
+// Accepted implements entry.OwnerLink.
+func (l *ownerLink) Accepted(spec jobs.Spec, requestsAdvice bool) {
+	if !l.isOwner.Load() {
+		l.client.Accepted(spec, requestsAdvice)
 		return
 	}
-	from := ""
-	if asking {
-		from = d.vm
+	requester := ""
+	if requestsAdvice {
+		requester = l.vm
 	}
-	d.owner.Accepted(spec, from)
+	l.owner.Accepted(spec, requester)
 }
 
-// Advised implements entry.Link.
-func (d *desk) Advised(r advice.Result) {
-	if d.mine.Load() {
-		d.owner.AdviceReceived(d.vm, r)
+// Advised implements entry.OwnerLink.
+func (l *ownerLink) Advised(r advice.Result) {
+	if l.isOwner.Load() {
+		l.owner.AdviceReceived(l.vm, r)
 		return
 	}
-	d.link.Advised(r)
+	l.client.Advised(r)
 }
 
-// Connected implements entry.Link.
-func (d *desk) Connected() bool {
-	if d.mine.Load() {
-		return d.rpc.Joined()
+// Connected implements entry.OwnerLink.
+func (l *ownerLink) Connected() bool {
+	if l.isOwner.Load() {
+		return l.server.HasPeers()
 	}
-	return d.link.Connected()
+	return l.client.Connected()
 }
 
-// Cancelled implements entry.Link.
-func (d *desk) Cancelled(id core.JobID) {
-	if d.mine.Load() {
-		d.owner.Cancelled(id)
+// Cancelled implements entry.OwnerLink.
+func (l *ownerLink) Cancelled(id core.JobID) {
+	if l.isOwner.Load() {
+		l.owner.Cancelled(id)
 		return
 	}
-	d.link.Cancelled(id)
+	l.client.Cancelled(id)
 }
 
-// State implements entry.Link.
-func (d *desk) State(ctx context.Context, id core.JobID) (jobs.State, bool, error) {
-	if !d.mine.Load() {
-		return d.link.State(ctx, id)
+// State implements entry.OwnerLink.
+func (l *ownerLink) State(ctx context.Context, id core.JobID) (jobs.State, bool, error) {
+	if !l.isOwner.Load() {
+		return l.client.State(ctx, id)
 	}
-	s, known, mine, err := d.owner.State(ctx, id)
-	return s, known && mine, err
+	state, known, isOwner, err := l.owner.State(ctx, id)
+	return state, known && isOwner, err
 }
 
-// Pending implements entry.Link.
-func (d *desk) Pending(ctx context.Context, q core.Queue) (int, bool, error) {
-	if !d.mine.Load() {
-		return d.link.Pending(ctx, q)
+// Pending implements entry.OwnerLink.
+func (l *ownerLink) Pending(ctx context.Context, q core.Queue) (int, bool, error) {
+	if !l.isOwner.Load() {
+		return l.client.Pending(ctx, q)
 	}
-	return d.owner.Pending(ctx, q)
+	return l.owner.Pending(ctx, q)
 }
 
-// local is the process's own turn at the placement policy.
-type local struct {
-	vm    string
-	guide *advice.Client
-	owner *owner.Owner
-	entry *entry.Entry
+// localPeer makes the owner's advice requests on the owner's own VM.
+type localPeer struct {
+	vm     string
+	advice *advice.Client
+	owner  *owner.Owner
+	entry  *entry.Entry
 }
 
 // Name implements owner.Peer.
-func (l *local) Name() string { return l.vm }
+func (l *localPeer) Name() string { return l.vm }
 
 // RequestAdvice implements owner.Peer.
-func (l *local) RequestAdvice(a fleet.AdviceRequest) {
-	l.guide.Request(a, func(r advice.Result) { l.owner.AdviceReceived(l.vm, r) })
+func (l *localPeer) RequestAdvice(a fleet.AdviceRequest) {
+	l.advice.Request(a, func(r advice.Result) { l.owner.AdviceReceived(l.vm, r) })
 }
 
 // RoomHint implements owner.Peer.
-func (l *local) RoomHint(ids []core.WorkerID) { l.entry.SetRoomHint(ids) }
+func (l *localPeer) RoomHint(ids []core.WorkerID) { l.entry.SetRoomHint(ids) }
 
 // OwnerResigned implements owner.Peer.
-func (*local) OwnerResigned() {}
+func (*localPeer) OwnerResigned() {}
--- a/io/node/reload.go
+++ b/io/node/reload.go
@@ -7,42 +7,43 @@
 	"github.com/sirupsen/logrus"
 )
 
-// watchSettings follows changes of the settings, told by a signal or not.
-// Settings that cannot be read change nothing.
+// watchSettings applies changes of the settings, which it reads after a signal
+// and every settingsInterval. Settings that cannot be read change nothing; each
+// such error is logged once.
 func (n *Node) watchSettings(ctx context.Context) error {
-	look := time.NewTicker(settingsPause)
-	defer look.Stop()
-	known, told := n.settings, ""
+	ticker := time.NewTicker(settingsInterval)
+	defer ticker.Stop()
+	current, lastError := n.settings, ""
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-n.platform.ReloadSignal:
-			n.part("node").Info("asked to read the settings again")
-		case <-look.C:
+			n.logger("node").Info("reload signal received")
+		case <-ticker.C:
 		}
-		s, err := n.platform.Settings()
+		changed, err := n.platform.Settings()
 		switch {
-		case err != nil && err.Error() != told:
-			told = err.Error()
-			n.part("node").WithError(err).Error("settings not read; the last ones stay in force")
-		case err == nil && s != known:
-			n.apply(known, s)
-			known, told = s, ""
+		case err != nil && err.Error() != lastError:
+			lastError = err.Error()
+			n.logger("node").WithError(err).Error("settings could not be read; the last ones stay in force")
+		case err == nil && changed != current:
+			n.applySettings(current, changed)
+			current, lastError = changed, ""
 		}
 	}
 }
 
-// apply puts changed settings in force. Addresses and names stay as they are
-// until the process starts again.
-func (n *Node) apply(old, s Settings) {
+// applySettings applies changed settings. Addresses and names take effect only
+// after a restart.
+func (n *Node) applySettings(old, s Settings) {
 	n.grace.Store(int64(s.Grace))
 	n.owner.SetLimits(s.Limits)
 	if level, err := logrus.ParseLevel(s.Level); err == nil {
 		n.log.SetLevel(level)
 	}
 	old.Limits, old.Grace, old.Level = s.Limits, s.Grace, s.Level
-	n.part("node").WithFields(logrus.Fields{
+	n.logger("node").WithFields(logrus.Fields{
 		"lease": s.Limits.Lease.String(), "grace": s.Grace.String(), "level": s.Level, "restart": old != s,
 	}).Info("settings in force")
 }
--- a/io/node/settings.go
+++ b/io/node/settings.go
@@ -1,5 +1,6 @@
-// Package node assembles the process that runs on every VM: the clients' door,
-// the watch over the seat and, while it holds it, the owner of the fleet.
+// Package node assembles the process that runs on every VM: the servers for
+// clients, probes, other VMs and operators, the leader election and, on the VM
+// that is elected, the owner of the fleet.
 package node
 
 import (
@@ -10,23 +11,23 @@
 	"chicoryturn/core/fleet"
 )
 
-// Settings are what a process is told about itself.
+// Settings configure one process.
 type Settings struct {
-	// VM names the VM.
+	// VM is the name of the process's VM.
 	VM     string
 	Zone   core.Zone
 	Region core.Region
-	// Callers and Probes are where clients and readiness probes come in; Peers
-	// is where other VMs do, Ops where operators do.
+	// Callers, Probes, Peers and Ops are the addresses for clients, readiness
+	// probes, other VMs and operators.
 	Callers, Probes, Peers, Ops netip.AddrPort
-	// CoreShare is the part of a core that the process may use, Memory the bytes,
-	// Link the megabits a second of the VM's network; 0 means not told.
+	// CoreShare is the share of a core that the process may use, Memory its
+	// limit in bytes and LinkMbps the VM's network bandwidth; 0 means not set.
 	CoreShare float64
 	Memory    int64
 	LinkMbps  float64
 	Limits    fleet.Limits
-	// Grace is the time between the order to stop and the end by force.
+	// Grace is the time between the order to stop and a forced stop.
 	Grace time.Duration
-	// Level is the least severe level that is logged.
+	// Level is the lowest log level that is written.
 	Level string
 }
