--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay reaches the platform's table through another VM while the
-// table turns this one away.
+// Package relay sends table calls through another VM while direct calls from
+// this VM fail.
 package relay
 
 import (
@@ -12,186 +12,195 @@
 )
 
 const (
-	// detour is how long calls go through another VM after a direct one has
-	// failed; then a direct one is tried again.
-	detour = time.Second
-	// quick bounds the direct call that is tried while others take the detour.
-	quick = 300 * time.Millisecond
-	// awayAfter is for how long the table must not have been heard of before calls
-	// to it are taken to be useless: twice the time of an answer when it is slow.
-	awayAfter = time.Second
-	// linger is how long an answer is still listened for when its caller has given
-	// up: it tells a slow table from one that turns this VM away.
-	linger = 3 * time.Second
+	// relayPeriod is how long calls go through another VM after a direct call
+	// has failed. Then one direct call is tried.
+	relayPeriod = time.Second
+	// trialTimeout bounds a direct read that is tried while other calls are
+	// relayed.
+	trialTimeout = 300 * time.Millisecond
+	// unreachableAfter is how long calls must have failed without any answer
+	// before the table counts as unreachable: twice the answer time of a slow
+	// table.
+	unreachableAfter = time.Second
+	// lateAnswerTimeout is how long a direct call still waits for an answer
+	// after its caller's deadline. A late answer shows that the table is slow
+	// and not that it rejects this VM.
+	lateAnswerTimeout = 3 * time.Second
 )
 
-// Forwarder has another VM carry out a call. The error is a RelayError if none
+// Forwarder forwards a call to another VM. The error is a RelayError if no VM
 // could be asked.
 type Forwarder interface {
 	Forward(ctx context.Context, c table.Call) (table.Outcome, error)
 }
 
-// Store is the table, reached directly or through another VM.
+// Store is a table client that calls the table directly or through another VM.
 type Store struct {
-	direct  table.Client
-	carrier Forwarder
-	clock   func() time.Time
+	direct    table.Client
+	forwarder Forwarder
+	clock     func() time.Time
 
-	// mu guards what the traffic goroutines share.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// until is how long calls take the detour; it is zero while direct calls
-	// are answered.
-	until time.Time
-	// dealt is when the table last dealt with a direct call.
-	dealt time.Time
-	// answered is when the table was last heard of on either way, failing the
-	// start of the first call since then that had no answer.
-	answered, failing time.Time
-	// Relayed counts the calls carried out by other VMs.
+	// relayUntil is the time until which calls are relayed; it is zero while
+	// direct calls succeed.
+	relayUntil time.Time
+	// directAnsweredAt is when the table last processed a direct call.
+	directAnsweredAt time.Time
+	// answeredAt is when the table last answered a call, direct or relayed.
+	// unansweredSince is the start of the first call after that without an
+	// answer; it is zero if there is none.
+	answeredAt, unansweredSince time.Time
+	// relayed counts the calls that other VMs have made.
 	relayed uint64
 }
 
-// Option changes a store under construction.
+// Option configures a store.
 type Option func(*Store)
 
-// WithClock sets the clock.
+// WithClock sets the function that returns the current time.
 func WithClock(now func() time.Time) Option { return func(s *Store) { s.clock = now } }
 
-// New returns a store that calls directly while it can.
-func New(direct table.Client, c Forwarder, opts ...Option) *Store {
-	s := &Store{direct: direct, carrier: c, clock: time.Now}
+// New returns a store that makes direct calls until one fails.
+func New(direct table.Client, f Forwarder, opts ...Option) *Store {
+	s := &Store{direct: direct, forwarder: f, clock: time.Now}
 	for _, o := range opts {
 		o(s)
 	}
 	return s
 }
 
-// Relayed returns how many calls other VMs have carried out.
+// Relayed returns how many calls other VMs have made.
 func (s *Store) Relayed() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.relayed
 }
 
-// Unreachable reports whether the table cannot be reached on either way.
+// Unreachable reports whether the table answers neither direct nor relayed
+// calls.
 func (s *Store) Unreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.failing.IsZero() && s.clock().Sub(s.failing) > awayAfter
+	return !s.unansweredSince.IsZero() && s.clock().Sub(s.unansweredSince) > unreachableAfter
 }
 
-// heard takes in whether a call that began at a time had an answer of the table.
-func (s *Store) heard(began time.Time, o table.Outcome) {
+// updateReachability records whether the table answered a call that began at a
+// time.
+func (s *Store) updateReachability(began time.Time, o table.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case o.Answered():
-		s.answered, s.failing = s.clock(), time.Time{}
-	case s.failing.IsZero() && began.After(s.answered):
-		s.failing = began
+		s.answeredAt, s.unansweredSince = s.clock(), time.Time{}
+	case s.unansweredSince.IsZero() && began.After(s.answeredAt):
+		s.unansweredSince = began
 	}
 }
 
-// route says whether the next call goes directly, and whether it is the one
-// that tries whether direct calls are answered again.
-func (s *Store) route() (direct, trial bool) {
+// route reports whether the next call should be direct, and whether it is the
+// trial call that tests the direct route after relayPeriod.
+func (s *Store) route() (isDirect, isTrial bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
 	switch {
-	case s.until.IsZero():
+	case s.relayUntil.IsZero():
 		return true, false
-	case now.Before(s.until):
+	case now.Before(s.relayUntil):
 		return false, false
 	}
-	// Others take the detour until the trial has ended.
-	s.until = now.Add(detour)
+	// Other calls are relayed until the trial has ended.
+	s.relayUntil = now.Add(relayPeriod)
 	return true, true
 }
 
-// learn takes in the result of a direct call that began at a time. A failure shows
-// nothing if the table has dealt with another call since then: it is slow, or
-// refuses some calls of every VM.
-func (s *Store) learn(began time.Time, err error) {
+// updateRoute records the result of a direct call that began at a time. It
+// ignores a failure if the table has processed another direct call since then:
+// the table is slow, or refuses some calls of every VM.
+func (s *Store) updateRoute(began time.Time, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case !turnedAway(err):
-		s.until, s.dealt = time.Time{}, s.clock()
-	case !s.dealt.After(began):
-		s.until = s.clock().Add(detour)
+	case !refusedOrUnanswered(err):
+		s.relayUntil, s.directAnsweredAt = time.Time{}, s.clock()
+	case !s.directAnsweredAt.After(began):
+		s.relayUntil = s.clock().Add(relayPeriod)
 	}
 }
 
-// turnedAway reports whether the table has not dealt with a call.
-func turnedAway(err error) bool {
+// refusedOrUnanswered reports whether err means that the table refused a call
+// or did not answer it.
+func refusedOrUnanswered(err error) bool {
 	var refused *table.RefusedError
-	var down *table.UnansweredError
-	return errors.As(err, &refused) || errors.As(err, &down)
+	var unanswered *table.UnansweredError
+	return errors.As(err, &refused) || errors.As(err, &unanswered)
 }
 
-// Serve carries out a call of another VM on either way.
-func (s *Store) Serve(ctx context.Context, c table.Call) table.Outcome { return s.do(ctx, c) }
+// Serve makes a call for another VM, directly or through a third one.
+func (s *Store) Serve(ctx context.Context, c table.Call) table.Outcome { return s.execute(ctx, c) }
 
-// ServeDirect carries out a call of another VM on this VM's own way, or not at all
-// while that is not answered.
+// ServeDirect makes a call for another VM directly. It does not send the call
+// while this VM's own calls are relayed.
 func (s *Store) ServeDirect(ctx context.Context, c table.Call) table.Outcome {
-	direct, trial := s.route()
-	if !direct {
+	isDirect, isTrial := s.route()
+	if !isDirect {
 		return table.NotSent()
 	}
 	began := s.clock()
-	o := s.try(ctx, c, trial)
-	s.heard(began, o)
+	o := s.callDirect(ctx, c, isTrial)
+	s.updateReachability(began, o)
 	return o
 }
 
-// do carries out a call and learns whether the table can be reached.
-func (s *Store) do(ctx context.Context, c table.Call) table.Outcome {
+// execute makes a call on the current route and records whether the table
+// answered.
+func (s *Store) execute(ctx context.Context, c table.Call) table.Outcome {
 	began := s.clock()
-	o := s.send(ctx, c)
-	s.heard(began, o)
+	o := s.sendRouted(ctx, c)
+	s.updateReachability(began, o)
 	return o
 }
 
-// send carries out a call on one of the two ways.
-func (s *Store) send(ctx context.Context, c table.Call) table.Outcome {
-	direct, trial := s.route()
-	if !direct {
-		if o, err := s.carry(ctx, c); err == nil {
+// sendRouted makes a call directly or through another VM.
+func (s *Store) sendRouted(ctx context.Context, c table.Call) table.Outcome {
+	isDirect, isTrial := s.route()
+	if !isDirect {
+		if o, err := s.callRelayed(ctx, c); err == nil {
 			return o
 		}
-		// Nobody can be asked.
-		return s.try(ctx, c, false)
+		// No other VM could be asked.
+		return s.callDirect(ctx, c, false)
 	}
-	o := s.try(ctx, c, trial)
-	if detours(c, o, trial) {
-		if other, err := s.carry(ctx, c); err == nil {
-			return other
+	o := s.callDirect(ctx, c, isTrial)
+	if relayAtOnce(c, o, isTrial) {
+		if relayed, err := s.callRelayed(ctx, c); err == nil {
+			return relayed
 		}
 	}
 	return o
 }
 
-// try makes a direct call; a trial read gives up early. A call that is given up
-// goes on for a while, so that a late answer ends the detour.
-func (s *Store) try(ctx context.Context, c table.Call, trial bool) table.Outcome {
-	if trial && c.Write == nil {
+// callDirect makes a direct call; a trial read has a short time-out. After the
+// caller's deadline the call continues for a while, so that a late answer ends
+// the relaying.
+func (s *Store) callDirect(ctx context.Context, c table.Call, isTrial bool) table.Outcome {
+	if isTrial && c.Write == nil {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, quick)
+		ctx, cancel = context.WithTimeout(ctx, trialTimeout)
 		defer cancel()
 	}
-	long, cancel := context.WithTimeout(context.WithoutCancel(ctx), linger)
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lateAnswerTimeout)
 	began := s.clock()
 	out := make(chan table.Outcome, 1)
 	go func() {
 		defer cancel()
-		o := table.Do(long, s.direct, c)
-		late := ctx.Err() != nil
+		o := table.Do(callCtx, s.direct, c)
+		afterDeadline := ctx.Err() != nil
 		out <- o
-		if late && !turnedAway(o.Err()) {
-			s.learn(began, nil)
-			s.heard(began, o)
+		if afterDeadline && !refusedOrUnanswered(o.Err()) {
+			s.updateRoute(began, nil)
+			s.updateReachability(began, o)
 			table.ReportLate(ctx, s.clock().Sub(began), o)
 		}
 	}()
@@ -201,26 +210,27 @@
 	case <-ctx.Done():
 		o = table.Outcome{NoAnswer: ctx.Err().Error()}
 		if errors.Is(ctx.Err(), context.Canceled) {
-			// The caller has left.
+			// The caller no longer wants the result.
 			cancel()
 		}
 	}
-	s.learn(began, o.Err())
+	s.updateRoute(began, o.Err())
 	return o
 }
 
-// detours reports whether a call that has failed directly is carried on at once:
-// one that was surely refused, and a trial read. Any other without answer is
-// left to its caller; a write may have taken effect.
-func detours(c table.Call, o table.Outcome, trial bool) bool {
+// relayAtOnce reports whether a failed direct call is relayed at once: a
+// refused call or a trial read. The caller decides about any other call without
+// an answer, since a write may have taken effect.
+func relayAtOnce(c table.Call, o table.Outcome, isTrial bool) bool {
 	if o.NoAnswer != "" {
-		return trial && c.Write == nil
+		return isTrial && c.Write == nil
 	}
-	return turnedAway(o.Err())
+	return refusedOrUnanswered(o.Err())
 }
 
-func (s *Store) carry(ctx context.Context, c table.Call) (table.Outcome, error) {
-	o, err := s.carrier.Forward(ctx, c)
+// callRelayed makes a call through another VM.
+func (s *Store) callRelayed(ctx context.Context, c table.Call) (table.Outcome, error) {
+	o, err := s.forwarder.Forward(ctx, c)
 	if err == nil {
 		s.mu.Lock()
 		s.relayed++
@@ -229,27 +239,27 @@
 	return o, err
 }
 
-// Write implements table.Doer.
+// Write implements table.Client.
 func (s *Store) Write(ctx context.Context, t table.Txn) (table.Done, error) {
-	o := s.do(ctx, table.Call{Write: &t})
+	o := s.execute(ctx, table.Call{Write: &t})
 	if err := o.Err(); err != nil {
 		return table.Done{}, err
 	}
 	return *o.Done, nil
 }
 
-// Read implements table.Doer.
+// Read implements table.Client.
 func (s *Store) Read(ctx context.Context, r table.Range) (table.Page, error) {
-	o := s.do(ctx, table.Call{Read: &r})
+	o := s.execute(ctx, table.Call{Read: &r})
 	if err := o.Err(); err != nil {
 		return table.Page{}, err
 	}
 	return *o.Page, nil
 }
 
-// Feed implements table.Doer.
+// Feed implements table.Client.
 func (s *Store) Feed(ctx context.Context, f table.Since) (table.Changes, error) {
-	o := s.do(ctx, table.Call{Feed: &f})
+	o := s.execute(ctx, table.Call{Feed: &f})
 	if err := o.Err(); err != nil {
 		return table.Changes{}, err
 	}
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -14,47 +14,49 @@
 	"chicoryturn/io/table"
 )
 
-// fake is a table that answers with an error, or with a version.
-type fake struct {
+// fakeTable answers each call with an error or a version.
+type fakeTable struct {
 	err     error
 	version uint64
 	calls   int
 }
 
-func (f *fake) Write(context.Context, table.Txn) (table.Done, error) {
+func (f *fakeTable) Write(context.Context, table.Txn) (table.Done, error) {
 	f.calls++
 	return table.Done{Version: f.version}, f.err
 }
 
-func (f *fake) Read(context.Context, table.Range) (table.Page, error) {
+func (f *fakeTable) Read(context.Context, table.Range) (table.Page, error) {
 	f.calls++
 	return table.Page{Version: f.version}, f.err
 }
 
-func (f *fake) Feed(context.Context, table.Since) (table.Changes, error) {
+func (f *fakeTable) Feed(context.Context, table.Since) (table.Changes, error) {
 	f.calls++
 	return table.Changes{Version: f.version}, f.err
 }
 
-// other is another VM, reached by JSON as over a link.
-type other struct {
-	table *fake
-	gone  bool
+// otherVM is a VM that makes forwarded calls. It converts them to JSON and
+// back, as a link does.
+type otherVM struct {
+	table       *fakeTable
+	unreachable bool
 }
 
-func (o *other) Forward(ctx context.Context, c table.Call) (table.Outcome, error) {
-	if o.gone {
-		return table.Outcome{}, &table.RelayError{Reason: "gone"}
+func (o *otherVM) Forward(ctx context.Context, c table.Call) (table.Outcome, error) {
+	if o.unreachable {
+		return table.Outcome{}, &table.RelayError{Reason: "the other VM is unreachable"}
 	}
 	var call table.Call
 	var out table.Outcome
-	if err := pass(c, &call); err != nil {
+	if err := copyJSON(c, &call); err != nil {
 		return out, err
 	}
-	return out, pass(table.Do(ctx, o.table, call), &out)
+	return out, copyJSON(table.Do(ctx, o.table, call), &out)
 }
 
-func pass(from, to any) error {
+// copyJSON copies a value to another through its JSON encoding.
+func copyJSON(from, to any) error {
 	text, err := json.Marshal(from)
 	if err != nil {
 		return err
@@ -62,19 +64,21 @@
 	return json.Unmarshal(text, to)
 }
 
-func TestDetour(t *testing.T) {
+// TestRelay checks which calls are relayed after a direct call has failed, and
+// that the errors of relayed calls keep their types.
+func TestRelay(t *testing.T) {
 	ctx := context.Background()
-	refused, down := &table.RefusedError{Status: 503}, &table.UnansweredError{Err: context.DeadlineExceeded}
+	refused, unanswered := &table.RefusedError{Status: 503}, &table.UnansweredError{Err: context.DeadlineExceeded}
 	now := time.Date(2026, 12, 4, 6, 0, 0, 0, time.UTC)
 
-	t.Run("refused here, answered there", func(t *testing.T) {
+	t.Run("refused directly, answered through another VM", func(t *testing.T) {
 		is := is.New(t)
-		direct, there := &fake{err: refused}, &other{table: &fake{version: 7}}
-		s := relay.New(direct, there, relay.WithClock(func() time.Time { return now }))
+		direct, other := &fakeTable{err: refused}, &otherVM{table: &fakeTable{version: 7}}
+		s := relay.New(direct, other, relay.WithClock(func() time.Time { return now }))
 		v, err := s.Write(ctx, table.Txn{})
 		is.NoErr(err)
 		is.Equal(v.Version, uint64(7))
-		// Further calls do not try this VM's way for a while.
+		// Further calls are relayed without a direct attempt for a while.
 		_, err = s.Read(ctx, table.Range{})
 		is.NoErr(err)
 		is.Equal(direct.calls, 1)
@@ -85,101 +89,102 @@
 		is.Equal(p.Version, uint64(9))
 		is.Equal(s.Relayed(), uint64(2))
 	})
-	t.Run("a write without answer is left to its caller", func(t *testing.T) {
+	t.Run("a write without an answer is not relayed", func(t *testing.T) {
 		is := is.New(t)
-		there := &other{table: &fake{version: 7}}
-		s := relay.New(&fake{err: down}, there)
+		other := &otherVM{table: &fakeTable{version: 7}}
+		s := relay.New(&fakeTable{err: unanswered}, other)
 		_, err := s.Write(ctx, table.Txn{})
-		var d *table.UnansweredError
-		is.True(errors.As(err, &d))
-		is.Equal(there.table.calls, 0)
-		_, err = s.Write(ctx, table.Txn{}) // the next one takes the detour
+		var noAnswer *table.UnansweredError
+		is.True(errors.As(err, &noAnswer))
+		is.Equal(other.table.calls, 0)
+		_, err = s.Write(ctx, table.Txn{}) // the next write is relayed
 		is.NoErr(err)
 	})
-	t.Run("refused everywhere", func(t *testing.T) {
+	t.Run("refused directly and through another VM", func(t *testing.T) {
 		is := is.New(t)
-		s := relay.New(&fake{err: refused}, &other{table: &fake{err: refused}})
+		s := relay.New(&fakeTable{err: refused}, &otherVM{table: &fakeTable{err: refused}})
 		_, err := s.Write(ctx, table.Txn{})
-		var r *table.RefusedError
-		is.True(errors.As(err, &r))
-		is.Equal(r.Status, 503)
+		var refusal *table.RefusedError
+		is.True(errors.As(err, &refusal))
+		is.Equal(refusal.Status, 503)
 	})
-	t.Run("conflicts and trimmed feeds keep their types", func(t *testing.T) {
+	t.Run("conflict and compaction errors keep their types", func(t *testing.T) {
 		is := is.New(t)
 		row := table.Row{Key: table.Key{Table: "t", Part: "p", Name: "n"}, Version: 4, Val: []byte("x")}
-		far := &fake{err: &table.ConflictError{Rows: []table.Row{row}}}
-		s := relay.New(&fake{err: refused}, &other{table: far})
+		remote := &fakeTable{err: &table.ConflictError{Rows: []table.Row{row}}}
+		s := relay.New(&fakeTable{err: refused}, &otherVM{table: remote})
 		_, err := s.Write(ctx, table.Txn{})
-		var c *table.ConflictError
-		is.True(errors.As(err, &c))
-		found, ok := c.Find(row.Key)
+		var conflict *table.ConflictError
+		is.True(errors.As(err, &conflict))
+		found, ok := conflict.Find(row.Key)
 		is.True(ok)
 		is.Equal(string(found.Val), "x")
-		far.err = &table.CompactedError{Version: 3}
+		remote.err = &table.CompactedError{Version: 3}
 		_, err = s.Feed(ctx, table.Since{})
-		var tr *table.CompactedError
-		is.True(errors.As(err, &tr))
+		var compacted *table.CompactedError
+		is.True(errors.As(err, &compacted))
 	})
-	t.Run("nobody else", func(t *testing.T) {
+	t.Run("no other VM", func(t *testing.T) {
 		is := is.New(t)
-		direct := &fake{version: 3}
-		s := relay.New(direct, &other{gone: true})
+		direct := &fakeTable{version: 3}
+		s := relay.New(direct, &otherVM{unreachable: true})
 		direct.err = refused
 		_, err := s.Write(ctx, table.Txn{})
 		is.True(err != nil)
 		direct.err = nil
-		_, err = s.Write(ctx, table.Txn{}) // no detour: the direct way is tried at once
+		_, err = s.Write(ctx, table.Txn{}) // the direct call is tried, since no VM can relay
 		is.NoErr(err)
 	})
 }
 
-// slow is a table that takes its time.
-type slow struct {
-	fake
+// slowTable answers writes after a delay.
+type slowTable struct {
+	fakeTable
 	mu    sync.Mutex
-	takes time.Duration
+	delay time.Duration
 }
 
-func (s *slow) Write(ctx context.Context, t table.Txn) (table.Done, error) {
+func (s *slowTable) Write(ctx context.Context, t table.Txn) (table.Done, error) {
 	select {
-	case <-time.After(s.takes):
+	case <-time.After(s.delay):
 	case <-ctx.Done():
 		return table.Done{}, &table.UnansweredError{Err: ctx.Err()}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fake.Write(ctx, t)
+	return s.fakeTable.Write(ctx, t)
 }
 
-// TestSlowTable plays a table that answers a write after its caller has given up:
-// the late answer ends the detour, and the caller learns how long it took.
+// TestSlowTable guards against relaying because the table is slow: the table
+// answers a write after its caller's deadline. The late answer must end the
+// relaying, and the late hook must receive the duration of the call.
 func TestSlowTable(t *testing.T) {
 	is := is.New(t)
-	direct, there := &slow{takes: 300 * time.Millisecond}, &other{table: &fake{}}
-	s := relay.New(direct, there)
+	direct, other := &slowTable{delay: 300 * time.Millisecond}, &otherVM{table: &fakeTable{}}
+	s := relay.New(direct, other)
 	late := make(chan time.Duration, 1)
 	ctx, cancel := context.WithTimeout(table.WithLateHook(context.Background(), func(took time.Duration, _ table.Outcome) { late <- took }), 100*time.Millisecond)
 	defer cancel()
 	_, err := s.Write(ctx, table.Txn{})
-	var d *table.UnansweredError
-	is.True(errors.As(err, &d))
+	var unanswered *table.UnansweredError
+	is.True(errors.As(err, &unanswered))
 	select {
 	case took := <-late:
-		is.True(took >= direct.takes)
+		is.True(took >= direct.delay)
 	case <-time.After(2 * time.Second):
-		t.Fatal("the late answer was not told")
+		t.Fatal("the late hook was not called")
 	}
 	_, err = s.Write(context.Background(), table.Txn{})
 	is.NoErr(err)
-	is.Equal(there.table.calls, 0)
+	is.Equal(other.table.calls, 0)
 }
 
-// TestBusyPartition plays a table that refuses one call while it answers others:
-// that call alone takes the detour.
+// TestBusyPartition guards against relaying all calls when the table refuses
+// one but answers others: only the refused call must be relayed.
 func TestBusyPartition(t *testing.T) {
 	is := is.New(t)
-	direct, there := &slow{takes: 300 * time.Millisecond}, &other{table: &fake{version: 7}}
-	s := relay.New(direct, there)
+	direct, other := &slowTable{delay: 300 * time.Millisecond}, &otherVM{table: &fakeTable{version: 7}}
+	s := relay.New(direct, other)
 	done := make(chan error, 1)
 	go func() {
 		_, err := s.Write(context.Background(), table.Txn{})
@@ -197,14 +202,15 @@
 	direct.mu.Unlock()
 	_, err = s.Read(context.Background(), table.Range{})
 	is.NoErr(err)
-	is.Equal(there.table.calls, 1)
+	is.Equal(other.table.calls, 1)
 }
 
-// TestCallerLeaves plays a caller that leaves: its call ends with it.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerCancels guards against a call that outlives a caller which cancels
+// its context.
+func TestCallerCancels(t *testing.T) {
 	is := is.New(t)
-	direct := &slow{takes: time.Hour}
-	s := relay.New(direct, &other{table: &fake{}})
+	direct := &slowTable{delay: time.Hour}
+	s := relay.New(direct, &otherVM{table: &fakeTable{}})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, cancel)
 	began := time.Now()
@@ -213,43 +219,44 @@
 	is.True(time.Since(began) < time.Second)
 }
 
-// TestAway tells a table that cannot be reached from one that refuses, and
-// notices at once when it answers again.
-func TestAway(t *testing.T) {
+// TestUnreachable distinguishes a table that cannot be reached from one that
+// refuses calls. The table must count as reachable again after one answer.
+func TestUnreachable(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	direct, far := &fake{}, &fake{}
-	s := relay.New(direct, &other{table: far}, relay.WithClock(func() time.Time { return now }))
+	direct, remote := &fakeTable{}, &fakeTable{}
+	s := relay.New(direct, &otherVM{table: remote}, relay.WithClock(func() time.Time { return now }))
 	read := func() {
 		_, _ = s.Read(context.Background(), table.Range{Table: "t"})
 		now = now.Add(400 * time.Millisecond)
 	}
 	read()
 	is.True(!s.Unreachable())
-	direct.err, far.err = &table.RefusedError{Status: 503}, &table.RefusedError{Status: 503}
+	direct.err, remote.err = &table.RefusedError{Status: 503}, &table.RefusedError{Status: 503}
 	for range 10 {
 		read()
-		is.True(!s.Unreachable()) // it refuses, so it is there
+		is.True(!s.Unreachable()) // a table that refuses calls is reachable
 	}
-	direct.err, far.err = &table.UnansweredError{Err: context.DeadlineExceeded}, &table.UnansweredError{Err: context.DeadlineExceeded}
+	direct.err, remote.err = &table.UnansweredError{Err: context.DeadlineExceeded}, &table.UnansweredError{Err: context.DeadlineExceeded}
 	read()
-	is.True(!s.Unreachable()) // one lost answer shows nothing
+	is.True(!s.Unreachable()) // one lost answer does not make the table unreachable
 	for range 4 {
 		read()
 	}
 	is.True(s.Unreachable())
-	far.err = nil
+	remote.err = nil
 	read()
 	is.True(!s.Unreachable())
 }
 
-// TestServeOwn has a VM that is turned away itself say so at once when another
-// asks it to carry a call.
-func TestServeOwn(t *testing.T) {
+// TestServeDirect guards against forwarding a call twice: a VM whose own calls
+// are relayed must return at once, without a call, when another VM forwards one
+// to it.
+func TestServeDirect(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	direct, far := &fake{version: 3}, &fake{version: 4}
-	s := relay.New(direct, &other{table: far}, relay.WithClock(func() time.Time { return now }))
+	direct, remote := &fakeTable{version: 3}, &fakeTable{version: 4}
+	s := relay.New(direct, &otherVM{table: remote}, relay.WithClock(func() time.Time { return now }))
 	call := table.Call{Read: &table.Range{Table: "t"}}
 	is.Equal(s.ServeDirect(context.Background(), call).Page.Version, uint64(3))
 	direct.err = &table.RefusedError{Status: 503}
--- a/io/table/call.go
+++ b/io/table/call.go
@@ -5,21 +5,22 @@
 	"errors"
 )
 
-// Client carries out calls of the table.
+// Client makes calls to the table.
 type Client interface {
 	Write(ctx context.Context, t Txn) (Done, error)
 	Read(ctx context.Context, r Range) (Page, error)
 	Feed(ctx context.Context, s Since) (Changes, error)
 }
 
-// Call is one call as it is handed to another VM; exactly one field is set.
+// Call is one table call, as it is forwarded to another VM. Exactly one field
+// is set.
 type Call struct {
 	Write *Txn   `json:",omitempty"`
 	Read  *Range `json:",omitempty"`
 	Feed  *Since `json:",omitempty"`
 }
 
-// Outcome is the result of a call that another VM has carried out.
+// Outcome is the result of a call that another VM has made.
 type Outcome struct {
 	Done          *Done           `json:",omitempty"`
 	Page          *Page           `json:",omitempty"`
@@ -27,35 +28,37 @@
 	RefusedStatus int             `json:"Refused,omitempty"`
 	Conflict      *ConflictError  `json:",omitempty"`
 	Compacted     *CompactedError `json:"Trimmed,omitempty"`
-	// NoAnswer says why nothing is known of the outcome.
+	// NoAnswer is the reason why the call has no answer; it may or may not have
+	// taken effect.
 	NoAnswer string `json:"Down,omitempty"`
 }
 
-// RelayError says why another VM could not carry out a call.
+// RelayError reports why another VM could not make a call.
 type RelayError struct{ Reason string }
 
 // Error implements error.
 func (e *RelayError) Error() string { return "relayed call: " + e.Reason }
 
-// unreached stands for the status of a call that found no connection.
-const unreached = -1
+// statusUnreachable is the RefusedStatus of a call for which no connection
+// could be made.
+const statusUnreachable = -1
 
-// Do carries out a call for another VM.
-func Do(ctx context.Context, d Client, c Call) Outcome {
+// Do makes a call for another VM.
+func Do(ctx context.Context, client Client, c Call) Outcome {
 	var o Outcome
 	var err error
 	switch {
 	case c.Write != nil:
 		var done Done
-		done, err = d.Write(ctx, *c.Write)
+		done, err = client.Write(ctx, *c.Write)
 		o.Done = &done
 	case c.Read != nil:
 		var p Page
-		p, err = d.Read(ctx, *c.Read)
+		p, err = client.Read(ctx, *c.Read)
 		o.Page = &p
 	case c.Feed != nil:
 		var ch Changes
-		ch, err = d.Feed(ctx, *c.Feed)
+		ch, err = client.Feed(ctx, *c.Feed)
 		o.Changes = &ch
 	}
 	if err != nil {
@@ -64,6 +67,7 @@
 	return o
 }
 
+// failure returns the outcome of a call that has failed with err.
 func failure(err error) Outcome {
 	var o Outcome
 	var refused *RefusedError
@@ -72,28 +76,28 @@
 	case errors.As(err, &refused) && refused.Status > 0:
 		o.RefusedStatus = refused.Status
 	case errors.As(err, &refused):
-		o.RefusedStatus = unreached
+		o.RefusedStatus = statusUnreachable
 	default:
 		o.NoAnswer = err.Error()
 	}
 	return o
 }
 
-// NotSent returns the outcome of a call that was surely not made.
-func NotSent() Outcome { return Outcome{RefusedStatus: unreached} }
+// NotSent returns the outcome of a call that was not sent.
+func NotSent() Outcome { return Outcome{RefusedStatus: statusUnreachable} }
 
-// Answered reports whether the table itself has dealt with or refused the call.
-func (o Outcome) Answered() bool { return o.NoAnswer == "" && o.RefusedStatus != unreached }
+// Answered reports whether the table processed or refused the call.
+func (o Outcome) Answered() bool { return o.NoAnswer == "" && o.RefusedStatus != statusUnreachable }
 
-// Err returns the error of a call that has failed.
+// Err returns the error of a failed call, or nil.
 func (o Outcome) Err() error {
 	switch {
 	case o.Conflict != nil:
 		return o.Conflict
 	case o.Compacted != nil:
 		return o.Compacted
-	case o.RefusedStatus == unreached:
-		return &RefusedError{Err: &RelayError{"the other VM does not reach the table"}}
+	case o.RefusedStatus == statusUnreachable:
+		return &RefusedError{Err: &RelayError{"the other VM cannot reach the table"}}
 	case o.RefusedStatus != 0:
 		return &RefusedError{Status: o.RefusedStatus}
 	case o.NoAnswer != "":
--- a/io/table/late.go
+++ b/io/table/late.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-type lateKey struct{}
+type lateHookKey struct{}
 
-// late is told of an answer that came when its caller had given up.
-type late func(took time.Duration, o Outcome)
+// lateHook is called with an answer that arrived after its caller's deadline.
+type lateHook func(took time.Duration, o Outcome)
 
-// WithLateHook has a function told of a call's answer, and how long it took, if it
-// comes after the context's deadline. Functions of outer contexts are told too.
+// WithLateHook returns a context whose calls report late answers: f is called
+// with the outcome of each answer that arrives after the context's deadline,
+// and with the duration of the call. The hooks of ctx are called, too.
 func WithLateHook(ctx context.Context, f func(took time.Duration, o Outcome)) context.Context {
 	outer := ctx
-	return context.WithValue(ctx, lateKey{}, late(func(took time.Duration, o Outcome) {
+	return context.WithValue(ctx, lateHookKey{}, lateHook(func(took time.Duration, o Outcome) {
 		f(took, o)
 		ReportLate(outer, took, o)
 	}))
 }
 
-// ReportLate tells those who have asked of a late answer.
+// ReportLate calls the context's hooks with a late answer.
 func ReportLate(ctx context.Context, took time.Duration, o Outcome) {
-	if f, ok := ctx.Value(lateKey{}).(late); ok {
+	if f, ok := ctx.Value(lateHookKey{}).(lateHook); ok {
 		f(took, o)
 	}
 }
--- a/io/table/table.go
+++ b/io/table/table.go
@@ -1,4 +1,4 @@
-// Package table describes the platform's transactional table as the product
+// Package table describes the platform's transactional table as this system
 // uses it: rows in tables and partitions, conditional transactions and a feed
 // of changes.
 package table
@@ -11,8 +11,8 @@
 // Key names a row.
 type Key struct{ Table, Part, Name string }
 
-// Row is one row with the version of its last change. A row that was dropped
-// has Gone set and no value.
+// Row is one row with the version of its last change. A deleted row has Deleted
+// set and no value.
 type Row struct {
 	Key
 	Val     []byte
@@ -20,7 +20,8 @@
 	Deleted bool `json:"Gone"`
 }
 
-// Check demands that a row still has a version; version 0 demands its absence.
+// Check is the condition that a row still has a version; version 0 means that
+// the row must not exist.
 type Check struct {
 	Key
 	Version uint64
@@ -32,27 +33,29 @@
 	Val []byte
 }
 
-// Txn is applied whole if every check holds, and not at all otherwise. All its
-// rows are in one partition.
+// Txn is a transaction: it is applied as a whole if every check holds, and not
+// at all otherwise. All its rows are in one partition.
 type Txn struct {
 	Checks  []Check
 	Puts    []Put
 	Deletes []Key `json:"Drops"`
 }
 
-// Page is a part of a table as of one moment.
+// Page is a consistent read of a part of a table.
 type Page struct {
 	Rows []Row
-	// More is set if there are rows after the last one.
+	// More is set if the range has further rows.
 	More bool
-	// Version is the newest version of the whole store, Now its steady clock.
+	// Version is the newest version of the whole store, Now the store's
+	// monotonic clock.
 	Version uint64
 	Now     time.Duration
 }
 
-// Done is a transaction that has been applied.
+// Done is the result of an applied transaction.
 type Done struct {
-	// Version is that of the rows written, Now the store's steady clock.
+	// Version is the version of the rows written, Now the store's monotonic
+	// clock.
 	Version uint64
 	Now     time.Duration
 }
@@ -60,14 +63,15 @@
 // Changes are the rows changed after a version.
 type Changes struct {
 	Rows []Row
-	// Version is where to continue.
+	// Version is the version from which the next call continues.
 	Version uint64
 }
 
-// Range selects rows of one partition by name; To is not included.
+// Range selects the rows of one partition whose names are at least From and
+// less than To.
 type Range struct {
 	Table, Part, From, To string
-	// Limit bounds the rows of one page; 0 leaves it to the platform.
+	// Limit bounds the rows of one page; 0 means the platform's own limit.
 	Limit int
 }
 
@@ -75,12 +79,12 @@
 type Since struct {
 	Table   string
 	Version uint64
-	// Wait is how long to wait for the first change.
+	// Wait bounds the wait for the first change.
 	Wait time.Duration
 }
 
-// UnansweredError reports a call without an answer. A write may have taken effect,
-// or may do so later if its checks still hold.
+// UnansweredError reports a call without an answer. A write may have taken
+// effect, and may still take effect if its checks hold.
 type UnansweredError struct{ Err error }
 
 // Error implements error.
@@ -89,7 +93,7 @@
 // Unwrap returns the cause.
 func (e *UnansweredError) Unwrap() error { return e.Err }
 
-// RefusedError reports a call that surely had no effect.
+// RefusedError reports a call that had no effect.
 type RefusedError struct {
 	// Status is the HTTP status, or 0 if no connection could be made.
 	Status int
@@ -107,14 +111,16 @@
 // Unwrap returns the cause.
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// ConflictError reports that a check has failed and nothing was written. Rows
-// holds the checked rows that exist.
+// ConflictError reports that a check failed and nothing was written. Rows holds
+// the checked rows that exist.
 type ConflictError struct{ Rows []Row }
 
 // Error implements error.
-func (e *ConflictError) Error() string { return fmt.Sprintf("%d checked rows differ", len(e.Rows)) }
+func (e *ConflictError) Error() string {
+	return fmt.Sprintf("a check failed; %d checked rows exist", len(e.Rows))
+}
 
-// Find returns the present form of a checked row.
+// Find returns the current state of a checked row, if the row exists.
 func (e *ConflictError) Find(k Key) (Row, bool) {
 	for _, r := range e.Rows {
 		if r.Key == k && !r.Deleted && r.Version > 0 {
@@ -124,12 +130,12 @@
 	return Row{}, false
 }
 
-// CompactedError reports that the changes asked for are no longer kept.
+// CompactedError reports that the feed no longer keeps the requested changes.
 type CompactedError struct{ Version uint64 }
 
 // Error implements error.
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("the changes after version %d are no longer kept", e.Version)
+	return fmt.Sprintf("the feed no longer keeps the changes after version %d", e.Version)
 }
 
 // FormatError reports a row or answer that cannot be read.
