--- a/io/adapt/adapt.go
+++ b/io/adapt/adapt.go
@@ -1,5 +1,5 @@
-// Package adapt bounds calls of the platform's table by how long its answers take, so
-// that a lost one is noticed soon and a slow one is waited for.
+// Package adapt sets the time-outs of table calls from the duration of earlier
+// ones, so that a lost answer is noticed early and a slow table is given time.
 package adapt
 
 import (
@@ -12,75 +12,79 @@
 )
 
 const (
-	// gain is the weight of the newest call in the mean.
-	gain = 0.2
-	// factor times the mean, and grace more, is how long a call waits
-	// for its answer.
-	factor = 6
-	grace  = 200 * time.Millisecond
-	// most bounds it while calls go without answer: a slow store takes some
-	// 0.65 s for a write.
-	most = 1300 * time.Millisecond
-	// slowFactor times the mean, and grace more, up to slowMost, is what a call
-	// waits at least: a slow store answers a partition's writes one after another,
-	// and a write that is made again queues behind the first. Clients wait some 3 s.
-	slowFactor = 3
-	slowMost   = 3 * time.Second
-	// readTries is how often a read without answer is made.
-	readTries = 3
+	// meanWeight is the weight of the newest call in the moving average.
+	meanWeight = 0.2
+	// The time-out is timeoutFactor times the mean duration, plus
+	// timeoutMargin.
+	timeoutFactor = 6
+	timeoutMargin = 200 * time.Millisecond
+	// maxTimeout bounds the time-out while it grows after calls without an
+	// answer: a slow store takes about 0.65 s for a write.
+	maxTimeout = 1300 * time.Millisecond
+	// The time-out is at least minTimeoutFactor times the mean, plus
+	// timeoutMargin, but this lower bound is at most maxMinTimeout. A slow
+	// store processes the writes of a partition one after another, and a
+	// retried write queues behind the first attempt. Clients wait about 3 s.
+	minTimeoutFactor = 3
+	maxMinTimeout    = 3 * time.Second
+	// readAttempts bounds the attempts of a read that has no answer.
+	readAttempts = 3
 )
 
-// Store is a table whose calls are bounded. It implements table.Doer.
+// Store is a table client with adaptive time-outs. It implements table.Client.
 type Store struct {
 	table       table.Client
-	write, read pace
+	write, read timeoutEstimator
 }
 
-// New returns a table with bounded calls.
+// New returns a client that calls t with adaptive time-outs.
 func New(t table.Client) *Store { return &Store{table: t} }
 
-// pace learns how long one kind of call takes.
-type pace struct {
+// timeoutEstimator estimates the time-out for one kind of call.
+type timeoutEstimator struct {
 	mu   sync.Mutex
 	mean time.Duration
-	// slack doubles the wait for each call in a row that had no answer.
-	slack int
+	// unanswered counts the calls in a row without an answer, up to 3; each
+	// doubles the time-out.
+	unanswered int
 }
 
-// limit returns how long the next call should wait for its answer.
-func (p *pace) limit() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	patient := min(slowFactor*p.mean+grace, slowMost)
-	return max(min((factor*p.mean+grace)<<p.slack, most), patient)
+// timeout returns the time-out of the next call.
+func (e *timeoutEstimator) timeout() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	lowest := min(minTimeoutFactor*e.mean+timeoutMargin, maxMinTimeout)
+	return max(min((timeoutFactor*e.mean+timeoutMargin)<<e.unanswered, maxTimeout), lowest)
 }
 
-// learn takes in one call.
-func (p *pace) learn(took time.Duration, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	var down *table.UnansweredError
-	if errors.As(err, &down) {
-		p.slack = min(p.slack+1, 3)
+// observe updates the estimate after a call. It ignores the duration of a call
+// without an answer.
+func (e *timeoutEstimator) observe(took time.Duration, err error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	var unanswered *table.UnansweredError
+	if errors.As(err, &unanswered) {
+		e.unanswered = min(e.unanswered+1, 3)
 		return
 	}
-	p.slack = 0
-	p.mean += time.Duration(gain * float64(took-p.mean))
+	e.unanswered = 0
+	e.mean += time.Duration(meanWeight * float64(took-e.mean))
 }
 
-// do makes one call within the limit. An answer that comes later still tells how
-// slow the store is.
-func (p *pace) do(ctx context.Context, call func(ctx context.Context) error) error {
-	ctx = table.WithLateHook(ctx, func(took time.Duration, _ table.Outcome) { p.learn(took, nil) })
-	ctx, cancel := context.WithTimeout(ctx, p.limit())
+// do makes one call with the current time-out. An answer that arrives after the
+// time-out still updates the mean.
+func (e *timeoutEstimator) do(ctx context.Context, call func(ctx context.Context) error) error {
+	ctx = table.WithLateHook(ctx, func(took time.Duration, _ table.Outcome) { e.observe(took, nil) })
+	ctx, cancel := context.WithTimeout(ctx, e.timeout())
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	err := call(ctx)
-	p.learn(time.Since(began), err)
+	e.observe(time.Since(start), err)
 	return err
 }
 
-// Write applies a transaction; without an answer its outcome is not known.
+// Write applies a transaction once; if there is no answer, the outcome is
+// unknown.
 func (s *Store) Write(ctx context.Context, t table.Txn) (done table.Done, err error) {
 	err = s.write.do(ctx, func(ctx context.Context) error {
 		done, err = s.table.Write(ctx, t)
@@ -89,22 +93,23 @@
 	return done, err
 }
 
-// Read reads a range, again if there is no answer.
+// Read reads a range, and retries if there is no answer.
 func (s *Store) Read(ctx context.Context, r table.Range) (page table.Page, err error) {
-	for range readTries {
+	for range readAttempts {
 		err = s.read.do(ctx, func(ctx context.Context) error {
 			page, err = s.table.Read(ctx, r)
 			return err
 		})
-		var down *table.UnansweredError
-		if !errors.As(err, &down) || ctx.Err() != nil {
+		var unanswered *table.UnansweredError
+		if !errors.As(err, &unanswered) || ctx.Err() != nil {
 			break
 		}
 	}
 	return page, err
 }
 
-// Feed waits for changes for as long as it is told to.
+// Feed waits for changes for as long as f specifies; it has no adaptive
+// time-out.
 func (s *Store) Feed(ctx context.Context, f table.Since) (table.Changes, error) {
 	return s.table.Feed(ctx, f)
 }
--- a/io/adapt/adapt_test.go
+++ b/io/adapt/adapt_test.go
@@ -14,15 +14,15 @@
 	"chicoryturn/io/table"
 )
 
-// slow is a table whose answers take a while, or do not come at all.
-type slow struct {
-	takes atomic.Int64
-	lose  atomic.Bool
+// slowTable answers after a delay, or not at all while it is unresponsive.
+type slowTable struct {
+	delay        atomic.Int64
+	unresponsive atomic.Bool
 }
 
-func (s *slow) wait(ctx context.Context) error {
-	d := time.Duration(s.takes.Load())
-	if s.lose.Load() {
+func (s *slowTable) wait(ctx context.Context) error {
+	d := time.Duration(s.delay.Load())
+	if s.unresponsive.Load() {
 		d = time.Minute
 	}
 	select {
@@ -33,55 +33,55 @@
 	}
 }
 
-func (s *slow) Write(ctx context.Context, _ table.Txn) (table.Done, error) {
+func (s *slowTable) Write(ctx context.Context, _ table.Txn) (table.Done, error) {
 	if err := s.wait(ctx); err != nil {
 		return table.Done{}, err
 	}
 	return table.Done{}, nil
 }
 
-func (s *slow) Read(ctx context.Context, _ table.Range) (table.Page, error) {
+func (s *slowTable) Read(ctx context.Context, _ table.Range) (table.Page, error) {
 	if err := s.wait(ctx); err != nil {
 		return table.Page{}, err
 	}
 	return table.Page{}, nil
 }
 
-func (s *slow) Feed(context.Context, table.Since) (table.Changes, error) {
+func (s *slowTable) Feed(context.Context, table.Since) (table.Changes, error) {
 	return table.Changes{}, nil
 }
 
-// TestPace plays lost answers of a quick store, which are noticed well within
-// the time after which a watcher would claim the seat, and a store that turns
-// slow, whose answers are waited for after a few calls.
-func TestPace(t *testing.T) {
+// TestTimeout checks the time-out in two cases: a lost answer of a fast table
+// must be noticed long before another VM would claim ownership, and a table
+// that becomes slow must get enough time after a few calls.
+func TestTimeout(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
-	s := &slow{}
-	s.takes.Store(int64(10 * time.Millisecond))
-	p := adapt.New(s)
+	s := &slowTable{}
+	s.delay.Store(int64(10 * time.Millisecond))
+	client := adapt.New(s)
 	write := func() error {
-		_, err := p.Write(ctx, table.Txn{})
+		_, err := client.Write(ctx, table.Txn{})
 		return err
 	}
 	for range 5 {
 		is.NoErr(write())
 	}
-	s.lose.Store(true)
-	began := time.Now()
-	var down *table.UnansweredError
-	is.True(errors.As(write(), &down))
-	is.True(time.Since(began) < elect.TTL/4)
-	s.lose.Store(false)
+	s.unresponsive.Store(true)
+	start := time.Now()
+	var unanswered *table.UnansweredError
+	is.True(errors.As(write(), &unanswered))
+	is.True(time.Since(start) < elect.TTL/4)
+	s.unresponsive.Store(false)
 	is.NoErr(write())
 
-	s.takes.Store(int64(650 * time.Millisecond))
+	s.delay.Store(int64(650 * time.Millisecond))
 	tries := 0
 	for write() != nil {
 		tries++
 		is.True(tries < 5)
 	}
-	is.NoErr(write()) // and goes on being waited for
-	_, err := p.Read(ctx, table.Range{})
-	is.NoErr(err) // a read is made again by itself
+	is.NoErr(write()) // the longer time-out persists
+	_, err := client.Read(ctx, table.Range{})
+	is.NoErr(err) // Read retries by itself
 }
--- a/io/advice/client.go
+++ b/io/advice/client.go
@@ -1,5 +1,5 @@
-// Package advice asks the external placement policy on behalf of one VM. The
-// policy serves one call of a VM at a time.
+// Package advice sends the advice requests of one VM to the external placement
+// advisor, which serves one call of a VM at a time.
 package advice
 
 import (
@@ -13,109 +13,120 @@
 )
 
 const (
-	// queue bounds the calls that wait, below the 32 that the policy takes.
-	queue = 30
-	// patience times the expected length of a call, and grace more, bounds it.
-	patience = 3
-	grace    = time.Second
+	// maxQueued bounds the queued requests; it is below the 32 that the advisor
+	// accepts.
+	maxQueued = 30
+	// The time-out of a call is timeoutFactor times its expected length, plus
+	// timeoutMargin.
+	timeoutFactor = 3
+	timeoutMargin = time.Second
 )
 
-// Advisor answers which workers may run a phase.
+// Advisor answers which of the workers may run a phase, and for how long its
+// tickets are valid.
 type Advisor interface {
-	Advise(ctx context.Context, id jobs.PhaseID, workers []core.WorkerID) (allowed []fleet.AllowedWorker, valid time.Duration, err error)
+	Advise(ctx context.Context, id jobs.PhaseID, workers []core.WorkerID) (allowed []fleet.AllowedWorker, ttl time.Duration, err error)
 }
 
-// Result is the outcome of one call; Err is set if it has failed.
+// Result is the outcome of one advice request; Err is set if the request
+// failed.
 type Result struct {
 	Request fleet.AdviceRequest
 	Allowed []fleet.AllowedWorker
-	// TicketTTL is how long the tickets were good when the answer came, at At.
+	// TicketTTL is how long the tickets are valid after At, the time of the
+	// answer.
 	TicketTTL time.Duration
 	At        time.Time
 	Err       error
 }
 
-// TicketsLeft returns what is left of the tickets' time.
+// TicketsLeft returns how long the tickets are still valid; it is not positive
+// if they have expired.
 func (r Result) TicketsLeft(now time.Time) time.Duration { return r.TicketTTL - now.Sub(r.At) }
 
-// FullError reports that too many calls wait.
+// FullError reports that the queue of advice requests is full.
 type FullError struct{}
 
 // Error implements error.
-func (*FullError) Error() string { return "too many calls for placement advice wait" }
+func (*FullError) Error() string { return "the queue of advice requests is full" }
 
-type entry struct {
-	ask  fleet.AdviceRequest
-	then func(Result)
+type queuedCall struct {
+	request  fleet.AdviceRequest
+	onResult func(Result)
 }
 
-// Client makes the calls of one VM, one after another.
+// Client makes the advice requests of one VM, one after another.
 type Client struct {
-	policy Advisor
-	calls  chan entry
-
-	// mu guards the expected length of the calls that wait and of the one under
-	// way, 0 if there is none, and when that began.
-	mu           sync.Mutex
-	waiting, now time.Duration
-	began        time.Time
+	advisor Advisor
+	queue   chan queuedCall
+
+	// mu guards the fields below and makes checking and filling the queue one
+	// step. queuedCost is the expected length of the queued calls, currentCost
+	// that of the call in progress, or 0 if there is none, and currentStart the
+	// time when that call began.
+	mu                      sync.Mutex
+	queuedCost, currentCost time.Duration
+	currentStart            time.Time
 }
 
-// New returns a guide; Run makes its calls.
-func New(p Advisor) *Client { return &Client{policy: p, calls: make(chan entry, queue)} }
-
-// Request queues a call; then gets its result on another goroutine.
-func (g *Client) Request(a fleet.AdviceRequest, then func(Result)) {
-	g.mu.Lock()
-	full := len(g.calls) == cap(g.calls)
-	if !full {
-		g.waiting += a.Cost
-		g.calls <- entry{a, then}
+// New returns a client; Run makes its calls.
+func New(a Advisor) *Client { return &Client{advisor: a, queue: make(chan queuedCall, maxQueued)} }
+
+// Request queues an advice request and calls onResult with its result, usually
+// on another goroutine. If the queue is full, it calls onResult at once with a
+// FullError.
+func (c *Client) Request(r fleet.AdviceRequest, onResult func(Result)) {
+	c.mu.Lock()
+	isFull := len(c.queue) == cap(c.queue)
+	if !isFull {
+		c.queuedCost += r.Cost
+		c.queue <- queuedCall{r, onResult}
 	}
-	g.mu.Unlock()
-	if full {
-		then(Result{Request: a, Err: &FullError{}})
+	c.mu.Unlock()
+	if isFull {
+		onResult(Result{Request: r, Err: &FullError{}})
 	}
 }
 
-// Delay returns how long a call would wait for those before it.
-func (g *Client) Delay() time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.waiting + max(g.now-time.Since(g.began), 0)
+// Delay returns the expected time until a new request would be sent.
+func (c *Client) Delay() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.queuedCost + max(c.currentCost-time.Since(c.currentStart), 0)
 }
 
-func (g *Client) begin(a fleet.AdviceRequest) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.waiting -= a.Cost
-	g.now, g.began = a.Cost, time.Now()
+func (c *Client) callStarted(r fleet.AdviceRequest) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.queuedCost -= r.Cost
+	c.currentCost, c.currentStart = r.Cost, time.Now()
 }
 
-func (g *Client) end() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.now = 0
+func (c *Client) callEnded() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.currentCost = 0
 }
 
-// Run makes the calls until the context ends.
-func (g *Client) Run(ctx context.Context) error {
+// Run makes the queued calls until the context ends.
+func (c *Client) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case e := <-g.calls:
-			g.begin(e.ask)
-			r := g.call(ctx, e.ask)
-			g.end()
-			e.then(r)
+		case next := <-c.queue:
+			c.callStarted(next.request)
+			result := c.call(ctx, next.request)
+			c.callEnded()
+			next.onResult(result)
 		}
 	}
 }
 
-func (g *Client) call(ctx context.Context, a fleet.AdviceRequest) Result {
-	ctx, cancel := context.WithTimeout(ctx, patience*a.Cost+grace)
+// call makes one call; its result has Err set if the call failed or timed out.
+func (c *Client) call(ctx context.Context, r fleet.AdviceRequest) Result {
+	ctx, cancel := context.WithTimeout(ctx, timeoutFactor*r.Cost+timeoutMargin)
 	defer cancel()
-	allowed, valid, err := g.policy.Advise(ctx, a.Phase, a.Workers)
-	return Result{Request: a, Allowed: allowed, TicketTTL: valid, At: time.Now(), Err: err}
+	allowed, ttl, err := c.advisor.Advise(ctx, r.Phase, r.Workers)
+	return Result{Request: r, Allowed: allowed, TicketTTL: ttl, At: time.Now(), Err: err}
 }
--- a/io/advice/client_test.go
+++ b/io/advice/client_test.go
@@ -13,41 +13,42 @@
 	"chicoryturn/io/advice"
 )
 
-// policy answers after a while.
-type policy struct{ wait time.Duration }
+// fakeAdvisor answers after a delay.
+type fakeAdvisor struct{ delay time.Duration }
 
-func (p policy) Advise(ctx context.Context, _ jobs.PhaseID, _ []core.WorkerID) ([]fleet.AllowedWorker, time.Duration, error) {
+func (f fakeAdvisor) Advise(ctx context.Context, _ jobs.PhaseID, _ []core.WorkerID) ([]fleet.AllowedWorker, time.Duration, error) {
 	select {
 	case <-ctx.Done():
 		return nil, 0, ctx.Err()
-	case <-time.After(p.wait):
+	case <-time.After(f.delay):
 		return []fleet.AllowedWorker{{Worker: "w", Ticket: "t"}}, time.Second, nil
 	}
 }
 
-// TestAge keeps an answer for a while, as a job does that is not recorded yet:
-// its tickets are not taken for fresh ones.
-func TestAge(t *testing.T) {
+// TestTicketsLeft guards against treating the tickets of an old answer as new
+// ones: an answer may wait until its job has been stored, and the tickets'
+// validity ends meanwhile.
+func TestTicketsLeft(t *testing.T) {
 	is := is.New(t)
-	g := advice.New(policy{10 * time.Millisecond})
+	c := advice.New(fakeAdvisor{10 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = g.Run(ctx) }()
+	go func() { _ = c.Run(ctx) }()
 	got := make(chan advice.Result, 1)
-	g.Request(fleet.AdviceRequest{Cost: 10 * time.Millisecond}, func(r advice.Result) { got <- r })
+	c.Request(fleet.AdviceRequest{Cost: 10 * time.Millisecond}, func(r advice.Result) { got <- r })
 	r := <-got
 	is.NoErr(r.Err)
 	is.True(r.TicketsLeft(r.At.Add(400*time.Millisecond)) == 600*time.Millisecond)
 	is.True(r.TicketsLeft(r.At.Add(2*time.Second)) < 0)
 }
 
-// TestFull asks for more than can wait: the call fails at once.
+// TestFull checks that requests beyond the length of the queue fail at once.
 func TestFull(t *testing.T) {
 	is := is.New(t)
-	g := advice.New(policy{})
+	c := advice.New(fakeAdvisor{})
 	failed := 0
 	for range 100 {
-		g.Request(fleet.AdviceRequest{}, func(r advice.Result) {
+		c.Request(fleet.AdviceRequest{}, func(r advice.Result) {
 			if r.Err != nil {
 				failed++
 			}
@@ -56,22 +57,23 @@
 	is.Equal(failed, 70)
 }
 
-// TestDelay has calls under way and waiting: a further one would wait for both.
+// TestDelay checks that the delay includes both the queued calls and the one in
+// progress.
 func TestDelay(t *testing.T) {
 	is := is.New(t)
-	g := advice.New(policy{time.Second})
+	c := advice.New(fakeAdvisor{time.Second})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	is.Equal(g.Delay(), time.Duration(0))
+	is.Equal(c.Delay(), time.Duration(0))
 	done := make(chan advice.Result, 2)
 	for range 2 {
-		g.Request(fleet.AdviceRequest{Cost: time.Second}, func(r advice.Result) { done <- r })
+		c.Request(fleet.AdviceRequest{Cost: time.Second}, func(r advice.Result) { done <- r })
 	}
-	is.Equal(g.Delay(), 2*time.Second)
-	go func() { _ = g.Run(ctx) }()
+	is.Equal(c.Delay(), 2*time.Second)
+	go func() { _ = c.Run(ctx) }()
 	time.Sleep(500 * time.Millisecond)
-	is.True(g.Delay() > 1200*time.Millisecond && g.Delay() < 1700*time.Millisecond)
+	is.True(c.Delay() > 1200*time.Millisecond && c.Delay() < 1700*time.Millisecond)
 	<-done
 	<-done
-	is.Equal(g.Delay(), time.Duration(0))
+	is.Equal(c.Delay(), time.Duration(0))
 }
--- a/io/trace/trace.go
+++ b/io/trace/trace.go
@@ -1,4 +1,5 @@
-// Package trace finds the life of one job in the logs of all VMs.
+// Package trace collects the log lines of one job from the logs of all VMs and
+// summarises them.
 package trace
 
 import (
@@ -11,20 +12,21 @@
 	"time"
 )
 
-// maxLine bounds one line of a log, in bytes.
+// maxLine bounds the length of a log line in bytes.
 const maxLine = 1 << 20
 
-// shown are the fields printed for each line, in this order.
-var shown = []string{"result", "queue", "task", "run", "worker", "after", "because", "took", "error"}
+// printedFields are the fields that String prints, in this order.
+var printedFields = []string{"result", "queue", "task", "run", "worker", "after", "because", "took", "error"}
 
-// Line is one line of a log that names the job.
+// Line is one log line of the job.
 type Line struct {
-	// At is the time of day as the VM wrote it; VMs' clocks may differ.
+	// At is the time of day as logged by the VM; the clocks of VMs may differ.
 	At   string
 	VM   string
 	Part string
+	// What is the log message.
 	What string
-	// Fields holds the line's other fields as text.
+	// Fields holds the other fields of the line as text.
 	Fields map[string]string
 }
 
@@ -37,14 +39,14 @@
 // Unwrap returns the cause.
 func (e *ReadError) Unwrap() error { return e.Err }
 
-// Read returns the lines of a log that name a job, in order of time. Lines may
-// have a prefix before their JSON; those that are not JSON are passed over and
-// counted.
+// Read returns the log lines of a job, sorted by time, and the number of lines
+// that contain the job's name but no valid JSON. A line may have a prefix before
+// its JSON.
 func Read(r io.Reader, job string) (lines []Line, skipped int, err error) {
-	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, 64<<10), maxLine)
-	for s.Scan() {
-		text := s.Text()
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	for scanner.Scan() {
+		text := scanner.Text()
 		if !strings.Contains(text, job) {
 			continue
 		}
@@ -58,13 +60,14 @@
 			lines = append(lines, newLine(fields))
 		}
 	}
-	if err := s.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, 0, &ReadError{err}
 	}
 	slices.SortStableFunc(lines, func(a, b Line) int { return strings.Compare(a.At, b.At) })
 	return lines, skipped, nil
 }
 
+// newLine returns the line with the given JSON fields.
 func newLine(fields map[string]any) Line {
 	l := Line{Fields: map[string]string{}}
 	for name, val := range fields {
@@ -85,11 +88,11 @@
 	return l
 }
 
-// String returns the line for people.
+// String formats the line for printing.
 func (l Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %-22s %-6s %s", l.At, l.VM, l.Part, l.What)
-	for _, f := range shown {
+	for _, f := range printedFields {
 		if v := l.Fields[f]; v != "" {
 			fmt.Fprintf(&b, "  %s=%s", f, v)
 		}
@@ -97,14 +100,14 @@
 	return b.String()
 }
 
-// Summary sums up what the lines tell: how the job ended, and what took most
-// of its time.
+// Summary describes in one line how the job ended, what it waited for last and
+// how many of its runs failed.
 func Summary(lines []Line) string {
 	if len(lines) == 0 {
-		return "no line names this job: no call for it has reached a VM whose log this is"
+		return "no line names this job: no call for it reached a VM whose log was read"
 	}
-	var refused, accepted, ended, waited, failed string
-	fails := 0
+	var refused, accepted, ended, lastWait, lastFailedOn string
+	failedRuns := 0
 	for _, l := range lines {
 		switch {
 		case l.What == "submit" && l.Fields["result"] == "accepted":
@@ -112,10 +115,10 @@
 		case l.What == "submit":
 			refused = fmt.Sprintf("%s (%s)", l.Fields["result"], l.Fields["error"])
 		case l.What == "waits":
-			waited = fmt.Sprintf("%s after %s", l.Fields["because"], l.Fields["after"])
+			lastWait = fmt.Sprintf("%s after %s", l.Fields["because"], l.Fields["after"])
 		case l.What == "run ended failed":
-			fails++
-			failed = l.Fields["worker"]
+			failedRuns++
+			lastFailedOn = l.Fields["worker"]
 		case strings.HasPrefix(l.What, "job "):
 			ended = strings.TrimSpace(l.What + " after " + l.Fields["after"] + " " + l.Fields["because"])
 		}
@@ -125,29 +128,29 @@
 	case accepted == "" && refused != "":
 		out = append(out, "never accepted; last refused: "+refused)
 	case accepted != "" && ended == "":
-		out = append(out, "accepted, and its end is not in these logs")
+		out = append(out, "accepted; these logs do not contain its end")
 	case ended != "":
 		out = append(out, ended)
 	}
-	if waited != "" {
-		out = append(out, "last waited for: "+waited)
+	if lastWait != "" {
+		out = append(out, "last waited for: "+lastWait)
 	}
-	if fails > 0 {
-		out = append(out, fmt.Sprintf("%d runs failed, the last on %s", fails, failed))
+	if failedRuns > 0 {
+		out = append(out, fmt.Sprintf("%d runs failed, the last on %s", failedRuns, lastFailedOn))
 	}
 	return strings.Join(out, "; ")
 }
 
-// Span returns the time between the first and the last line, if both can be
-// read.
+// Span returns the time between the first and the last line, or 0 if one of
+// them has no valid time.
 func Span(lines []Line) time.Duration {
 	if len(lines) == 0 {
 		return 0
 	}
-	const form = "15:04:05.000"
-	first, err1 := time.Parse(form, lines[0].At)
-	last, err2 := time.Parse(form, lines[len(lines)-1].At)
-	if err1 != nil || err2 != nil {
+	const layout = "15:04:05.000"
+	first, firstErr := time.Parse(layout, lines[0].At)
+	last, lastErr := time.Parse(layout, lines[len(lines)-1].At)
+	if firstErr != nil || lastErr != nil {
 		return 0
 	}
 	return last.Sub(first)
--- a/io/trace/trace_test.go
+++ b/io/trace/trace_test.go
@@ -19,7 +19,7 @@
 {"msg":"started","part":"node","time":"06:00:00.000","vm":"vm-a"}
 `
 
-func TestTrail(t *testing.T) {
+func TestSummary(t *testing.T) {
 	is := is.New(t)
 	lines, skipped, err := trace.Read(strings.NewReader(log), "aa")
 	is.NoErr(err)
@@ -31,11 +31,12 @@
 	is.Equal(trace.Span(lines).String(), "4.2s")
 }
 
-// TestVerdicts has rows: a job and the cause that its lines alone must tell.
-func TestVerdicts(t *testing.T) {
+// TestSummaryWithoutAccept checks the summaries of jobs that were never
+// accepted.
+func TestSummaryWithoutAccept(t *testing.T) {
 	for job, want := range map[string]string{
 		"bb": "never accepted; last refused: store-unavailable (store-unavailable: the store takes no jobs at present)",
-		"cc": "no line names this job: no call for it has reached a VM whose log this is",
+		"cc": "no line names this job: no call for it reached a VM whose log was read",
 	} {
 		t.Run(job, func(t *testing.T) {
 			is := is.New(t)
