--- a/io/link/forward.go
+++ b/io/link/forward.go
@@ -28,37 +28,39 @@
 
 // add registers a request. It returns the request's number and the channel for
 // its reply; the channel is closed without a reply if the stream ends first.
-func (w *pendingReplies[R]) add() (uint64, <-chan R) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastNumber++
+func (p *pendingReplies[R]) add() (uint64, <-chan R) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastNumber++
 	ch := make(chan R, 1)
-	w.channels[w.lastNumber] = ch
-	return w.lastNumber, ch
+	p.channels[p.lastNumber] = ch
+	return p.lastNumber, ch
 }
 
-func (w *pendingReplies[R]) remove(n uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.channels, n)
+// remove drops a request; a later reply to it is ignored.
+func (p *pendingReplies[R]) remove(n uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.channels, n)
 }
 
-func (w *pendingReplies[R]) deliver(n uint64, r R) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if ch, ok := w.channels[n]; ok {
+// deliver passes a reply to the request with its number.
+func (p *pendingReplies[R]) deliver(n uint64, r R) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if ch, ok := p.channels[n]; ok {
 		ch <- r
-		delete(w.channels, n)
+		delete(p.channels, n)
 	}
 }
 
 // close closes the channels of all requests in flight.
-func (w *pendingReplies[R]) close() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for n, ch := range w.channels {
+func (p *pendingReplies[R]) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for n, ch := range p.channels {
 		close(ch)
-		delete(w.channels, n)
+		delete(p.channels, n)
 	}
 }
 
--- a/io/link/link_test.go
+++ b/io/link/link_test.go
@@ -22,8 +22,8 @@
 	"chicoryturn/io/table"
 )
 
-// fakeOwner is the control state of a process that owns the fleet. It counts
-// the link's notifications.
+// fakeOwner implements link.Owner, link.Advisor and link.OwnerWatcher. It
+// counts the connected peers and the notifications of a watcher.
 type fakeOwner struct{ peers, found, lost atomic.Int64 }
 
 func (o *fakeOwner) AddPeer(owner.Peer)                 { o.peers.Add(1) }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -46,8 +46,8 @@
 	// gcPercent is the growth of the heap, in percent, that starts a garbage
 	// collection. It is low since peak memory costs more than processor time.
 	gcPercent = 50
-	// memoryLimitShare is the share of the process's memory that is set as the
-	// soft memory limit of the Go runtime.
+	// memoryLimitShare is the share of the process's memory limit from which on
+	// the Go runtime forces garbage collections.
 	memoryLimitShare = 0.75
 	// drainTime is how long a stopping process still accepts connections: the
 	// load balancer needs two probes, one second apart, to notice.
@@ -75,10 +75,12 @@
 // Lister reads the configuration and the list of workers.
 type Lister interface {
 	owner.WorkerLister
-	// Policy reads the configuration, nil if there is none, and the version to
-	// pass to Changed.
+	// Policy reads the configuration, nil if there is none, and the version of
+	// the store to pass to Changed.
 	Policy(ctx context.Context) (*policy.Policy, uint64, error)
-	// Changed waits up to wait for a configuration newer than version after.
+	// Changed waits for a change of the configuration after a version of the
+	// store, for at most the duration wait. It returns nil if there was none,
+	// and the version to pass to the next call.
 	Changed(ctx context.Context, after uint64, wait time.Duration) (*policy.Policy, uint64, error)
 }
 
@@ -126,6 +128,7 @@
 	return assemble(s, p, loop.New(ctx)).run(ctx, stop, cancel)
 }
 
+// assemble creates the parts of the process and connects them.
 func assemble(s Settings, p Platform, l *loop.Loop) *Node {
 	n := &Node{settings: s, platform: p, logBuf: logbuf.New(os.Stdout), log: logrus.New()}
 	n.grace.Store(int64(s.Grace))
@@ -167,6 +170,7 @@
 	return delay
 }
 
+// newSessionID returns a name for this incarnation of the VM's process.
 func newSessionID(vm string) core.SessionID {
 	b := make([]byte, sessionIDBytes)
 	// rand.Read never returns an error: it ends the program instead.
@@ -186,6 +190,7 @@
 	n.linkClient.SetOwner(link.OwnerAddr{Addr: r.Addr, Session: r.Holder})
 }
 
+// run starts all parts and waits until they have ended; exit ends the context.
 func (n *Node) run(ctx context.Context, stop <-chan struct{}, exit context.CancelFunc) error {
 	debug.SetGCPercent(gcPercent)
 	if n.settings.Memory > 0 {
@@ -249,6 +254,7 @@
 	return nil
 }
 
+// httpServer starts an HTTP server that is closed when the context ends.
 func (n *Node) httpServer(ctx context.Context, g *errgroup.Group, l net.Listener, h http.Handler) *http.Server {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ErrorLog: nil}
 	g.Go(func() error {
--- a/io/node/ownerlink.go
+++ b/io/node/ownerlink.go
@@ -15,7 +15,8 @@
 )
 
 // ownerLink passes the entry's messages to the owner: over the link, or
-// directly if this process is the owner.
+// directly if this process is the owner. It forwards table calls to the owner's
+// VM, or from the owner to a connected VM.
 type ownerLink struct {
 	vm      string
 	owner   *owner.Owner
@@ -88,7 +89,7 @@
 	return l.owner.Pending(ctx, q)
 }
 
-// localPeer makes the owner's advice requests on the owner's own VM.
+// localPeer represents this VM as a peer of the owner in the same process.
 type localPeer struct {
 	vm     string
 	advice *advice.Client
--- a/io/table/late.go
+++ b/io/table/late.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// lateHookKey is the context key of the lateHook.
 type lateHookKey struct{}
 
 // lateHook is called with an answer that arrived after its caller's deadline.
--- a/io/table/table.go
+++ b/io/table/table.go
@@ -20,8 +20,8 @@
 	Deleted bool `json:"Gone"`
 }
 
-// Check is the condition that a row still has a version; version 0 means that
-// the row must not exist.
+// Check is the condition that a row still has this version; version 0 means
+// that the row must not exist.
 type Check struct {
 	Key
 	Version uint64
@@ -67,8 +67,8 @@
 	Version uint64
 }
 
-// Range selects the rows of one partition whose names are at least From and
-// less than To.
+// Range selects the rows of one partition whose names lie between From,
+// included, and To, excluded.
 type Range struct {
 	Table, Part, From, To string
 	// Limit bounds the rows of one page; 0 means the platform's own limit.
@@ -138,7 +138,7 @@
 	return fmt.Sprintf("the feed no longer keeps the changes after version %d", e.Version)
 }
 
-// FormatError reports a row or answer that cannot be read.
+// FormatError reports a row or answer that cannot be decoded; What names it.
 type FormatError struct {
 	What string
 	Err  error
