--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// followEvery is how often the configuration is read.
-	followEvery = 500 * time.Millisecond
-	// listEvery is how often the list of VMs is read.
-	listEvery = 700 * time.Millisecond
-	// bookEvery is how often the divided limits are read and adjusted.
-	bookEvery = 500 * time.Millisecond
-	// starvedEvery is how often a holder that wants more reads them.
-	starvedEvery = 60 * time.Millisecond
-	// holdTimeout bounds a renewal on a peer's behalf.
-	holdTimeout = 400 * time.Millisecond
-	// reclaimEvery is how often the rows of dead sessions are looked for.
-	reclaimEvery = time.Second
+	// configInterval is how often the configuration is read.
+	configInterval = 500 * time.Millisecond
+	// vmListInterval is how often the list of VMs is read.
+	vmListInterval = 700 * time.Millisecond
+	// ledgerInterval is how often the divided limits are read and adjusted.
+	ledgerInterval = 500 * time.Millisecond
+	// minLedgerInterval is how often a holder that wants more reads them.
+	minLedgerInterval = 60 * time.Millisecond
+	// peerRenewTimeout bounds a renewal on a peer's behalf.
+	peerRenewTimeout = 400 * time.Millisecond
+	// reclaimInterval is how often the rows of dead sessions are looked for.
+	reclaimInterval = time.Second
 )
 
 // Store is the platform's service.
@@ -62,53 +62,53 @@
 
 // Agent is the common control state of a process.
 type Agent struct {
-	loop   *loop.Loop
-	store  Store
-	peers  Peers
-	host   Host
-	log    *logrus.Entry
-	name   core.SessionID
-	Member *member.Member
-	Conf   *conf.Config
-	books  []*shelf
-	vms    []core.VM
-	listed bool
-	// object names the rules file in force.
-	object  string
-	listVer uint64
-	faults  map[string]bool
-
-	following, listing, asking, reclaiming bool
-
-	nextFollow, nextList, nextAsk, nextReclaim time.Time
-}
-
-// shelf is one book of divided limits with the rows that it follows.
-type shelf struct {
-	book     *ledger.Ledger
+	loop    *loop.Loop
+	store   Store
+	peers   Peers
+	host    Host
+	log     *logrus.Entry
+	name    core.SessionID
+	Member  *member.Member
+	Conf    *conf.Config
+	ledgers []*ledgerSync
+	vms     []core.VM
+	vmsRead bool
+	// rulesObject names the rules file in force.
+	rulesObject string
+	vmsVersion  uint64
+	failing     map[string]bool
+
+	readingConfig, readingVMs, confirming, reclaiming bool
+
+	nextConfigRead, nextVMsRead, nextConfirm, nextReclaim time.Time
+}
+
+// ledgerSync is one book of divided limits with the rows that it follows.
+type ledgerSync struct {
+	ledger   *ledger.Ledger
 	prefixes []string
-	busy     bool
-	next     time.Time
-	read     time.Time
+	inFlight bool
+	nextRead time.Time
+	lastRead time.Time
 }
 
 // New returns an agent of a process that has not joined yet.
 func New(l *loop.Loop, s Store, p Peers, h Host, m *member.Member, log *logrus.Entry) *Agent {
 	return &Agent{
-		loop: l, store: s, peers: p, host: h, log: log, Member: m, Conf: conf.New(), name: m.Self().ID, faults: map[string]bool{},
+		loop: l, store: s, peers: p, host: h, log: log, Member: m, Conf: conf.New(), name: m.Self().ID, failing: map[string]bool{},
 	}
 }
 
 // AddLedger has the agent follow a book's rows below some prefixes.
 func (a *Agent) AddLedger(b *ledger.Ledger, prefixes ...string) {
-	a.books = append(a.books, &shelf{book: b, prefixes: prefixes})
+	a.ledgers = append(a.ledgers, &ledgerSync{ledger: b, prefixes: prefixes})
 }
 
 // RemoveLedger ends the following of a book.
 func (a *Agent) RemoveLedger(b *ledger.Ledger) {
-	for i, s := range a.books {
-		if s.book == b {
-			a.books = append(a.books[:i:i], a.books[i+1:]...)
+	for i, s := range a.ledgers {
+		if s.ledger == b {
+			a.ledgers = append(a.ledgers[:i:i], a.ledgers[i+1:]...)
 			return
 		}
 	}
@@ -122,25 +122,25 @@
 func (a *Agent) VMs() []core.VM { return a.vms }
 
 // Listed reports whether the list of VMs has been read at least once.
-func (a *Agent) Listed() bool { return a.listed }
+func (a *Agent) Listed() bool { return a.vmsRead }
 
 // Ready reports whether the process can do work: its session is in the store,
 // the list has been read and a configuration is in force.
 func (a *Agent) Ready() bool {
-	return a.Member.State() == "live" && a.listed && a.Conf.Version() > 0
+	return a.Member.State() == "live" && a.vmsRead && a.Conf.Version() > 0
 }
 
-// warn logs a condition once until it has ended.
-func (a *Agent) warn(what string, err error) {
+// logFailureOnce logs a condition once until it has ended.
+func (a *Agent) logFailureOnce(what string, err error) {
 	if err == nil {
-		if a.faults[what] {
-			delete(a.faults, what)
+		if a.failing[what] {
+			delete(a.failing, what)
 			a.log.Infof("%s works again", what)
 		}
 		return
 	}
-	if !a.faults[what] {
-		a.faults[what] = true
+	if !a.failing[what] {
+		a.failing[what] = true
 		a.log.WithError(err).Warnf("%s fails; it is tried again", what)
 	}
 }
@@ -155,36 +155,36 @@
 // Handle takes in a message and reports whether it was one of the agent's.
 func (a *Agent) Handle(now time.Time, m loop.Message) bool {
 	switch m := m.(type) {
-	case sessionWritten:
-		a.sessionWritten(now, m)
-	case scanned:
-		a.scanned(now, m)
-	case claimWritten:
-		a.warn("claiming a cell", a.claimWritten(m))
-	case probed:
+	case sessionWriteDone:
+		a.handleSessionWrite(now, m)
+	case membersRead:
+		a.handleMembersRead(now, m)
+	case claimWriteDone:
+		a.logFailureOnce("claiming a cell", a.handleClaimWrite(m))
+	case probeDone:
 		a.Member.Probed(now, m.id, m.liveness)
-	case held:
+	case renewalAnswered:
 		a.log.Debugf("%s answers: renewed %t, promised %t, dead %t", m.from, m.answer.Renewed, m.answer.Promised, m.answer.Dead)
 		a.Member.Held(m.from, m.round, m.answer)
-	case holdAsked:
-		a.holdAsked(now, m)
-	case renewedFor:
-		a.renewedFor(now, m)
-	case aliveAsked:
+	case renewalRequest:
+		a.handleRenewalRequest(now, m)
+	case peerRenewalDone:
+		a.handlePeerRenewal(now, m)
+	case aliveRequest:
 		m.reply <- a.alive(now)
-	case followed:
-		a.followed(now, m)
-	case followSoon:
-		a.nextFollow = time.Time{}
-	case confirmed:
-		a.confirmed(m)
-	case list:
-		a.list(now, m)
-	case bookRead:
-		a.bookRead(now, m)
-	case bookWritten:
-		a.bookWritten(m)
-	case reclaimed:
+	case configRead:
+		a.handleConfigRead(now, m)
+	case configReadDue:
+		a.nextConfigRead = time.Time{}
+	case confirmDone:
+		a.handleConfirm(m)
+	case vmsReadDone:
+		a.handleVMsRead(now, m)
+	case ledgerRead:
+		a.handleLedgerRead(now, m)
+	case ledgerWriteDone:
+		a.handleLedgerWrite(m)
+	case reclaimDone:
 		a.reclaiming = false
 	default:
 		return false
@@ -195,20 +195,20 @@
 // Tick does what is due and returns when to be called next.
 func (a *Agent) Tick(now time.Time) time.Time {
 	for _, act := range a.Member.Plan(now) {
-		a.act(act)
+		a.perform(act)
 	}
 	a.LogRefusals(a.Member.Refusals())
 	if a.Member.HasLeft() {
 		return now.Add(time.Second)
 	}
-	a.follow(now)
+	a.readConfig(now)
 	a.confirm(now)
-	a.readList(now)
+	a.readVMs(now)
 	a.reclaim(now)
-	for _, s := range a.books {
-		a.readBook(now, s)
+	for _, s := range a.ledgers {
+		a.readLedger(now, s)
 	}
-	return now.Add(followEvery / 5)
+	return now.Add(configInterval / 5)
 }
 
 // Dump is the agent's state for people.
@@ -221,11 +221,11 @@
 	Peers     []core.Process
 	Owners    map[string]core.SessionID
 	VMs       int
-	Limits    []Part
+	Limits    []LimitPart
 }
 
-// Part is this process's part of one divided limit.
-type Part struct {
+// LimitPart is this process's part of one divided limit.
+type LimitPart struct {
 	Holder                    ledger.Holder
 	Name                      string
 	Held, Used, Free, Granted int64
@@ -241,10 +241,10 @@
 	for id, p := range a.Member.Owners() {
 		d.Owners[id.String()] = p.ID
 	}
-	for _, s := range a.books {
-		b := s.book
+	for _, s := range a.ledgers {
+		b := s.ledger
 		for _, name := range b.Names() {
-			d.Limits = append(d.Limits, Part{b.Holder(), name, b.Held(name), b.Used(name), b.Available(name), b.Total(name)})
+			d.Limits = append(d.Limits, LimitPart{b.Holder(), name, b.Held(name), b.Used(name), b.Available(name), b.Total(name)})
 		}
 	}
 	return d
--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	confPrefix = "conf/"
-	// keyBytes is the length of a key's secret and nonceBytes that of the mark
+	configPrefix = "conf/"
+	// secretBytes is the length of a key's secret and nonceBytes that of the mark
 	// by which a writer finds its own change.
-	keyBytes   = 24
-	nonceBytes = 8
+	secretBytes = 24
+	nonceBytes  = 8
 	// compactDelay lets a change come into force before the snapshot is taken.
 	compactDelay = 2 * time.Second
-	// maxRaces bounds how often a change of keys is tried again after losing
+	// maxConflicts bounds how often a change of keys is tried again after losing
 	// to another operator.
-	maxRaces = 64
+	maxConflicts = 64
 )
 
-func confKey(v core.Version) string { return fmt.Sprintf("%s%012d", confPrefix, v) }
+func configKey(v core.Version) string { return fmt.Sprintf("%s%012d", configPrefix, v) }
 
-// change is the stored form of a conf.Change.
-type change struct {
+// storedChange is the stored form of a conf.Change.
+type storedChange struct {
 	Version core.Version
 	Kind    conf.ChangeKind
 	// Object names the rules file in the object store.
@@ -50,46 +50,46 @@
 }
 
 type (
-	followed struct {
+	configRead struct {
 		sent    time.Time
 		changes []conf.Change
-		// object names the newest rules file among the changes.
-		object string
-		// restored is set when the changes begin after a snapshot.
-		restored *restored
+		// rulesObject names the newest rules file among the changes.
+		rulesObject string
+		// snapshot is set when the changes begin after a snapshot.
+		snapshot *loadedSnapshot
 		err      error
 	}
-	confirmed struct {
-		at   time.Time
-		from core.Version
-		ok   bool
+	confirmDone struct {
+		confirmedAt time.Time
+		version     core.Version
+		ok          bool
 	}
-	viewAsked  struct{ reply chan<- View }
-	followSoon struct{}
+	viewRequest   struct{ reply chan<- View }
+	configReadDue struct{}
 )
 
 // Message implements loop.Message.
-func (followSoon) Message() {}
+func (configReadDue) Message() {}
 
 // Message implements loop.Message.
-func (followed) Message() {}
+func (configRead) Message() {}
 
 // Message implements loop.Message.
-func (confirmed) Message() {}
+func (confirmDone) Message() {}
 
 // Message implements loop.Message.
-func (viewAsked) Message() {}
+func (viewRequest) Message() {}
 
-// follow reads the changes after the version in force.
-func (a *Agent) follow(now time.Time) {
-	if a.following || now.Before(a.nextFollow) {
+// readConfig reads the changes after the version in force.
+func (a *Agent) readConfig(now time.Time) {
+	if a.readingConfig || now.Before(a.nextConfigRead) {
 		return
 	}
-	a.following = true
-	a.nextFollow = now.Add(followEvery)
+	a.readingConfig = true
+	a.nextConfigRead = now.Add(configInterval)
 	after := a.Conf.Version()
 	a.loop.Go(func(ctx context.Context) loop.Message {
-		m := followed{sent: time.Now()}
+		m := configRead{sent: time.Now()}
 		ctx, cancel := context.WithTimeout(ctx, store.Quick)
 		defer cancel()
 		m.err = a.readChanges(ctx, after, &m)
@@ -99,34 +99,34 @@
 
 // readChanges reads what came after a version, beginning with a snapshot where
 // the rows in between have been deleted.
-func (a *Agent) readChanges(ctx context.Context, after core.Version, m *followed) error {
-	rows, err := a.store.Scan(ctx, confPrefix, confKey(after))
+func (a *Agent) readChanges(ctx context.Context, after core.Version, m *configRead) error {
+	rows, err := a.store.Scan(ctx, configPrefix, configKey(after))
 	if err != nil {
 		return err
 	}
-	if len(rows) > 0 && rows[0].Key != confKey(after+1) {
-		if m.restored, err = a.readHead(ctx, after); err != nil {
+	if len(rows) > 0 && rows[0].Key != configKey(after+1) {
+		if m.snapshot, err = a.readSnapshot(ctx, after); err != nil {
 			return err
 		}
 	}
 	for _, r := range rows {
-		var c change
+		var c storedChange
 		if err := json.Unmarshal(r.Val, &c); err != nil {
 			return &store.FormatError{Key: r.Key, Err: err}
 		}
-		ch, err := a.fetch(ctx, c)
+		ch, err := a.decodeChange(ctx, c)
 		if err != nil {
 			return err
 		}
 		if c.Kind == conf.PushRules {
-			m.object = c.Object
+			m.rulesObject = c.Object
 		}
 		m.changes = append(m.changes, ch)
 	}
 	return nil
 }
 
-func (a *Agent) fetch(ctx context.Context, c change) (conf.Change, error) {
+func (a *Agent) decodeChange(ctx context.Context, c storedChange) (conf.Change, error) {
 	out := conf.Change{Version: c.Version, Kind: c.Kind, At: c.At}
 	if c.Kind != conf.PushRules {
 		out.Key = &conf.Key{ID: c.ID, Team: core.Team(c.Team), Hash: c.Hash}
@@ -140,19 +140,19 @@
 	return out, err
 }
 
-func (a *Agent) followed(now time.Time, m followed) {
-	a.following = false
-	a.warn("following the configuration", m.err)
+func (a *Agent) handleConfigRead(now time.Time, m configRead) {
+	a.readingConfig = false
+	a.logFailureOnce("following the configuration", m.err)
 	before := a.Conf.Version()
-	if m.restored != nil {
-		a.Conf.Restore(m.restored.version, m.restored.rules, m.restored.keys)
-		a.object = m.restored.object
+	if m.snapshot != nil {
+		a.Conf.Restore(m.snapshot.version, m.snapshot.rules, m.snapshot.keys)
+		a.rulesObject = m.snapshot.rulesObject
 	}
-	if m.object != "" {
-		a.object = m.object
+	if m.rulesObject != "" {
+		a.rulesObject = m.rulesObject
 	}
 	err := a.applyAll(m.changes)
-	a.warn("applying the configuration", err)
+	a.logFailureOnce("applying the configuration", err)
 	if m.err == nil && err == nil {
 		a.Conf.Confirm(m.sent)
 	}
@@ -178,34 +178,34 @@
 // every process answers that it does not reach the store either: then no
 // change can have been accepted.
 func (a *Agent) confirm(now time.Time) {
-	if a.asking || now.Before(a.nextAsk) || now.Sub(a.Conf.Confirmed()) < conf.ConfirmWithin/2 || a.Conf.Version() == 0 {
+	if a.confirming || now.Before(a.nextConfirm) || now.Sub(a.Conf.Confirmed()) < conf.ConfirmWithin/2 || a.Conf.Version() == 0 {
 		return
 	}
-	a.asking = true
-	a.nextAsk = now.Add(followEvery)
+	a.confirming = true
+	a.nextConfirm = now.Add(configInterval)
 	peers, version := a.Member.Peers(), a.Conf.Version()
 	a.loop.Go(func(ctx context.Context) loop.Message {
-		at, ok := a.askPeers(ctx, peers, version)
-		return confirmed{at, version, ok}
+		at, ok := a.confirmWithPeers(ctx, peers, version)
+		return confirmDone{at, version, ok}
 	})
 }
 
-type opinion struct {
+type peerAnswer struct {
 	alive peer.Alive
 	dead  bool
 	err   error
 }
 
-func (a *Agent) askPeers(ctx context.Context, peers []core.Process, version core.Version) (time.Time, bool) {
+func (a *Agent) confirmWithPeers(ctx context.Context, peers []core.Process, version core.Version) (time.Time, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 	defer cancel()
 	sent := time.Now()
-	answers := make(chan opinion, len(peers))
+	answers := make(chan peerAnswer, len(peers))
 	for _, p := range peers {
 		a.loop.Go(func(context.Context) loop.Message {
 			r, err := a.peers.Alive(ctx, p)
 			dead := err != nil && a.probe(ctx, p) == "dead"
-			answers <- opinion{r, dead, err}
+			answers <- peerAnswer{r, dead, err}
 			return nil
 		})
 	}
@@ -232,10 +232,10 @@
 	return newest, !newest.IsZero()
 }
 
-func (a *Agent) confirmed(m confirmed) {
-	a.asking = false
-	if m.ok && m.from == a.Conf.Version() {
-		a.Conf.Confirm(m.at)
+func (a *Agent) handleConfirm(m confirmDone) {
+	a.confirming = false
+	if m.ok && m.version == a.Conf.Version() {
+		a.Conf.Confirm(m.confirmedAt)
 	}
 }
 
@@ -252,14 +252,14 @@
 
 // View returns the configuration in force; it is called by traffic goroutines.
 func (a *Agent) View(ctx context.Context) (View, error) {
-	return loop.Ask(ctx, a.loop, func(c chan<- View) loop.Message { return viewAsked{c} })
+	return loop.Ask(ctx, a.loop, func(c chan<- View) loop.Message { return viewRequest{c} })
 }
 
 // HandleView answers a View question and reports whether m was one.
 func (a *Agent) HandleView(now time.Time, m loop.Message) bool {
-	q, ok := m.(viewAsked)
+	q, ok := m.(viewRequest)
 	if ok {
-		q.reply <- View{a.Conf.Version(), a.Conf.Rules(), a.Conf.Keys(), a.object, a.Member.LowestConfig(now)}
+		q.reply <- View{a.Conf.Version(), a.Conf.Rules(), a.Conf.Keys(), a.rulesObject, a.Member.LowestConfig(now)}
 	}
 	return ok
 }
@@ -282,7 +282,7 @@
 	if err := a.store.PutObject(ctx, object, text); err != nil {
 		return 0, storeRefusal(err)
 	}
-	return a.append(ctx, view.Version+1, change{Kind: conf.PushRules, Object: object, By: by}, false)
+	return a.appendChange(ctx, view.Version+1, storedChange{Kind: conf.PushRules, Object: object, By: by}, false)
 }
 
 // GrantKey creates a key for a team and returns it; it cannot be shown again.
@@ -294,8 +294,8 @@
 	if _, ok := view.Rules.Teams[team]; !ok {
 		return "", 0, core.Refuse(core.CodeNoTeam, "no rule for team %q", team)
 	}
-	id, secret := random(nonceBytes), random(keyBytes)
-	v, err := a.append(ctx, view.Version+1, change{
+	id, secret := randomHex(nonceBytes), randomHex(secretBytes)
+	v, err := a.appendChange(ctx, view.Version+1, storedChange{
 		Kind: conf.GrantKey, ID: id, Team: string(team), Hash: conf.HashSecret(secret), By: by,
 	}, true)
 	return id + "." + secret, v, err
@@ -309,31 +309,31 @@
 	}
 	for _, k := range view.Keys {
 		if k.ID == id {
-			return a.append(ctx, view.Version+1, change{Kind: conf.WithdrawKey, ID: id, Team: string(k.Team), By: by}, true)
+			return a.appendChange(ctx, view.Version+1, storedChange{Kind: conf.WithdrawKey, ID: id, Team: string(k.Team), By: by}, true)
 		}
 	}
 	return 0, core.Refuse(core.CodeBadKey, "no key %q", id)
 }
 
-// append writes the next change. A change that commutes with others is tried
+// appendChange writes the next change. A change that commutes with others is tried
 // again after losing a race.
-func (a *Agent) append(ctx context.Context, v core.Version, c change, commutes bool) (core.Version, error) {
-	c.Nonce = random(nonceBytes)
+func (a *Agent) appendChange(ctx context.Context, v core.Version, c storedChange, commutes bool) (core.Version, error) {
+	c.Nonce = randomHex(nonceBytes)
 	c.At = time.Now().UTC()
-	for range maxRaces {
+	for range maxConflicts {
 		c.Version = v
-		t := store.Txn{Checks: []store.Check{{Key: confKey(v)}}}
-		if err := t.Set(confKey(v), c); err != nil {
+		t := store.Txn{Checks: []store.Check{{Key: configKey(v)}}}
+		if err := t.Set(configKey(v), c); err != nil {
 			return 0, err
 		}
 		_, err := a.store.Write(ctx, t)
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
-			a.accepted(v)
+			a.changeAccepted(v)
 			return v, nil
 		case errors.As(err, &conflict):
-			if mine(conflict, c.Nonce) {
+			if hasNonce(conflict, c.Nonce) {
 				return v, nil
 			}
 			if !commutes {
@@ -341,7 +341,7 @@
 			}
 			v++
 		default:
-			if written, rerr := a.settle(ctx, v, c.Nonce); rerr != nil {
+			if written, rerr := a.wasWritten(ctx, v, c.Nonce); rerr != nil {
 				return 0, core.RefuseUnknown(core.CodeStore, err, "the change may or may not have been accepted as version %d", v)
 			} else if written {
 				return v, nil
@@ -351,16 +351,16 @@
 	return 0, core.Refuse(core.CodeConflict, "too many changes at once")
 }
 
-// accepted has a change that this process has written come into force soon.
-func (a *Agent) accepted(v core.Version) {
+// changeAccepted has a change that this process has written come into force soon.
+func (a *Agent) changeAccepted(v core.Version) {
 	// A stopped loop has nothing to bring into force.
-	_ = a.loop.Post(followSoon{})
-	a.compactLater(v)
+	_ = a.loop.Post(configReadDue{})
+	a.scheduleCompaction(v)
 }
 
-// compactLater writes a snapshot once this process runs the version.
-func (a *Agent) compactLater(v core.Version) {
-	if v%compactEvery != 0 {
+// scheduleCompaction writes a snapshot once this process runs the version.
+func (a *Agent) scheduleCompaction(v core.Version) {
+	if v%snapshotInterval != 0 {
 		return
 	}
 	a.loop.Go(func(ctx context.Context) loop.Message {
@@ -378,9 +378,9 @@
 	})
 }
 
-func mine(c *store.ConflictError, nonce string) bool {
+func hasNonce(c *store.ConflictError, nonce string) bool {
 	for _, r := range c.Rows {
-		var got change
+		var got storedChange
 		if json.Unmarshal(r.Val, &got) == nil && got.Nonce == nonce {
 			return true
 		}
@@ -388,13 +388,13 @@
 	return false
 }
 
-// settle reads back whether a write without a reply has taken effect.
-func (a *Agent) settle(ctx context.Context, v core.Version, nonce string) (bool, error) {
-	rows, err := a.store.Scan(ctx, confKey(v), "")
+// wasWritten reads back whether a write without a reply has taken effect.
+func (a *Agent) wasWritten(ctx context.Context, v core.Version, nonce string) (bool, error) {
+	rows, err := a.store.Scan(ctx, configKey(v), "")
 	if err != nil {
 		return false, err
 	}
-	return mine(&store.ConflictError{Rows: rows}, nonce), nil
+	return hasNonce(&store.ConflictError{Rows: rows}, nonce), nil
 }
 
 func storeRefusal(err error) error {
@@ -415,13 +415,13 @@
 
 // History returns all accepted changes, oldest first.
 func (a *Agent) History(ctx context.Context) ([]History, error) {
-	rows, err := a.store.Scan(ctx, confPrefix, "")
+	rows, err := a.store.Scan(ctx, configPrefix, "")
 	if err != nil {
 		return nil, storeRefusal(err)
 	}
 	var out []History
 	for _, r := range rows {
-		var c change
+		var c storedChange
 		if err := json.Unmarshal(r.Val, &c); err != nil {
 			return nil, &store.FormatError{Key: r.Key, Err: err}
 		}
@@ -451,7 +451,7 @@
 	return text, view.Version, nil
 }
 
-func random(n int) string {
+func randomHex(n int) string {
 	b := make([]byte, n)
 	// rand.Read never fails: it ends the program instead.
 	_, _ = rand.Read(b)
--- a/io/agent/limits.go
+++ b/io/agent/limits.go
@@ -17,57 +17,57 @@
 const limitPrefix = "limit/"
 
 type (
-	list struct {
+	vmsReadDone struct {
 		list store.List
 		err  error
 	}
-	bookRead struct {
-		shelf *shelf
-		rows  []store.Row
-		err   error
+	ledgerRead struct {
+		sync *ledgerSync
+		rows []store.Row
+		err  error
 	}
-	bookWritten struct {
-		shelf   *shelf
+	ledgerWriteDone struct {
+		sync    *ledgerSync
 		changes []ledger.Change
 		version uint64
 		err     error
 	}
-	reclaimed struct{}
+	reclaimDone struct{}
 )
 
 // Message implements loop.Message.
-func (list) Message() {}
+func (vmsReadDone) Message() {}
 
 // Message implements loop.Message.
-func (bookRead) Message() {}
+func (ledgerRead) Message() {}
 
 // Message implements loop.Message.
-func (bookWritten) Message() {}
+func (ledgerWriteDone) Message() {}
 
 // Message implements loop.Message.
-func (reclaimed) Message() {}
+func (reclaimDone) Message() {}
 
-// readList reads the list of VMs.
-func (a *Agent) readList(now time.Time) {
-	if a.listing || now.Before(a.nextList) {
+// readVMs reads the list of VMs.
+func (a *Agent) readVMs(now time.Time) {
+	if a.readingVMs || now.Before(a.nextVMsRead) {
 		return
 	}
-	a.listing = true
-	a.nextList = now.Add(listEvery)
-	since := a.listVer
+	a.readingVMs = true
+	a.nextVMsRead = now.Add(vmListInterval)
+	since := a.vmsVersion
 	a.loop.Go(func(ctx context.Context) loop.Message {
 		l, err := a.store.VMs(ctx, since)
-		return list{l, err}
+		return vmsReadDone{l, err}
 	})
 }
 
-func (a *Agent) list(now time.Time, m list) {
-	a.listing = false
-	a.warn("reading the list of VMs", m.err)
-	if m.err != nil || m.list.Same || m.list.Version < a.listVer {
+func (a *Agent) handleVMsRead(now time.Time, m vmsReadDone) {
+	a.readingVMs = false
+	a.logFailureOnce("reading the list of VMs", m.err)
+	if m.err != nil || m.list.Same || m.list.Version < a.vmsVersion {
 		return
 	}
-	a.listVer = m.list.Version
+	a.vmsVersion = m.list.Version
 	old := core.NewSet[string]()
 	for _, vm := range a.vms {
 		if vm.Kind == "entry" {
@@ -78,7 +78,7 @@
 	for _, v := range m.list.VMs {
 		vm, err := v.Core()
 		if err != nil {
-			a.warn("parsing the list of VMs", err)
+			a.logFailureOnce("parsing the list of VMs", err)
 			continue
 		}
 		delete(old, vm.Name)
@@ -87,21 +87,21 @@
 	for name := range old {
 		a.Member.VMGone(now, name)
 	}
-	a.listed = true
+	a.vmsRead = true
 	a.host.VMsChanged(now, a.vms)
 }
 
-// readBook reads a book's rows; the changes that it plans follow the reading.
-func (a *Agent) readBook(now time.Time, s *shelf) {
-	hurry := now.After(s.read.Add(starvedEvery)) && s.book.NeedsMore()
-	if s.busy || (now.Before(s.next) && !hurry) {
+// readLedger reads a book's rows; the changes that it plans follow the reading.
+func (a *Agent) readLedger(now time.Time, s *ledgerSync) {
+	hurry := now.After(s.lastRead.Add(minLedgerInterval)) && s.ledger.NeedsMore()
+	if s.inFlight || (now.Before(s.nextRead) && !hurry) {
 		return
 	}
-	s.busy = true
-	s.read = now
-	s.next = now.Add(bookEvery)
+	s.inFlight = true
+	s.lastRead = now
+	s.nextRead = now.Add(ledgerInterval)
 	a.loop.Go(func(ctx context.Context) loop.Message {
-		m := bookRead{shelf: s}
+		m := ledgerRead{sync: s}
 		for _, prefix := range s.prefixes {
 			rows, err := a.store.Scan(ctx, limitPrefix+prefix, "")
 			if err != nil {
@@ -114,10 +114,10 @@
 	})
 }
 
-func (a *Agent) bookRead(now time.Time, m bookRead) {
-	s := m.shelf
-	s.busy = false
-	a.warn("reading limits", m.err)
+func (a *Agent) handleLedgerRead(now time.Time, m ledgerRead) {
+	s := m.sync
+	s.inFlight = false
+	a.logFailureOnce("reading limits", m.err)
 	if m.err != nil {
 		return
 	}
@@ -125,51 +125,51 @@
 		name := strings.TrimPrefix(r.Key, limitPrefix)
 		var row ledger.Row
 		if err := json.Unmarshal(r.Val, &row); err != nil {
-			a.warn("parsing the limit "+name, &store.FormatError{Key: r.Key, Err: err})
-			s.book.MarkMalformed(name)
+			a.logFailureOnce("parsing the limit "+name, &store.FormatError{Key: r.Key, Err: err})
+			s.ledger.MarkMalformed(name)
 			continue
 		}
-		s.book.Observe(name, r.Version, row)
+		s.ledger.Observe(name, r.Version, row)
 	}
 	a.host.BookRead(now)
-	a.writeBook(s)
+	a.writeLedger(s)
 }
 
-// writeBook writes the changes that a book plans on what it has just read.
-func (a *Agent) writeBook(s *shelf) {
-	changes := s.book.Plan()
+// writeLedger writes the changes that a book plans on what it has just read.
+func (a *Agent) writeLedger(s *ledgerSync) {
+	changes := s.ledger.Plan()
 	if len(changes) == 0 {
 		return
 	}
-	s.busy = true
+	s.inFlight = true
 	a.loop.Go(func(ctx context.Context) loop.Message {
 		var t store.Txn
 		for _, c := range changes {
 			key := limitPrefix + c.Name
 			t.Checks = append(t.Checks, store.Check{Key: key, Version: c.Version})
 			if err := t.Set(key, c.Row); err != nil {
-				return bookWritten{s, changes, 0, err}
+				return ledgerWriteDone{s, changes, 0, err}
 			}
 		}
 		v, err := a.store.Write(ctx, t)
-		return bookWritten{s, changes, v, err}
+		return ledgerWriteDone{s, changes, v, err}
 	})
 }
 
-func (a *Agent) bookWritten(m bookWritten) {
-	s := m.shelf
-	s.busy = false
+func (a *Agent) handleLedgerWrite(m ledgerWriteDone) {
+	s := m.sync
+	s.inFlight = false
 	versions := make([]uint64, len(m.changes))
 	for i := range versions {
 		versions[i] = m.version
 	}
-	s.book.Applied(m.changes, versions, m.err == nil)
+	s.ledger.Applied(m.changes, versions, m.err == nil)
 	var conflict *store.ConflictError
 	if errors.As(m.err, &conflict) {
-		s.next = time.Time{}
+		s.nextRead = time.Time{}
 		return
 	}
-	a.warn("writing limits", m.err)
+	a.logFailureOnce("writing limits", m.err)
 }
 
 // reclaim frees the parts of sessions that are surely dead once the longest
@@ -178,23 +178,23 @@
 	if a.reclaiming || now.Before(a.nextReclaim) || a.Member.State() != "live" {
 		return
 	}
-	a.nextReclaim = now.Add(reclaimEvery)
-	dead := a.Member.DeadFor(now, a.longestRun())
+	a.nextReclaim = now.Add(reclaimInterval)
+	dead := a.Member.DeadFor(now, a.longestRequestTime())
 	if len(dead) == 0 {
 		return
 	}
 	a.reclaiming = true
 	a.loop.Go(func(ctx context.Context) loop.Message {
 		for _, d := range dead {
-			if err := a.reclaimOne(ctx, d); err != nil {
+			if err := a.reclaimSession(ctx, d); err != nil {
 				break
 			}
 		}
-		return reclaimed{}
+		return reclaimDone{}
 	})
 }
 
-func (a *Agent) longestRun() time.Duration {
+func (a *Agent) longestRequestTime() time.Duration {
 	longest := time.Duration(0)
 	for _, q := range a.Conf.Rules().Queues {
 		longest = max(longest, q.Run)
@@ -202,7 +202,7 @@
 	return longest
 }
 
-func (a *Agent) reclaimOne(ctx context.Context, d member.DeleteSession) error {
+func (a *Agent) reclaimSession(ctx context.Context, d member.DeleteSession) error {
 	rows, err := a.store.Scan(ctx, limitPrefix, "")
 	if err != nil {
 		return err
--- a/io/agent/session.go
+++ b/io/agent/session.go
@@ -29,91 +29,91 @@
 func CellKey(id core.CellID) string { return cellPrefix + id.String() }
 
 type (
-	sessionWritten struct {
+	sessionWriteDone struct {
 		id      core.SessionID
 		sent    time.Time
 		version uint64
 		err     error
 	}
-	scanned struct {
-		sent     time.Time
-		sessions []core.Row[member.Session]
-		claims   []core.Row[member.Claim]
-		bad      []error
-		err      error
+	membersRead struct {
+		sent      time.Time
+		sessions  []core.Row[member.Session]
+		claims    []core.Row[member.Claim]
+		malformed []error
+		err       error
 	}
-	claimWritten struct {
+	claimWriteDone struct {
 		claim   member.Claim
 		version uint64
 		err     error
 	}
-	probed struct {
+	probeDone struct {
 		id       core.SessionID
 		liveness member.Liveness
 	}
-	held struct {
+	renewalAnswered struct {
 		from   core.SessionID
 		round  int
 		answer member.Answer
 	}
-	holdAsked struct {
+	renewalRequest struct {
 		row     member.Session
 		version uint64
 		resign  bool
 		reply   chan<- member.Answer
 	}
-	renewedFor struct {
-		ask     holdAsked
+	peerRenewalDone struct {
+		request renewalRequest
 		version uint64
 		err     error
 	}
-	aliveAsked struct{ reply chan<- peer.Alive }
+	aliveRequest struct{ reply chan<- peer.Alive }
 )
 
 // Message implements loop.Message.
-func (sessionWritten) Message() {}
+func (sessionWriteDone) Message() {}
 
 // Message implements loop.Message.
-func (scanned) Message() {}
+func (membersRead) Message() {}
 
 // Message implements loop.Message.
-func (claimWritten) Message() {}
+func (claimWriteDone) Message() {}
 
 // Message implements loop.Message.
-func (probed) Message() {}
+func (probeDone) Message() {}
 
 // Message implements loop.Message.
-func (held) Message() {}
+func (renewalAnswered) Message() {}
 
 // Message implements loop.Message.
-func (holdAsked) Message() {}
+func (renewalRequest) Message() {}
 
 // Message implements loop.Message.
-func (renewedFor) Message() {}
+func (peerRenewalDone) Message() {}
 
 // Message implements loop.Message.
-func (aliveAsked) Message() {}
+func (aliveRequest) Message() {}
 
-// act carries out one action of the membership.
-func (a *Agent) act(act member.Action) {
+// perform carries out one action of the membership.
+func (a *Agent) perform(act member.Action) {
 	switch act := act.(type) {
 	case member.WriteSession:
 		a.loop.Go(func(ctx context.Context) loop.Message {
 			sent := time.Now()
 			v, err := a.writeSession(ctx, act.Row, act.Version)
-			return sessionWritten{act.Row.Process.ID, sent, v, err}
+			return sessionWriteDone{act.Row.Process.ID, sent, v, err}
 		})
 	case member.Scan:
-		a.loop.Go(a.scanMembers)
+		a.loop.Go(a.readMembers)
 	case member.WriteClaim:
 		a.loop.Go(func(ctx context.Context) loop.Message {
 			v, err := a.writeClaim(ctx, act)
-			return claimWritten{act.Claim, v, err}
+			return claimWriteDone{act.Claim, v, err}
 		})
 	case member.Probe:
-		a.loop.Go(func(ctx context.Context) loop.Message { return probed{act.Process.ID, a.probe(ctx, act.Process)} })
+		a.loop.Go(func(ctx context.Context) loop.Message { return probeDone{act.Process.ID, a.probe(ctx, act.Process)} })
 	case member.AskHold:
-		a.loop.Go(func(ctx context.Context) loop.Message { return a.askHold(ctx, act) })
+		a.loop.Go(func(ctx context.Context) loop.Message { return a.requestRenewal(ctx, act) })
 	case member.Resign:
 		a.log.Warn("cut off from the store alone: giving the cells up")
 		a.loop.Go(func(ctx context.Context) loop.Message {
@@ -137,11 +137,11 @@
 	return a.store.Write(ctx, t)
 }
 
-func (a *Agent) sessionWritten(now time.Time, m sessionWritten) {
+func (a *Agent) handleSessionWrite(now time.Time, m sessionWriteDone) {
 	if m.id != a.Member.Self().ID {
 		return
 	}
-	a.warn("renewing the session", m.err)
+	a.logFailureOnce("renewing the session", m.err)
 	var conflict *store.ConflictError
 	switch {
 	case m.err == nil:
@@ -153,8 +153,8 @@
 	}
 }
 
-func (a *Agent) scanMembers(ctx context.Context) loop.Message {
-	m := scanned{sent: time.Now()}
+func (a *Agent) readMembers(ctx context.Context) loop.Message {
+	m := membersRead{sent: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, store.Quick)
 	defer cancel()
 	rows, err := a.store.Scan(ctx, memberPrefix, "")
@@ -170,7 +170,7 @@
 			m.claims, bad = decodeRow(m.claims, r)
 		}
 		if bad != nil {
-			m.bad = append(m.bad, bad)
+			m.malformed = append(m.malformed, bad)
 		}
 	}
 	return m
@@ -185,14 +185,14 @@
 	return append(into, core.Row[T]{Val: val, Version: r.Version}), nil
 }
 
-func (a *Agent) scanned(now time.Time, m scanned) {
-	a.warn("reading the sessions", m.err)
+func (a *Agent) handleMembersRead(now time.Time, m membersRead) {
+	a.logFailureOnce("reading the sessions", m.err)
 	if m.err != nil {
 		a.Member.ScanFailed()
 		return
 	}
-	for _, err := range m.bad {
-		a.warn("parsing a row", err)
+	for _, err := range m.malformed {
+		a.logFailureOnce("parsing a row", err)
 	}
 	a.Member.Scanned(now, m.sent, m.sessions, m.claims)
 	keep := core.NewSet[netip.AddrPort]()
@@ -215,7 +215,7 @@
 	return a.store.Write(ctx, t)
 }
 
-func (a *Agent) claimWritten(m claimWritten) error {
+func (a *Agent) handleClaimWrite(m claimWriteDone) error {
 	var conflict *store.ConflictError
 	if m.claim.Owner == "" {
 		if m.err != nil {
@@ -261,23 +261,23 @@
 	}
 }
 
-func (a *Agent) askHold(ctx context.Context, act member.AskHold) loop.Message {
+func (a *Agent) requestRenewal(ctx context.Context, act member.AskHold) loop.Message {
 	ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 	defer cancel()
 	answer, err := a.peers.Hold(ctx, act.Peer, act.Row, act.Version, false)
 	if err != nil {
 		answer = member.Answer{Dead: a.probe(context.WithoutCancel(ctx), act.Peer) == member.Dead}
 	}
-	return held{act.Peer.ID, act.Round, answer}
+	return renewalAnswered{act.Peer.ID, act.Round, answer}
 }
 
 // RenewOrPromise answers a peer that cannot renew its session; it is called by traffic
 // goroutines.
 func (a *Agent) RenewOrPromise(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
-	return loop.Ask(ctx, a.loop, func(c chan<- member.Answer) loop.Message { return holdAsked{row, version, resign, c} })
+	return loop.Ask(ctx, a.loop, func(c chan<- member.Answer) loop.Message { return renewalRequest{row, version, resign, c} })
 }
 
-func (a *Agent) holdAsked(now time.Time, m holdAsked) {
+func (a *Agent) handleRenewalRequest(now time.Time, m renewalRequest) {
 	if m.resign {
 		a.loop.Go(func(ctx context.Context) loop.Message {
 			// Without an answer the lease lapses by itself.
@@ -292,25 +292,25 @@
 		return
 	}
 	a.loop.Go(func(ctx context.Context) loop.Message {
-		ctx, cancel := context.WithTimeout(ctx, holdTimeout)
+		ctx, cancel := context.WithTimeout(ctx, peerRenewTimeout)
 		defer cancel()
 		v, err := a.writeSession(ctx, m.row, m.version)
-		return renewedFor{m, v, err}
+		return peerRenewalDone{m, v, err}
 	})
 }
 
-func (a *Agent) renewedFor(now time.Time, m renewedFor) {
+func (a *Agent) handlePeerRenewal(now time.Time, m peerRenewalDone) {
 	if m.err == nil {
-		m.ask.reply <- member.Answer{Renewed: true, Version: m.version}
+		m.request.reply <- member.Answer{Renewed: true, Version: m.version}
 		return
 	}
-	m.ask.reply <- a.Member.Promise(now, m.ask.row.Process)
+	m.request.reply <- a.Member.Promise(now, m.request.row.Process)
 }
 
 // Alive answers a peer's question about this process; it is called by traffic
 // goroutines.
 func (a *Agent) Alive(ctx context.Context) (peer.Alive, error) {
-	return loop.Ask(ctx, a.loop, func(c chan<- peer.Alive) loop.Message { return aliveAsked{c} })
+	return loop.Ask(ctx, a.loop, func(c chan<- peer.Alive) loop.Message { return aliveRequest{c} })
 }
 
 func (a *Agent) alive(now time.Time) peer.Alive {
@@ -321,7 +321,7 @@
 }
 
 // ReleaseCell writes the row that hands a cell over.
-func (a *Agent) ReleaseCell(now time.Time, c member.Claim) { a.act(a.Member.Release(now, c)) }
+func (a *Agent) ReleaseCell(now time.Time, c member.Claim) { a.perform(a.Member.Release(now, c)) }
 
 // DeleteSession deletes the own session row and closes done, which ends a planned
 // stop.
--- a/io/gate/conn.go
+++ b/io/gate/conn.go
@@ -20,45 +20,45 @@
 	maxIdle = 4
 )
 
-// noBody is an empty body that the HTTP client cannot take for one that may be
+// emptyBody is an empty body that the HTTP client cannot take for one that may be
 // sent again.
-type noBody struct{}
+type emptyBody struct{}
 
 // Read implements io.Reader.
-func (noBody) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
 // Close implements io.Closer.
-func (noBody) Close() error { return nil }
+func (emptyBody) Close() error { return nil }
 
-// SealedError reports a write to a connection whose request has been given up.
-type SealedError struct{}
+// WriteBlockedError reports a write to a connection whose request has been given up.
+type WriteBlockedError struct{}
 
 // Error implements error.
-func (*SealedError) Error() string { return "the request has been given up" }
+func (*WriteBlockedError) Error() string { return "the request has been given up" }
 
-// countConn knows whether anything has been written since it was marked.
-type countConn struct {
+// trackedConn knows whether anything has been written since it was marked.
+type trackedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	wrote  bool
-	sealed bool
+	mu      sync.Mutex
+	wrote   bool
+	blocked bool
 }
 
 // Write implements net.Conn.
-func (c *countConn) Write(b []byte) (int, error) {
+func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.blocked {
 		c.mu.Unlock()
-		return 0, &SealedError{}
+		return 0, &WriteBlockedError{}
 	}
 	c.wrote = true
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-// mark begins a new request on a connection.
-func mark(conn net.Conn) *countConn {
-	c, ok := conn.(*countConn)
+// startRequest begins a new request on a connection.
+func startRequest(conn net.Conn) *trackedConn {
+	c, ok := conn.(*trackedConn)
 	if !ok {
 		return nil
 	}
@@ -68,12 +68,12 @@
 	return c
 }
 
-// seal lets nothing more be written and reports whether nothing has been
+// blockWrites lets nothing more be written and reports whether nothing has been
 // written since the mark: then the request has surely not been sent.
-func (c *countConn) seal() bool {
+func (c *trackedConn) blockWrites() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
+	c.blocked = true
 	return !c.wrote
 }
 
@@ -85,7 +85,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countConn{Conn: conn}, nil
+			return &trackedConn{Conn: conn}, nil
 		},
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: maxIdle,
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// tickEvery is the precision of a request's longest wait.
-	tickEvery = 20 * time.Millisecond
-	// wantEvery is how often the wanted slots are worked out.
-	wantEvery = 200 * time.Millisecond
+	// tickInterval is the precision of a request's longest wait.
+	tickInterval = 20 * time.Millisecond
+	// demandInterval is how often the wanted slots are worked out.
+	demandInterval = 200 * time.Millisecond
 )
 
 // Peers calls other processes.
@@ -47,117 +47,117 @@
 
 // Gate is the control state of the process.
 type Gate struct {
-	loop    *loop.Loop
-	Agent   *agent.Agent
-	region  core.Region
-	store   agent.Store
-	peers   Peers
-	meter   Meter
-	log     *logrus.Entry
-	admit   *admit.Controller
-	book    *ledger.Ledger
-	onces   *onces
-	targets http.RoundTripper
-	// waiting holds the traffic goroutine that waits for each request.
-	waiting  map[uint64]chan<- admit.Event
-	nextTick time.Time
-	nextWant time.Time
-	// near and all count the gates of the region and of the fleet.
-	near, all int
-	// turn spreads jobs over the cells of the region.
-	turn     int
-	leaving  bool
-	leftDone bool
-	left     chan struct{}
+	loop      *loop.Loop
+	Agent     *agent.Agent
+	region    core.Region
+	store     agent.Store
+	peers     Peers
+	meter     Meter
+	log       *logrus.Entry
+	admission *admit.Controller
+	ledger    *ledger.Ledger
+	intents   *intentWriter
+	transport http.RoundTripper
+	// eventChans holds the traffic goroutine that waits for each request.
+	eventChans map[uint64]chan<- admit.Event
+	nextTick   time.Time
+	nextDemand time.Time
+	// regionGates and all count the gates of the region and of the fleet.
+	regionGates, fleetGates int
+	// rotation spreads jobs over the cells of the region.
+	rotation     int
+	draining     bool
+	sessionEnded bool
+	drained      chan struct{}
 }
 
 // New returns a gate that has not joined yet.
 func New(l *loop.Loop, st agent.Store, p Peers, m *member.Member, mt Meter, log *logrus.Entry) *Gate {
 	book := ledger.New(ledger.Holder(m.Self().ID))
 	g := &Gate{
-		loop: l, region: m.Self().Region, store: st, peers: p, meter: mt, log: log, book: book,
-		admit: admit.New(m.Self().Region, m.Self().Zone, book), targets: newTransport(),
-		waiting: map[uint64]chan<- admit.Event{}, left: make(chan struct{}),
+		loop: l, region: m.Self().Region, store: st, peers: p, meter: mt, log: log, ledger: book,
+		admission: admit.New(m.Self().Region, m.Self().Zone, book), transport: newTransport(),
+		eventChans: map[uint64]chan<- admit.Event{}, drained: make(chan struct{}),
 	}
-	g.onces = newOnces(st)
+	g.intents = newIntentWriter(st)
 	g.Agent = agent.New(l, st, p, g, m, log)
 	g.Agent.AddLedger(book, "slots/", "calls/")
 	return g
 }
 
 // Left is closed once a planned stop is complete.
-func (g *Gate) Left() <-chan struct{} { return g.left }
+func (g *Gate) Left() <-chan struct{} { return g.drained }
 
 type (
-	admitAsked struct {
+	authRequest struct {
 		queue core.Queue
 		team  core.Team
 		key   string
-		reply chan<- admitted
+		reply chan<- authResult
 	}
-	admitted struct {
+	authResult struct {
 		team core.Team
 		rule *rules.Queue
 		err  error
 	}
-	ownerAsked struct {
+	teamRequest struct {
 		key   string
-		reply chan<- admitted
+		reply chan<- authResult
 	}
-	slotAsked struct {
-		ask    admit.Request
-		events chan<- admit.Event
+	slotRequest struct {
+		request admit.Request
+		events  chan<- admit.Event
 	}
-	ended struct {
+	requestDone struct {
 		id      uint64
 		outcome admit.Outcome
 		err     error
 	}
-	callerLeft struct{ id uint64 }
-	ownersRead struct{ reply chan<- owners }
-	owners     struct {
+	callerGone    struct{ id uint64 }
+	ownersRequest struct{ reply chan<- ownersReply }
+	ownersReply   struct {
 		cells map[core.CellID]core.Process
 		peers []core.Process
 		self  core.Process
 	}
-	dumpAsked   struct{ reply chan<- Dump }
-	placesAsked struct {
+	dumpRequest  struct{ reply chan<- Dump }
+	cellsRequest struct {
 		needs []core.Resources
 		reply chan<- []core.CellID
 	}
-	readyAsked struct{ reply chan<- bool }
-	leave      struct{}
+	readyRequest struct{ reply chan<- bool }
+	drainRequest struct{}
 )
 
 // Message implements loop.Message.
-func (admitAsked) Message() {}
+func (authRequest) Message() {}
 
 // Message implements loop.Message.
-func (slotAsked) Message() {}
+func (slotRequest) Message() {}
 
 // Message implements loop.Message.
-func (ownerAsked) Message() {}
+func (teamRequest) Message() {}
 
 // Message implements loop.Message.
-func (ended) Message() {}
+func (requestDone) Message() {}
 
 // Message implements loop.Message.
-func (callerLeft) Message() {}
+func (callerGone) Message() {}
 
 // Message implements loop.Message.
-func (ownersRead) Message() {}
+func (ownersRequest) Message() {}
 
 // Message implements loop.Message.
-func (dumpAsked) Message() {}
+func (dumpRequest) Message() {}
 
 // Message implements loop.Message.
-func (readyAsked) Message() {}
+func (readyRequest) Message() {}
 
 // Message implements loop.Message.
-func (placesAsked) Message() {}
+func (cellsRequest) Message() {}
 
 // Message implements loop.Message.
-func (leave) Message() {}
+func (drainRequest) Message() {}
 
 // Dump is the whole control state for people.
 type Dump struct {
@@ -168,7 +168,7 @@
 }
 
 // Leave begins a planned stop.
-func (g *Gate) Leave() { _ = g.loop.Post(leave{}) }
+func (g *Gate) Leave() { _ = g.loop.Post(drainRequest{}) }
 
 // Handle implements loop.Handler.
 func (g *Gate) Handle(now time.Time, m loop.Message) {
@@ -176,83 +176,83 @@
 		return
 	}
 	switch m := m.(type) {
-	case admitAsked:
-		m.reply <- g.admitted(now, m)
-	case ownerAsked:
+	case authRequest:
+		m.reply <- g.handleAuth(now, m)
+	case teamRequest:
 		team, err := g.Agent.Conf.TeamOf(now, m.key)
-		m.reply <- admitted{team: team, err: err}
-	case slotAsked:
-		g.waiting[m.ask.ID] = m.events
-		g.tell(g.admit.Admit(now, m.ask))
-	case ended:
-		g.tell(g.admit.RequestEnded(now, m.id, m.outcome, m.err))
-	case callerLeft:
-		g.tell(g.admit.CallerGone(now, m.id))
-	case ownersRead:
-		m.reply <- owners{g.Agent.Member.Owners(), g.Agent.Member.Peers(), g.Agent.Member.Self()}
-	case placesAsked:
-		m.reply <- g.places(m.needs)
-	case dumpAsked:
+		m.reply <- authResult{team: team, err: err}
+	case slotRequest:
+		g.eventChans[m.request.ID] = m.events
+		g.deliver(g.admission.Admit(now, m.request))
+	case requestDone:
+		g.deliver(g.admission.RequestEnded(now, m.id, m.outcome, m.err))
+	case callerGone:
+		g.deliver(g.admission.CallerGone(now, m.id))
+	case ownersRequest:
+		m.reply <- ownersReply{g.Agent.Member.Owners(), g.Agent.Member.Peers(), g.Agent.Member.Self()}
+	case cellsRequest:
+		m.reply <- g.candidateCells(m.needs)
+	case dumpRequest:
 		m.reply <- g.dump()
-	case readyAsked:
-		m.reply <- !g.leaving && g.Agent.Ready()
-	case leave:
+	case readyRequest:
+		m.reply <- !g.draining && g.Agent.Ready()
+	case drainRequest:
 		g.log.Info("leaving: finishing the requests in flight")
-		g.leaving = true
+		g.draining = true
 	}
 }
 
-// tell passes events on to the traffic goroutines that wait for them.
-func (g *Gate) tell(events []admit.Event) {
+// deliver passes events on to the traffic goroutines that wait for them.
+func (g *Gate) deliver(events []admit.Event) {
 	for _, ev := range events {
-		c := g.waiting[ev.ID]
+		c := g.eventChans[ev.ID]
 		if c == nil {
 			continue
 		}
 		c <- ev
 		if _, granted := ev.Target.Get(); !granted {
-			delete(g.waiting, ev.ID)
+			delete(g.eventChans, ev.ID)
 		}
 	}
 }
 
-func (g *Gate) admitted(now time.Time, m admitAsked) admitted {
-	if g.leaving {
+func (g *Gate) handleAuth(now time.Time, m authRequest) authResult {
+	if g.draining {
 		r := core.Refuse(core.CodeLeaving, "this gate is about to stop")
 		r.RetryAfter = time.Second
-		return admitted{err: r}
+		return authResult{err: r}
 	}
 	team, rule, err := g.Agent.Conf.Admit(now, m.queue, m.team, m.key)
-	return admitted{team, rule, err}
+	return authResult{team, rule, err}
 }
 
 // Wake implements loop.Handler.
 func (g *Gate) Wake(now time.Time) time.Time {
 	if !now.Before(g.nextTick) {
-		g.nextTick = now.Add(tickEvery)
-		g.tell(g.admit.Tick(now))
-		g.observe()
+		g.nextTick = now.Add(tickInterval)
+		g.deliver(g.admission.Tick(now))
+		g.reportAdmission()
 	}
-	if !now.Before(g.nextWant) {
-		g.nextWant = now.Add(wantEvery)
-		g.admit.UpdateDemand()
-		g.countGates()
+	if !now.Before(g.nextDemand) {
+		g.nextDemand = now.Add(demandInterval)
+		g.admission.UpdateDemand()
+		g.updateGateCounts()
 	}
 	next := g.Agent.Tick(now)
-	g.rename()
-	g.leave()
-	return core.Earlier(core.Earlier(next, g.nextTick), g.nextWant)
+	g.renameLedger()
+	g.finishDrain()
+	return core.Earlier(core.Earlier(next, g.nextTick), g.nextDemand)
 }
 
-func (g *Gate) observe() {
-	g.Agent.LogRefusals(g.admit.Refusals())
-	for _, w := range g.admit.Waits() {
+func (g *Gate) reportAdmission() {
+	g.Agent.LogRefusals(g.admission.Refusals())
+	for _, w := range g.admission.Waits() {
 		g.meter.RequestWait(w.Queue, w.Time)
 	}
 }
 
-// countGates follows the number of gates that divide the region's targets.
-func (g *Gate) countGates() {
+// updateGateCounts follows the number of gates that divide the region's targets.
+func (g *Gate) updateGateCounts() {
 	near, all := 1, 1
 	self := g.Agent.Member.Self()
 	for _, p := range g.Agent.Member.Peers() {
@@ -263,22 +263,22 @@
 			}
 		}
 	}
-	if near != g.near || all != g.all {
-		g.near, g.all = near, all
-		g.admit.SetGates(near, all)
+	if near != g.regionGates || all != g.fleetGates {
+		g.regionGates, g.fleetGates = near, all
+		g.admission.SetGates(near, all)
 	}
 }
 
-// rename carries the slots over when the session has joined under a new name.
+// renameLedger carries the slots over when the session has joined under a new name.
 // The parts of the old name stay counted until they are reclaimed.
-func (g *Gate) rename() {
-	if h := ledger.Holder(g.Agent.Member.Self().ID); h != g.book.Holder() {
-		g.book.Rename(h)
+func (g *Gate) renameLedger() {
+	if h := ledger.Holder(g.Agent.Member.Self().ID); h != g.ledger.Holder() {
+		g.ledger.Rename(h)
 	}
 }
 
 // ConfigChanged implements agent.Host.
-func (g *Gate) ConfigChanged(time.Time) { g.admit.SetRules(g.Agent.Conf.Rules()) }
+func (g *Gate) ConfigChanged(time.Time) { g.admission.SetRules(g.Agent.Conf.Rules()) }
 
 // VMsChanged implements agent.Host.
 func (g *Gate) VMsChanged(now time.Time, vms []core.VM) {
@@ -288,47 +288,47 @@
 			targets = append(targets, vm)
 		}
 	}
-	g.tell(g.admit.SetTargets(now, targets))
+	g.deliver(g.admission.SetTargets(now, targets))
 }
 
 // BookRead implements agent.Host.
-func (g *Gate) BookRead(now time.Time) { g.tell(g.admit.Tick(now)) }
+func (g *Gate) BookRead(now time.Time) { g.deliver(g.admission.Tick(now)) }
 
 func (g *Gate) dump() Dump {
-	d := Dump{Agent: g.Agent.Dump(), Mailbox: g.loop.Depth(), Targets: g.admit.Targets()}
-	d.Waiting, d.Sending = g.admit.Waiting()
+	d := Dump{Agent: g.Agent.Dump(), Mailbox: g.loop.Depth(), Targets: g.admission.Targets()}
+	d.Waiting, d.Sending = g.admission.Waiting()
 	return d
 }
 
 // Dump returns the whole control state; it is called by traffic goroutines.
 func (g *Gate) Dump(ctx context.Context) (any, error) {
-	return loop.Ask(ctx, g.loop, func(c chan<- Dump) loop.Message { return dumpAsked{c} })
+	return loop.Ask(ctx, g.loop, func(c chan<- Dump) loop.Message { return dumpRequest{c} })
 }
 
 // Ready reports whether the balancer may send requests here.
 func (g *Gate) Ready(ctx context.Context) bool {
-	ok, err := loop.Ask(ctx, g.loop, func(c chan<- bool) loop.Message { return readyAsked{c} })
+	ok, err := loop.Ask(ctx, g.loop, func(c chan<- bool) loop.Message { return readyRequest{c} })
 	return err == nil && ok
 }
 
-// leave ends a planned stop: requests in flight end, slots go back, then the
+// finishDrain ends a planned stop: requests in flight end, slots go back, then the
 // session ends.
-func (g *Gate) leave() {
-	if !g.leaving || g.leftDone {
+func (g *Gate) finishDrain() {
+	if !g.draining || g.sessionEnded {
 		return
 	}
-	if waiting, sending := g.admit.Waiting(); waiting+sending > 0 || g.onces.active() > 0 {
+	if waiting, sending := g.admission.Waiting(); waiting+sending > 0 || g.intents.inFlight() > 0 {
 		return
 	}
-	g.book.ZeroTotals(func(string) bool { return false })
-	for _, name := range g.book.Names() {
-		if g.book.Held(name) > 0 {
+	g.ledger.ZeroTotals(func(string) bool { return false })
+	for _, name := range g.ledger.Names() {
+		if g.ledger.Held(name) > 0 {
 			return
 		}
 	}
-	g.leftDone = true
+	g.sessionEnded = true
 	g.Agent.Member.Drain()
-	g.Agent.DeleteSession(g.left)
+	g.Agent.DeleteSession(g.drained)
 }
 
 // Alive implements peer.Backend.
--- a/io/gate/jobs.go
+++ b/io/gate/jobs.go
@@ -22,13 +22,13 @@
 
 const (
 	maxJobBody = 4 << 20
-	// submitFor is how long a gate looks for the owner of a cell.
-	submitFor   = 10 * time.Second
-	submitPause = 150 * time.Millisecond
-	// callTimeout bounds one call to an owner; the owner's journal may be slow.
-	callTimeout = 4 * time.Second
-	defaultList = 100
-	milli       = 1000
+	// ownerTimeout is how long a gate looks for the owner of a cell.
+	ownerTimeout       = 10 * time.Second
+	ownerRetryInterval = 150 * time.Millisecond
+	// ownerCallTimeout bounds one call to an owner; the owner's journal may be slow.
+	ownerCallTimeout = 4 * time.Second
+	defaultListSize  = 100
+	milliPerCore     = 1000
 )
 
 // JobRequest is the body that submits a job.
@@ -76,17 +76,17 @@
 	Repeated bool `json:"repeated,omitempty"`
 }
 
-func moment(t time.Time) *time.Time {
+func timePtr(t time.Time) *time.Time {
 	if t.IsZero() {
 		return nil
 	}
 	return &t
 }
 
-func viewOf(v cell.View) JobView {
+func newJobView(v cell.View) JobView {
 	return JobView{
-		string(v.ID), string(v.Team), string(v.Queue), string(v.Kind), v.State, v.Submitted, moment(v.Started),
-		moment(v.Ended), moment(v.Due), v.Tasks, v.Queued, v.Running, v.Done, v.Failed, v.Cancelled, v.Blocked,
+		string(v.ID), string(v.Team), string(v.Queue), string(v.Kind), v.State, v.Submitted, timePtr(v.Started),
+		timePtr(v.Ended), timePtr(v.Due), v.Tasks, v.Queued, v.Running, v.Done, v.Failed, v.Cancelled, v.Blocked,
 	}
 }
 
@@ -117,7 +117,7 @@
 			return req, nil, core.Refuse(core.CodeBadInput, "task %d needs a positive number of cores and no negative amount", i)
 		}
 		spec := cell.TaskSpec{
-			Need:     core.Resources{Cores: int64(math.Ceil(t.Cores * milli)), Memory: t.Memory, Accel: t.Accel},
+			Need:     core.Resources{Cores: int64(math.Ceil(t.Cores * milliPerCore)), Memory: t.Memory, Accel: t.Accel},
 			Estimate: run, Command: t.Command,
 		}
 		for range count {
@@ -152,22 +152,22 @@
 	if claimed == "" {
 		claimed = core.Team(req.Team)
 	}
-	team, rule, err := g.enter(r.Context(), core.Queue(req.Queue), claimed, key)
+	team, rule, err := g.authorize(r.Context(), core.Queue(req.Queue), claimed, key)
 	if err != nil {
 		return Submitted{}, err
 	}
 	if rule.Kind == rules.Answer {
 		return Submitted{}, core.Refuse(core.CodeBadInput, "queue %q takes requests, not jobs", req.Queue)
 	}
-	spec := newSpec(team, rule, tasks, time.Now().UTC())
+	spec := newJobSpec(team, rule, tasks, time.Now().UTC())
 	if err := g.chooseCell(r, &spec); err != nil {
 		return Submitted{}, err
 	}
-	repeated, err := g.hand(r.Context(), spec)
+	repeated, err := g.submitToOwner(r.Context(), spec)
 	return Submitted{string(spec.ID), repeated}, err
 }
 
-func newSpec(team core.Team, rule *rules.Queue, tasks []cell.TaskSpec, now time.Time) cell.JobSpec {
+func newJobSpec(team core.Team, rule *rules.Queue, tasks []cell.TaskSpec, now time.Time) cell.JobSpec {
 	spec := cell.JobSpec{Team: team, Queue: rule.Name, Kind: rule.Kind, Tasks: tasks, Submitted: now}
 	if rule.Start > 0 {
 		spec.Start = now.Add(rule.Start)
@@ -185,7 +185,7 @@
 	for _, t := range spec.Tasks {
 		needs = append(needs, t.Need)
 	}
-	places, err := loop.Ask(r.Context(), g.loop, func(c chan<- []core.CellID) loop.Message { return placesAsked{needs, c} })
+	places, err := loop.Ask(r.Context(), g.loop, func(c chan<- []core.CellID) loop.Message { return cellsRequest{needs, c} })
 	if err != nil {
 		return core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
@@ -193,11 +193,11 @@
 		return core.Refuse(core.CodeTooLarge, "no worker of the fleet is large enough for every task")
 	}
 	spec.ID = core.NewJobID(places[0], rand.Text()[:16])
-	key := r.Header.Get(onceHeader)
+	key := r.Header.Get(idempotencyHeader)
 	if key == "" {
 		return nil
 	}
-	v := g.onces.first(r.Context(), onceKey("job", spec.Team, key), intent{
+	v := g.intents.record(r.Context(), intentKey("job", spec.Team, key), intent{
 		Gate: g.Agent.Name(), Nonce: rand.Text(), Job: spec.ID, At: spec.Submitted,
 	})
 	if v.err != nil {
@@ -205,15 +205,15 @@
 		e.Err = v.err
 		return e
 	}
-	if !v.first {
+	if !v.isFirst {
 		spec.ID = v.earlier.Job
 	}
 	return nil
 }
 
-// places returns the cells with a worker large enough for each task, those of
+// candidateCells returns the cells with a worker large enough for each task, those of
 // the own region first and in turn.
-func (g *Gate) places(needs []core.Resources) []core.CellID {
+func (g *Gate) candidateCells(needs []core.Resources) []core.CellID {
 	largest := map[core.CellID][]core.Resources{}
 	for _, vm := range g.Agent.VMs() {
 		if vm.Kind == "worker" && !vm.Leaving {
@@ -225,28 +225,28 @@
 	}
 	var out []core.CellID
 	for id, rooms := range largest {
-		if fitsAll(needs, rooms) {
+		if allFit(needs, rooms) {
 			out = append(out, id)
 		}
 	}
-	g.turn++
+	g.rotation++
 	self := g.Agent.Member.Self().Region
 	slices.SortFunc(out, func(a, b core.CellID) int {
-		return cmp.Or(cmp.Compare(far(a, self), far(b, self)), cmp.Compare(g.turned(a), g.turned(b)), cmp.Compare(a.Region, b.Region))
+		return cmp.Or(cmp.Compare(remoteRank(a, self), remoteRank(b, self)), cmp.Compare(g.rotated(a), g.rotated(b)), cmp.Compare(a.Region, b.Region))
 	})
 	return out
 }
 
-func (g *Gate) turned(id core.CellID) int { return (id.Index + g.turn) % g.Agent.Member.Cells() }
+func (g *Gate) rotated(id core.CellID) int { return (id.Index + g.rotation) % g.Agent.Member.Cells() }
 
-func far(id core.CellID, self core.Region) int {
+func remoteRank(id core.CellID, self core.Region) int {
 	if id.Region == self {
 		return 0
 	}
 	return 1
 }
 
-func fitsAll(needs, rooms []core.Resources) bool {
+func allFit(needs, rooms []core.Resources) bool {
 	for _, n := range needs {
 		if !slices.ContainsFunc(rooms, n.Fits) {
 			return false
@@ -255,12 +255,12 @@
 	return true
 }
 
-// hand gives a job to the owner of its cell. A submission is idempotent by its
+// submitToOwner gives a job to the owner of its cell. A submission is idempotent by its
 // name, so it is repeated until an owner has recorded or refused it.
-func (g *Gate) hand(ctx context.Context, spec cell.JobSpec) (bool, error) {
+func (g *Gate) submitToOwner(ctx context.Context, spec cell.JobSpec) (bool, error) {
 	repeated := false
 	sent := false
-	err := g.withOwner(ctx, spec.ID, func(ctx context.Context, owner core.Process) error {
+	err := g.callOwner(ctx, spec.ID, func(ctx context.Context, owner core.Process) error {
 		sent = true
 		var err error
 		repeated, err = g.peers.Submit(ctx, owner, spec)
@@ -276,22 +276,22 @@
 	return repeated, err
 }
 
-// withOwner calls the owner of a job's cell, following it while it moves.
-func (g *Gate) withOwner(ctx context.Context, id core.JobID, do func(ctx context.Context, owner core.Process) error) error {
+// callOwner calls the owner of a job's cell, following it while it moves.
+func (g *Gate) callOwner(ctx context.Context, id core.JobID, do func(ctx context.Context, owner core.Process) error) error {
 	c, ok := id.Cell()
 	if !ok {
 		return core.Refuse(core.CodeNoJob, "%q is not the name of a job", id)
 	}
-	ctx, cancel := context.WithTimeout(ctx, submitFor)
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	for {
-		o, err := loop.Ask(ctx, g.loop, func(r chan<- owners) loop.Message { return ownersRead{r} })
+		o, err := loop.Ask(ctx, g.loop, func(r chan<- ownersReply) loop.Message { return ownersRequest{r} })
 		if err != nil {
 			return core.Refuse(core.CodeOwner, "no process owns cell %s", c)
 		}
 		last := error(core.Refuse(core.CodeOwner, "no process owns cell %s", c))
 		if owner, ok := o.cells[c]; ok {
-			call, done := context.WithTimeout(ctx, callTimeout)
+			call, done := context.WithTimeout(ctx, ownerCallTimeout)
 			last = do(call, owner)
 			done()
 		}
@@ -299,7 +299,7 @@
 		if !errors.As(last, &r) || r.Code != core.CodeOwner {
 			return last
 		}
-		if !sleep(ctx, submitPause) {
+		if !sleep(ctx, ownerRetryInterval) {
 			return last
 		}
 	}
@@ -317,10 +317,10 @@
 	}
 }
 
-// team returns the team whose key a caller shows.
-func (g *Gate) team(r *http.Request) (core.Team, error) {
+// authTeam returns the team whose key a caller shows.
+func (g *Gate) authTeam(r *http.Request) (core.Team, error) {
 	_, key := credentials(r)
-	a, err := loop.Ask(r.Context(), g.loop, func(c chan<- admitted) loop.Message { return ownerAsked{key, c} })
+	a, err := loop.Ask(r.Context(), g.loop, func(c chan<- authResult) loop.Message { return teamRequest{key, c} })
 	if err != nil {
 		return "", core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
@@ -328,23 +328,23 @@
 }
 
 func (g *Gate) serveShow(w http.ResponseWriter, r *http.Request) {
-	v, err := g.ownJob(r)
+	v, err := g.teamJob(r)
 	if err != nil {
 		httpx.WriteError(w, err)
 		return
 	}
-	httpx.WriteJSON(w, http.StatusOK, viewOf(v))
+	httpx.WriteJSON(w, http.StatusOK, newJobView(v))
 }
 
-// ownJob returns a job if it belongs to the team whose key is shown.
-func (g *Gate) ownJob(r *http.Request) (cell.View, error) {
-	team, err := g.team(r)
+// teamJob returns a job if it belongs to the team whose key is shown.
+func (g *Gate) teamJob(r *http.Request) (cell.View, error) {
+	team, err := g.authTeam(r)
 	if err != nil {
 		return cell.View{}, err
 	}
 	id := core.JobID(r.PathValue("id"))
 	var v cell.View
-	err = g.withOwner(r.Context(), id, func(ctx context.Context, owner core.Process) error {
+	err = g.callOwner(r.Context(), id, func(ctx context.Context, owner core.Process) error {
 		var err error
 		v, err = g.peers.Show(ctx, owner, id)
 		return err
@@ -356,9 +356,9 @@
 }
 
 func (g *Gate) serveCancel(w http.ResponseWriter, r *http.Request) {
-	v, err := g.ownJob(r)
+	v, err := g.teamJob(r)
 	if err == nil {
-		err = g.withOwner(r.Context(), v.ID, func(ctx context.Context, owner core.Process) error {
+		err = g.callOwner(r.Context(), v.ID, func(ctx context.Context, owner core.Process) error {
 			return g.peers.Cancel(ctx, owner, v.ID)
 		})
 	}
@@ -370,14 +370,14 @@
 }
 
 func (g *Gate) serveList(w http.ResponseWriter, r *http.Request) {
-	team, err := g.team(r)
+	team, err := g.authTeam(r)
 	if err != nil {
 		httpx.WriteError(w, err)
 		return
 	}
 	most, err := strconv.Atoi(r.URL.Query().Get("most"))
 	if err != nil || most <= 0 {
-		most = defaultList
+		most = defaultListSize
 	}
 	views, err := g.list(r.Context(), team, most)
 	if err != nil {
@@ -386,18 +386,18 @@
 	}
 	out := []JobView{}
 	for _, v := range views {
-		out = append(out, viewOf(v))
+		out = append(out, newJobView(v))
 	}
 	httpx.WriteJSON(w, http.StatusOK, out)
 }
 
 // list gathers the newest jobs of every sched that answers.
 func (g *Gate) list(ctx context.Context, team core.Team, most int) ([]cell.View, error) {
-	o, err := loop.Ask(ctx, g.loop, func(r chan<- owners) loop.Message { return ownersRead{r} })
+	o, err := loop.Ask(ctx, g.loop, func(r chan<- ownersReply) loop.Message { return ownersRequest{r} })
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	var out []cell.View
 	for _, p := range o.peers {
--- a/io/gate/once.go
+++ b/io/gate/once.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	oncePrefix = "once/"
-	// onceBatch bounds the intents of one write, onceQueue those that wait.
-	onceBatch = 200
-	onceQueue = 4096
-	// onceRetries is how often a write without a reply is tried again.
-	onceRetries = 2
-	// oncePause keeps writes from following each other without a break.
-	oncePause = 5 * time.Millisecond
+	intentPrefix = "once/"
+	// maxIntentBatch bounds the intents of one write, onceQueue those that wait.
+	maxIntentBatch   = 200
+	maxQueuedIntents = 4096
+	// maxIntentRetries is how often a write without a reply is tried again.
+	maxIntentRetries = 2
+	// intentWriteInterval keeps writes from following each other without a break.
+	intentWriteInterval = 5 * time.Millisecond
 )
 
 // intent is the stored form of the first attempt under an idempotency key.
@@ -35,75 +35,75 @@
 	At  time.Time
 }
 
-// ask is one intent on its way to the store.
-type ask struct {
+// queuedIntent is one intent on its way to the store.
+type queuedIntent struct {
 	key    string
 	intent intent
-	reply  chan verdict
+	reply  chan recordResult
 }
 
-// verdict says whether an intent was the first.
-type verdict struct {
-	first bool
+// recordResult says whether an intent was the first.
+type recordResult struct {
+	isFirst bool
 	// earlier is the intent that came first.
 	earlier intent
 	err     error
 }
 
-// onces records intents before anything is sent under them. Intents that
+// intentWriter records intents before anything is sent under them. Intents that
 // arrive while a write is in flight go into the next one together, so that
 // writes grow with time and not with requests.
-type onces struct {
-	store agent.Store
-	queue chan *ask
-	busy  atomic.Int64
+type intentWriter struct {
+	store     agent.Store
+	queue     chan *queuedIntent
+	recording atomic.Int64
 }
 
-func newOnces(s agent.Store) *onces {
-	return &onces{store: s, queue: make(chan *ask, onceQueue)}
+func newIntentWriter(s agent.Store) *intentWriter {
+	return &intentWriter{store: s, queue: make(chan *queuedIntent, maxQueuedIntents)}
 }
 
-func (o *onces) active() int64 { return o.busy.Load() }
+func (o *intentWriter) inFlight() int64 { return o.recording.Load() }
 
-// onceKey returns the row of an idempotency key.
-func onceKey(kind string, team core.Team, key string) string {
+// intentKey returns the row of an idempotency key.
+func intentKey(kind string, team core.Team, key string) string {
 	sum := sha256.Sum256([]byte(string(team) + "\x00" + key))
-	return oncePrefix + kind + "/" + hex.EncodeToString(sum[:16])
+	return intentPrefix + kind + "/" + hex.EncodeToString(sum[:16])
 }
 
-// first records an intent, or returns the one that came before.
-func (o *onces) first(ctx context.Context, key string, in intent) verdict {
-	o.busy.Add(1)
-	defer o.busy.Add(-1)
-	a := &ask{key, in, make(chan verdict, 1)}
+// record records an intent, or returns the one that came before.
+func (o *intentWriter) record(ctx context.Context, key string, in intent) recordResult {
+	o.recording.Add(1)
+	defer o.recording.Add(-1)
+	a := &queuedIntent{key, in, make(chan recordResult, 1)}
 	select {
 	case o.queue <- a:
 	case <-ctx.Done():
-		return verdict{err: ctx.Err()}
+		return recordResult{err: ctx.Err()}
 	}
 	select {
 	case v := <-a.reply:
 		return v
 	case <-ctx.Done():
-		return verdict{err: ctx.Err()}
+		return recordResult{err: ctx.Err()}
 	}
 }
 
 // run writes intents until the context ends.
-func (o *onces) run(ctx context.Context) error {
+func (o *intentWriter) run(ctx context.Context) error {
 	pause := time.NewTimer(0)
 	defer pause.Stop()
 	for {
-		var batch []*ask
+		var batch []*queuedIntent
 		select {
 		case a := <-o.queue:
 			batch = append(batch, a)
 		case <-ctx.Done():
 			return nil
 		}
-		batch = o.gather(batch)
-		o.write(ctx, batch)
-		pause.Reset(oncePause)
+		batch = o.fillBatch(batch)
+		o.writeBatch(ctx, batch)
+		pause.Reset(intentWriteInterval)
 		select {
 		case <-pause.C:
 		case <-ctx.Done():
@@ -111,8 +111,8 @@
 	}
 }
 
-func (o *onces) gather(batch []*ask) []*ask {
-	for len(batch) < onceBatch {
+func (o *intentWriter) fillBatch(batch []*queuedIntent) []*queuedIntent {
+	for len(batch) < maxIntentBatch {
 		select {
 		case a := <-o.queue:
 			batch = append(batch, a)
@@ -123,31 +123,31 @@
 	return batch
 }
 
-// write records a batch; what conflicts is answered and the rest tried again.
-func (o *onces) write(ctx context.Context, batch []*ask) {
+// writeBatch records a batch; what conflicts is answered and the rest tried again.
+func (o *intentWriter) writeBatch(ctx context.Context, batch []*queuedIntent) {
 	batch = o.dedup(batch)
 	for tries := 0; len(batch) > 0; {
 		var t store.Txn
 		for _, a := range batch {
 			t.Checks = append(t.Checks, store.Check{Key: a.key})
 			if err := t.Set(a.key, a.intent); err != nil {
-				a.reply <- verdict{err: err}
+				a.reply <- recordResult{err: err}
 			}
 		}
 		_, err := o.store.Write(ctx, t)
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
-			answer(batch, verdict{first: true})
+			replyAll(batch, recordResult{isFirst: true})
 			return
 		case errors.As(err, &conflict):
-			batch = o.settle(batch, conflict)
+			batch = o.resolveConflicts(batch, conflict)
 		default:
 			// The write may have taken effect; trying again finds out. If that
 			// fails too, intents may stand without anything having been sent,
 			// which is safe.
-			if tries++; tries > onceRetries {
-				answer(batch, verdict{err: err})
+			if tries++; tries > maxIntentRetries {
+				replyAll(batch, recordResult{err: err})
 				return
 			}
 		}
@@ -155,12 +155,12 @@
 }
 
 // dedup answers all but the first of several intents under one key.
-func (o *onces) dedup(batch []*ask) []*ask {
-	seen := map[string]*ask{}
+func (o *intentWriter) dedup(batch []*queuedIntent) []*queuedIntent {
+	seen := map[string]*queuedIntent{}
 	keep := batch[:0]
 	for _, a := range batch {
 		if first := seen[a.key]; first != nil {
-			a.reply <- verdict{earlier: first.intent}
+			a.reply <- recordResult{earlier: first.intent}
 			continue
 		}
 		seen[a.key] = a
@@ -169,7 +169,7 @@
 	return keep
 }
 
-func (o *onces) settle(batch []*ask, c *store.ConflictError) []*ask {
+func (o *intentWriter) resolveConflicts(batch []*queuedIntent, c *store.ConflictError) []*queuedIntent {
 	taken := map[string]intent{}
 	for _, r := range c.Rows {
 		var in intent
@@ -177,22 +177,22 @@
 		_ = json.Unmarshal(r.Val, &in)
 		taken[r.Key] = in
 	}
-	var rest []*ask
+	var rest []*queuedIntent
 	for _, a := range batch {
 		in, ok := taken[a.key]
 		switch {
 		case !ok:
 			rest = append(rest, a)
 		case in.Nonce == a.intent.Nonce:
-			a.reply <- verdict{first: true}
+			a.reply <- recordResult{isFirst: true}
 		default:
-			a.reply <- verdict{earlier: in}
+			a.reply <- recordResult{earlier: in}
 		}
 	}
 	return rest
 }
 
-func answer(batch []*ask, v verdict) {
+func replyAll(batch []*queuedIntent, v recordResult) {
 	for _, a := range batch {
 		a.reply <- v
 	}
