--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is the part of the control state that gates and scheds have in
-// common: the session, the configuration in force, the list of VMs and the
-// divided limits. All of it is owned by the process's control goroutine.
+// Package agent holds the control state that gates and scheds share: the
+// session, the configuration in force, the list of VMs and the divided limits.
+// Only the process's control goroutine accesses that state. Exported methods that
+// take a context are for traffic goroutines and query the control goroutine.
 package agent
 
 import (
@@ -20,21 +21,24 @@
 )
 
 const (
-	// configInterval is how often the configuration is read.
+	// configInterval is the time between two reads of the configuration.
 	configInterval = 500 * time.Millisecond
-	// vmListInterval is how often the list of VMs is read.
+	// vmListInterval is the time between two reads of the list of VMs.
 	vmListInterval = 700 * time.Millisecond
-	// ledgerInterval is how often the divided limits are read and adjusted.
+	// ledgerInterval is the time between two reads of a ledger's rows, each of
+	// which may be followed by a write.
 	ledgerInterval = 500 * time.Millisecond
-	// minLedgerInterval is how often a holder that wants more reads them.
+	// minLedgerInterval replaces ledgerInterval while the ledger needs more than
+	// it holds.
 	minLedgerInterval = 60 * time.Millisecond
-	// peerRenewTimeout bounds a renewal on a peer's behalf.
+	// peerRenewTimeout bounds the renewal of a peer's session on its behalf.
 	peerRenewTimeout = 400 * time.Millisecond
-	// reclaimInterval is how often the rows of dead sessions are looked for.
+	// reclaimInterval is the time between two searches for the rows of dead
+	// sessions.
 	reclaimInterval = time.Second
 )
 
-// Store is the platform's service.
+// Store reads and writes the platform's store and lists the platform's VMs.
 type Store interface {
 	Write(ctx context.Context, t store.Txn) (uint64, error)
 	Scan(ctx context.Context, prefix, after string) ([]store.Row, error)
@@ -50,17 +54,17 @@
 	Keep(addrs core.Set[netip.AddrPort])
 }
 
-// Host is the rest of the process's control state.
+// Host is the process's own control state, which the agent notifies of changes.
 type Host interface {
-	// ConfigChanged follows a new configuration.
+	// ConfigChanged is called after a new configuration has come into force.
 	ConfigChanged(now time.Time)
-	// VMsChanged follows a new list of VMs.
+	// VMsChanged is called after a new list of VMs has been read.
 	VMsChanged(now time.Time, vms []core.VM)
-	// BookRead follows a reading of divided limits.
+	// BookRead is called after a ledger's rows have been read.
 	BookRead(now time.Time)
 }
 
-// Agent is the common control state of a process.
+// Agent is the control state that gates and scheds share.
 type Agent struct {
 	loop    *loop.Loop
 	store   Store
@@ -73,20 +77,25 @@
 	ledgers []*ledgerSync
 	vms     []core.VM
 	vmsRead bool
-	// rulesObject names the rules file in force.
+	// rulesObject names the object that holds the rules file in force.
 	rulesObject string
-	vmsVersion  uint64
-	failing     map[string]bool
+	// vmsVersion is the version of the list in vms.
+	vmsVersion uint64
+	// failing holds the operations whose last attempt failed.
+	failing map[string]bool
 
+	// Each is set while the operation is in flight; there is at most one of a kind.
 	readingConfig, readingVMs, confirming, reclaiming bool
 
 	nextConfigRead, nextVMsRead, nextConfirm, nextReclaim time.Time
 }
 
-// ledgerSync is one book of divided limits with the rows that it follows.
+// ledgerSync keeps one ledger in step with its rows in the store.
 type ledgerSync struct {
-	ledger   *ledger.Ledger
+	ledger *ledger.Ledger
+	// prefixes select the rows that are read, below limitPrefix.
 	prefixes []string
+	// inFlight is set while a read or a write of the rows is in flight.
 	inFlight bool
 	nextRead time.Time
 	lastRead time.Time
@@ -99,60 +108,63 @@
 	}
 }
 
-// AddLedger has the agent follow a book's rows below some prefixes.
-func (a *Agent) AddLedger(b *ledger.Ledger, prefixes ...string) {
-	a.ledgers = append(a.ledgers, &ledgerSync{ledger: b, prefixes: prefixes})
+// AddLedger starts to read and write a ledger's rows, which are those with one
+// of the prefixes.
+func (a *Agent) AddLedger(l *ledger.Ledger, prefixes ...string) {
+	a.ledgers = append(a.ledgers, &ledgerSync{ledger: l, prefixes: prefixes})
 }
 
-// RemoveLedger ends the following of a book.
-func (a *Agent) RemoveLedger(b *ledger.Ledger) {
+// RemoveLedger stops reading and writing a ledger's rows.
+func (a *Agent) RemoveLedger(l *ledger.Ledger) {
 	for i, s := range a.ledgers {
-		if s.ledger == b {
+		if s.ledger == l {
 			a.ledgers = append(a.ledgers[:i:i], a.ledgers[i+1:]...)
 			return
 		}
 	}
 }
 
-// Name returns the name under which the process started; it does not change,
-// so traffic goroutines may ask for it.
+// Name returns the session ID with which the process started. A rejoin does
+// not change it, so traffic goroutines may call Name.
 func (a *Agent) Name() core.SessionID { return a.name }
 
-// VMs returns the list of VMs as last read.
+// VMs returns the VMs of the list read last.
 func (a *Agent) VMs() []core.VM { return a.vms }
 
 // Listed reports whether the list of VMs has been read at least once.
 func (a *Agent) Listed() bool { return a.vmsRead }
 
-// Ready reports whether the process can do work: its session is in the store,
-// the list has been read and a configuration is in force.
+// Ready reports whether the process can do work: its session is live, the list
+// of VMs has been read and a configuration is in force.
 func (a *Agent) Ready() bool {
 	return a.Member.State() == "live" && a.vmsRead && a.Conf.Version() > 0
 }
 
-// logFailureOnce logs a condition once until it has ended.
-func (a *Agent) logFailureOnce(what string, err error) {
+// logFailureOnce logs the first failure of an operation that is repeated, and
+// its first success after that. The failures in between are not logged.
+func (a *Agent) logFailureOnce(operation string, err error) {
 	if err == nil {
-		if a.failing[what] {
-			delete(a.failing, what)
-			a.log.Infof("%s works again", what)
+		if a.failing[operation] {
+			delete(a.failing, operation)
+			a.log.Infof("%s succeeded after failures", operation)
 		}
 		return
 	}
-	if !a.failing[what] {
-		a.failing[what] = true
-		a.log.WithError(err).Warnf("%s fails; it is tried again", what)
+	if !a.failing[operation] {
+		a.failing[operation] = true
+		a.log.WithError(err).Warnf("%s failed; will retry", operation)
 	}
 }
 
-// LogRefusals logs the events that a chart has refused.
+// LogRefusals logs events that a state chart has refused.
 func (a *Agent) LogRefusals(errs []error) {
 	for _, err := range errs {
 		a.log.WithError(err).Warn("event refused")
 	}
 }
 
-// Handle takes in a message and reports whether it was one of the agent's.
+// Handle handles a message and reports whether it was addressed to the agent.
+// It leaves the message of View to HandleView.
 func (a *Agent) Handle(now time.Time, m loop.Message) bool {
 	switch m := m.(type) {
 	case sessionWriteDone:
@@ -164,7 +176,7 @@
 	case probeDone:
 		a.Member.Probed(now, m.id, m.liveness)
 	case renewalAnswered:
-		a.log.Debugf("%s answers: renewed %t, promised %t, dead %t", m.from, m.answer.Renewed, m.answer.Promised, m.answer.Dead)
+		a.log.Debugf("peer %s answered the renewal request: renewed %t, promised %t, dead %t", m.from, m.answer.Renewed, m.answer.Promised, m.answer.Dead)
 		a.Member.Held(m.from, m.round, m.answer)
 	case renewalRequest:
 		a.handleRenewalRequest(now, m)
@@ -192,10 +204,10 @@
 	return true
 }
 
-// Tick does what is due and returns when to be called next.
+// Tick starts the operations that are due and returns when to call it again.
 func (a *Agent) Tick(now time.Time) time.Time {
-	for _, act := range a.Member.Plan(now) {
-		a.perform(act)
+	for _, action := range a.Member.Plan(now) {
+		a.perform(action)
 	}
 	a.LogRefusals(a.Member.Refusals())
 	if a.Member.HasLeft() {
@@ -211,7 +223,7 @@
 	return now.Add(configInterval / 5)
 }
 
-// Dump is the agent's state for people.
+// Dump is the agent's state for the operators' pages.
 type Dump struct {
 	Session   string
 	State     string
@@ -224,10 +236,11 @@
 	Limits    []LimitPart
 }
 
-// LimitPart is this process's part of one divided limit.
+// LimitPart is one holder's part of a divided limit.
 type LimitPart struct {
-	Holder                    ledger.Holder
-	Name                      string
+	Holder ledger.Holder
+	Name   string
+	// Granted is the sum of all holders' parts.
 	Held, Used, Free, Granted int64
 }
 
@@ -242,9 +255,9 @@
 		d.Owners[id.String()] = p.ID
 	}
 	for _, s := range a.ledgers {
-		b := s.ledger
-		for _, name := range b.Names() {
-			d.Limits = append(d.Limits, LimitPart{b.Holder(), name, b.Held(name), b.Used(name), b.Available(name), b.Total(name)})
+		l := s.ledger
+		for _, name := range l.Names() {
+			d.Limits = append(d.Limits, LimitPart{l.Holder(), name, l.Held(name), l.Used(name), l.Available(name), l.Total(name)})
 		}
 	}
 	return d
--- a/io/agent/compact.go
+++ b/io/agent/compact.go
@@ -14,13 +14,13 @@
 
 const (
 	snapshotKey = "head/conf"
-	// snapshotInterval is how many changes lie between two snapshots of the
-	// configuration. As many are kept before a snapshot, for the history and
-	// for processes that lag behind.
+	// snapshotInterval is the number of changes between two snapshots of the
+	// configuration. As many changes before a snapshot are kept, for the history
+	// and for processes that have not read them yet.
 	snapshotInterval = 256
 )
 
-// snapshotRef is the stored form of the newest snapshot's place.
+// snapshotRef is the stored reference to the newest snapshot.
 type snapshotRef struct {
 	Version core.Version
 	Object  string
@@ -29,16 +29,18 @@
 // configSnapshot is the stored form of a whole configuration.
 type configSnapshot struct {
 	Version core.Version
-	// Rules names the rules file in the object store; empty before the first.
+	// Rules names the object that holds the rules file. It is empty while no
+	// rules have been pushed.
 	Rules string
 	Keys  []keySnapshot
 }
 
+// keySnapshot is the stored form of an API key.
 type keySnapshot struct {
 	ID, Team, Hash, State string
 }
 
-// loadedSnapshot is a snapshot as read back.
+// loadedSnapshot is a snapshot that has been read and parsed.
 type loadedSnapshot struct {
 	version     core.Version
 	rules       *rules.Set
@@ -46,8 +48,8 @@
 	keys        []*conf.Key
 }
 
-// compact writes a snapshot of the configuration once enough changes have
-// come since the last one, and deletes the rows long before it.
+// compact writes a snapshot of the configuration if v ends a snapshot interval,
+// and deletes the changes at least one interval older than the snapshot.
 func (a *Agent) compact(ctx context.Context, v core.Version) error {
 	if v%snapshotInterval != 0 {
 		return nil
@@ -64,8 +66,8 @@
 	if err != nil {
 		return &store.FormatError{Key: snapshotKey, Err: err}
 	}
-	h := snapshotRef{view.Version, fmt.Sprintf("conf/%d", view.Version)}
-	if err := a.store.PutObject(ctx, h.Object, text); err != nil {
+	ref := snapshotRef{view.Version, fmt.Sprintf("conf/%d", view.Version)}
+	if err := a.store.PutObject(ctx, ref.Object, text); err != nil {
 		return err
 	}
 	rows, err := a.store.Scan(ctx, snapshotKey, "")
@@ -76,14 +78,14 @@
 	for _, r := range rows {
 		t.Checks[0].Version = r.Version
 	}
-	if err := t.Set(snapshotKey, h); err != nil {
+	if err := t.Set(snapshotKey, ref); err != nil {
 		return err
 	}
-	old, err := a.store.Scan(ctx, configPrefix, "")
+	changes, err := a.store.Scan(ctx, configPrefix, "")
 	if err != nil {
 		return err
 	}
-	for _, r := range old {
+	for _, r := range changes {
 		if r.Key <= configKey(view.Version-min(view.Version, snapshotInterval)) {
 			t.Dels = append(t.Dels, r.Key)
 		}
@@ -92,26 +94,27 @@
 	return err
 }
 
-// readSnapshot reads the newest snapshot if it is newer than a version.
+// readSnapshot reads the newest snapshot. It returns nil if there is none or if
+// its version is not higher than after.
 func (a *Agent) readSnapshot(ctx context.Context, after core.Version) (*loadedSnapshot, error) {
 	rows, err := a.store.Scan(ctx, snapshotKey, "")
 	if err != nil || len(rows) == 0 {
 		return nil, err
 	}
-	var h snapshotRef
-	if err := json.Unmarshal(rows[0].Val, &h); err != nil {
+	var ref snapshotRef
+	if err := json.Unmarshal(rows[0].Val, &ref); err != nil {
 		return nil, &store.FormatError{Key: snapshotKey, Err: err}
 	}
-	if h.Version <= after {
+	if ref.Version <= after {
 		return nil, nil
 	}
-	text, err := a.store.Object(ctx, h.Object)
+	text, err := a.store.Object(ctx, ref.Object)
 	if err != nil {
 		return nil, err
 	}
 	var snap configSnapshot
 	if err := json.Unmarshal(text, &snap); err != nil {
-		return nil, &store.FormatError{Key: h.Object, Err: err}
+		return nil, &store.FormatError{Key: ref.Object, Err: err}
 	}
 	out := &loadedSnapshot{version: snap.Version, rules: &rules.Set{}, rulesObject: snap.Rules}
 	for _, k := range snap.Keys {
--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -21,31 +21,33 @@
 
 const (
 	configPrefix = "conf/"
-	// secretBytes is the length of a key's secret and nonceBytes that of the mark
-	// by which a writer finds its own change.
+	// secretBytes is the length of an API key's secret.
 	secretBytes = 24
-	nonceBytes  = 8
+	// nonceBytes is the length of a change's nonce and of an API key's ID.
+	nonceBytes = 8
 	// compactDelay lets a change come into force before the snapshot is taken.
 	compactDelay = 2 * time.Second
-	// maxConflicts bounds how often a change of keys is tried again after losing
-	// to another operator.
+	// maxConflicts bounds how often a change of keys is written under the next
+	// version after other operators' changes took the previous ones.
 	maxConflicts = 64
 )
 
+// configKey returns the key of the row that holds a version's change.
 func configKey(v core.Version) string { return fmt.Sprintf("%s%012d", configPrefix, v) }
 
 // storedChange is the stored form of a conf.Change.
 type storedChange struct {
 	Version core.Version
 	Kind    conf.ChangeKind
-	// Object names the rules file in the object store.
+	// Object names the object that holds the rules file; PushRules only.
 	Object string `json:",omitempty"`
 	ID     string `json:",omitempty"`
 	Team   string `json:",omitempty"`
 	Hash   string `json:",omitempty"`
 	At     time.Time
 	By     string
-	// Nonce lets a writer whose reply was lost find its own change.
+	// Nonce is random; a writer whose write was not answered finds its own
+	// change by it.
 	Nonce string
 }
 
@@ -53,9 +55,10 @@
 	configRead struct {
 		sent    time.Time
 		changes []conf.Change
-		// rulesObject names the newest rules file among the changes.
+		// rulesObject names the object of the newest rules file among the
+		// changes; empty if there is none.
 		rulesObject string
-		// snapshot is set when the changes begin after a snapshot.
+		// snapshot is set if changes before the first one read were deleted.
 		snapshot *loadedSnapshot
 		err      error
 	}
@@ -80,7 +83,8 @@
 // Message implements loop.Message.
 func (viewRequest) Message() {}
 
-// readConfig reads the changes after the version in force.
+// readConfig reads the changes after the version in force, once per
+// configInterval.
 func (a *Agent) readConfig(now time.Time) {
 	if a.readingConfig || now.Before(a.nextConfigRead) {
 		return
@@ -97,8 +101,8 @@
 	})
 }
 
-// readChanges reads what came after a version, beginning with a snapshot where
-// the rows in between have been deleted.
+// readChanges reads the changes after a version into m. If the next change has
+// been deleted, it also reads the newest snapshot.
 func (a *Agent) readChanges(ctx context.Context, after core.Version, m *configRead) error {
 	rows, err := a.store.Scan(ctx, configPrefix, configKey(after))
 	if err != nil {
@@ -114,18 +118,20 @@
 		if err := json.Unmarshal(r.Val, &c); err != nil {
 			return &store.FormatError{Key: r.Key, Err: err}
 		}
-		ch, err := a.decodeChange(ctx, c)
+		decoded, err := a.decodeChange(ctx, c)
 		if err != nil {
 			return err
 		}
 		if c.Kind == conf.PushRules {
 			m.rulesObject = c.Object
 		}
-		m.changes = append(m.changes, ch)
+		m.changes = append(m.changes, decoded)
 	}
 	return nil
 }
 
+// decodeChange converts a change from its stored form. It reads and parses the
+// rules file if the change has one.
 func (a *Agent) decodeChange(ctx context.Context, c storedChange) (conf.Change, error) {
 	out := conf.Change{Version: c.Version, Kind: c.Kind, At: c.At}
 	if c.Kind != conf.PushRules {
@@ -142,7 +148,7 @@
 
 func (a *Agent) handleConfigRead(now time.Time, m configRead) {
 	a.readingConfig = false
-	a.logFailureOnce("following the configuration", m.err)
+	a.logFailureOnce("reading the configuration", m.err)
 	before := a.Conf.Version()
 	if m.snapshot != nil {
 		a.Conf.Restore(m.snapshot.version, m.snapshot.rules, m.snapshot.keys)
@@ -157,13 +163,13 @@
 		a.Conf.Confirm(m.sent)
 	}
 	if v := a.Conf.Version(); v != before {
-		a.log.Infof("configuration %d is in force", v)
+		a.log.Infof("configuration version %d is in force", v)
 		a.Member.SetConfig(v)
 		a.host.ConfigChanged(now)
 	}
 }
 
-// applyAll puts changes in force in order, up to the first that fails.
+// applyAll puts changes in force in order and stops at the first that fails.
 func (a *Agent) applyAll(changes []conf.Change) error {
 	for _, c := range changes {
 		if err := a.Conf.Apply(c); err != nil {
@@ -173,10 +179,9 @@
 	return nil
 }
 
-// confirm asks the peers for the newest configuration when the store does not
-// answer. The version counts as confirmed if a peer has confirmed it, or if
-// every process answers that it does not reach the store either: then no
-// change can have been accepted.
+// confirm asks the peers whether the version in force is the newest. It does so
+// while the store does not answer: once the last confirmation is older than half
+// of conf.ConfirmWithin.
 func (a *Agent) confirm(now time.Time) {
 	if a.confirming || now.Before(a.nextConfirm) || now.Sub(a.Conf.Confirmed()) < conf.ConfirmWithin/2 || a.Conf.Version() == 0 {
 		return
@@ -190,12 +195,19 @@
 	})
 }
 
+// peerAnswer is the answer of one peer to confirmWithPeers.
 type peerAnswer struct {
 	alive peer.Alive
-	dead  bool
-	err   error
+	// dead is set if the peer gave no answer and a probe proved it dead.
+	dead bool
+	err  error
 }
 
+// confirmWithPeers returns the latest time at which the version was known to be
+// the newest, or false if there is none. A peer that runs the version reports
+// when it confirmed it. If no live peer reaches the store either, no change can
+// have been accepted, so the version is confirmed as of now. A peer that runs a
+// newer version refutes it.
 func (a *Agent) confirmWithPeers(ctx context.Context, peers []core.Process, version core.Version) (time.Time, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 	defer cancel()
@@ -209,24 +221,24 @@
 			return nil
 		})
 	}
-	none := true
+	storeUnreachable := true
 	newest := time.Time{}
 	for range peers {
-		o := <-answers
+		p := <-answers
 		switch {
-		case o.dead:
-		case o.err != nil:
-			none = false
-		case o.alive.Config > version:
+		case p.dead:
+		case p.err != nil:
+			storeUnreachable = false
+		case p.alive.Config > version:
 			return time.Time{}, false
 		default:
-			none = none && !o.alive.Stored
-			if at := sent.Add(-o.alive.Confirmed); o.alive.Config == version && at.After(newest) {
+			storeUnreachable = storeUnreachable && !p.alive.Stored
+			if at := sent.Add(-p.alive.Confirmed); p.alive.Config == version && at.After(newest) {
 				newest = at
 			}
 		}
 	}
-	if none {
+	if storeUnreachable {
 		return sent, true
 	}
 	return newest, !newest.IsZero()
@@ -239,12 +251,14 @@
 	}
 }
 
-// View is the configuration in force, for display and for changes.
+// View is the configuration in force, as operators see it and as a change is
+// based on it.
 type View struct {
 	Version core.Version
 	Rules   *rules.Set
 	Keys    []*conf.Key
-	// Object names the rules file in the object store.
+	// Object names the object that holds the rules file; empty while no rules
+	// have been pushed.
 	Object string
 	// Lowest is the lowest version in force in any live process.
 	Lowest core.Version
@@ -255,17 +269,17 @@
 	return loop.Ask(ctx, a.loop, func(c chan<- View) loop.Message { return viewRequest{c} })
 }
 
-// HandleView answers a View question and reports whether m was one.
+// HandleView answers the message that View sends and reports whether m was one.
 func (a *Agent) HandleView(now time.Time, m loop.Message) bool {
-	q, ok := m.(viewRequest)
+	request, ok := m.(viewRequest)
 	if ok {
-		q.reply <- View{a.Conf.Version(), a.Conf.Rules(), a.Conf.Keys(), a.rulesObject, a.Member.LowestConfig(now)}
+		request.reply <- View{a.Conf.Version(), a.Conf.Rules(), a.Conf.Keys(), a.rulesObject, a.Member.LowestConfig(now)}
 	}
 	return ok
 }
 
-// PushRules stores a rules file as the next version. Base, unless zero, is the
-// version that the operator started from.
+// PushRules stores a rules file as the next version. Unless base is zero, it
+// refuses if another version than base is in force.
 func (a *Agent) PushRules(ctx context.Context, text []byte, base core.Version, by string) (core.Version, error) {
 	if _, err := parse.Rules("rules", text); err != nil {
 		return 0, err
@@ -285,7 +299,8 @@
 	return a.appendChange(ctx, view.Version+1, storedChange{Kind: conf.PushRules, Object: object, By: by}, false)
 }
 
-// GrantKey creates a key for a team and returns it; it cannot be shown again.
+// GrantKey creates a key for a team and returns it. Only the hash of its secret
+// is stored, so the key cannot be read again.
 func (a *Agent) GrantKey(ctx context.Context, team core.Team, by string) (string, core.Version, error) {
 	view, err := a.View(ctx)
 	if err != nil {
@@ -301,7 +316,7 @@
 	return id + "." + secret, v, err
 }
 
-// WithdrawKey ends a key.
+// WithdrawKey withdraws a key, which is then no longer accepted.
 func (a *Agent) WithdrawKey(ctx context.Context, id, by string) (core.Version, error) {
 	view, err := a.View(ctx)
 	if err != nil {
@@ -315,8 +330,9 @@
 	return 0, core.Refuse(core.CodeBadKey, "no key %q", id)
 }
 
-// appendChange writes the next change. A change that commutes with others is tried
-// again after losing a race.
+// appendChange writes a change as version v. If another change has taken that
+// version, a change that commutes is written under the next one, any other is
+// refused.
 func (a *Agent) appendChange(ctx context.Context, v core.Version, c storedChange, commutes bool) (core.Version, error) {
 	c.Nonce = randomHex(nonceBytes)
 	c.At = time.Now().UTC()
@@ -341,7 +357,7 @@
 			}
 			v++
 		default:
-			if written, rerr := a.wasWritten(ctx, v, c.Nonce); rerr != nil {
+			if written, readErr := a.wasWritten(ctx, v, c.Nonce); readErr != nil {
 				return 0, core.RefuseUnknown(core.CodeStore, err, "the change may or may not have been accepted as version %d", v)
 			} else if written {
 				return v, nil
@@ -351,14 +367,16 @@
 	return 0, core.Refuse(core.CodeConflict, "too many changes at once")
 }
 
-// changeAccepted has a change that this process has written come into force soon.
+// changeAccepted makes this process read, at once, a change that it has written,
+// and schedules the compaction.
 func (a *Agent) changeAccepted(v core.Version) {
-	// A stopped loop has nothing to bring into force.
+	// Post fails only if the loop has stopped; the change is then not needed here.
 	_ = a.loop.Post(configReadDue{})
 	a.scheduleCompaction(v)
 }
 
-// scheduleCompaction writes a snapshot once this process runs the version.
+// scheduleCompaction calls compact after compactDelay, when the version should
+// be in force in this process, if the version ends a snapshot interval.
 func (a *Agent) scheduleCompaction(v core.Version) {
 	if v%snapshotInterval != 0 {
 		return
@@ -372,23 +390,25 @@
 			return nil
 		}
 		if err := a.compact(ctx, v); err != nil {
-			a.log.WithError(err).Warn("the configuration was not compacted; a later change will")
+			a.log.WithError(err).Warn("configuration not compacted; will retry at the end of the next snapshot interval")
 		}
 		return nil
 	})
 }
 
-func hasNonce(c *store.ConflictError, nonce string) bool {
-	for _, r := range c.Rows {
-		var got storedChange
-		if json.Unmarshal(r.Val, &got) == nil && got.Nonce == nonce {
+// hasNonce reports whether a row in conflict is the change with the nonce.
+func hasNonce(conflict *store.ConflictError, nonce string) bool {
+	for _, r := range conflict.Rows {
+		var c storedChange
+		if json.Unmarshal(r.Val, &c) == nil && c.Nonce == nonce {
 			return true
 		}
 	}
 	return false
 }
 
-// wasWritten reads back whether a write without a reply has taken effect.
+// wasWritten reads the rows from version v on and reports whether one of them is
+// the change with the nonce. It is called after a write that was not answered.
 func (a *Agent) wasWritten(ctx context.Context, v core.Version, nonce string) (bool, error) {
 	rows, err := a.store.Scan(ctx, configKey(v), "")
 	if err != nil {
@@ -397,6 +417,8 @@
 	return hasNonce(&store.ConflictError{Rows: rows}, nonce), nil
 }
 
+// storeRefusal returns the refusal of an operation that changed nothing because
+// the store failed.
 func storeRefusal(err error) error {
 	r := core.Refuse(core.CodeStore, "nothing was changed")
 	r.Err = err
@@ -404,16 +426,17 @@
 	return r
 }
 
-// History is one accepted change for display.
+// History is one accepted change, as operators see it.
 type History struct {
 	Version core.Version
 	Kind    conf.ChangeKind
-	What    string
-	By      string
-	At      time.Time
+	// What names the object of a rules file, or the key and its team.
+	What string
+	By   string
+	At   time.Time
 }
 
-// History returns all accepted changes, oldest first.
+// History returns the accepted changes that compaction has kept, oldest first.
 func (a *Agent) History(ctx context.Context) ([]History, error) {
 	rows, err := a.store.Scan(ctx, configPrefix, "")
 	if err != nil {
@@ -451,9 +474,10 @@
 	return text, view.Version, nil
 }
 
+// randomHex returns n random bytes in hexadecimal.
 func randomHex(n int) string {
 	b := make([]byte, n)
-	// rand.Read never fails: it ends the program instead.
+	// rand.Read never returns an error; it crashes the program instead.
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
 }
--- a/io/agent/limits.go
+++ b/io/agent/limits.go
@@ -14,6 +14,7 @@
 	"chicoryturn/io/store"
 )
 
+// limitPrefix is the prefix of the keys of all ledger rows.
 const limitPrefix = "limit/"
 
 type (
@@ -47,7 +48,7 @@
 // Message implements loop.Message.
 func (reclaimDone) Message() {}
 
-// readVMs reads the list of VMs.
+// readVMs reads the list of VMs, once per vmListInterval.
 func (a *Agent) readVMs(now time.Time) {
 	if a.readingVMs || now.Before(a.nextVMsRead) {
 		return
@@ -61,6 +62,8 @@
 	})
 }
 
+// handleVMsRead replaces the list of VMs if it is newer. It tells the membership
+// which entry VMs are gone, since the processes on them are gone too.
 func (a *Agent) handleVMsRead(now time.Time, m vmsReadDone) {
 	a.readingVMs = false
 	a.logFailureOnce("reading the list of VMs", m.err)
@@ -68,10 +71,10 @@
 		return
 	}
 	a.vmsVersion = m.list.Version
-	old := core.NewSet[string]()
+	goneEntries := core.NewSet[string]()
 	for _, vm := range a.vms {
 		if vm.Kind == "entry" {
-			old.Add(vm.Name)
+			goneEntries.Add(vm.Name)
 		}
 	}
 	a.vms = a.vms[:0:0]
@@ -81,20 +84,21 @@
 			a.logFailureOnce("parsing the list of VMs", err)
 			continue
 		}
-		delete(old, vm.Name)
+		delete(goneEntries, vm.Name)
 		a.vms = append(a.vms, vm)
 	}
-	for name := range old {
+	for name := range goneEntries {
 		a.Member.VMGone(now, name)
 	}
 	a.vmsRead = true
 	a.host.VMsChanged(now, a.vms)
 }
 
-// readLedger reads a book's rows; the changes that it plans follow the reading.
+// readLedger reads a ledger's rows, once per ledgerInterval, or once per
+// minLedgerInterval while the ledger needs more than it holds.
 func (a *Agent) readLedger(now time.Time, s *ledgerSync) {
-	hurry := now.After(s.lastRead.Add(minLedgerInterval)) && s.ledger.NeedsMore()
-	if s.inFlight || (now.Before(s.nextRead) && !hurry) {
+	urgent := now.After(s.lastRead.Add(minLedgerInterval)) && s.ledger.NeedsMore()
+	if s.inFlight || (now.Before(s.nextRead) && !urgent) {
 		return
 	}
 	s.inFlight = true
@@ -114,6 +118,8 @@
 	})
 }
 
+// handleLedgerRead updates a ledger from its rows and then writes the changes
+// that the ledger plans.
 func (a *Agent) handleLedgerRead(now time.Time, m ledgerRead) {
 	s := m.sync
 	s.inFlight = false
@@ -135,7 +141,7 @@
 	a.writeLedger(s)
 }
 
-// writeLedger writes the changes that a book plans on what it has just read.
+// writeLedger writes the changes that a ledger plans, if any, in one transaction.
 func (a *Agent) writeLedger(s *ledgerSync) {
 	changes := s.ledger.Plan()
 	if len(changes) == 0 {
@@ -156,6 +162,8 @@
 	})
 }
 
+// handleLedgerWrite reports the outcome of a write to the ledger. After a
+// conflict the rows are read again at once.
 func (a *Agent) handleLedgerWrite(m ledgerWriteDone) {
 	s := m.sync
 	s.inFlight = false
@@ -172,8 +180,9 @@
 	a.logFailureOnce("writing limits", m.err)
 }
 
-// reclaim frees the parts of sessions that are surely dead once the longest
-// request that they may have sent has surely ended, then deletes their rows.
+// reclaim frees the parts of sessions that have been proved dead, and deletes
+// their rows. It waits for the longest time that a request may take, since a
+// target may still be working on a request that a dead gate sent.
 func (a *Agent) reclaim(now time.Time) {
 	if a.reclaiming || now.Before(a.nextReclaim) || a.Member.State() != "live" {
 		return
@@ -185,8 +194,8 @@
 	}
 	a.reclaiming = true
 	a.loop.Go(func(ctx context.Context) loop.Message {
-		for _, d := range dead {
-			if err := a.reclaimSession(ctx, d); err != nil {
+		for _, session := range dead {
+			if err := a.reclaimSession(ctx, session); err != nil {
 				break
 			}
 		}
@@ -194,6 +203,7 @@
 	})
 }
 
+// longestRequestTime returns the highest run time limit of all queues.
 func (a *Agent) longestRequestTime() time.Duration {
 	longest := time.Duration(0)
 	for _, q := range a.Conf.Rules().Queues {
@@ -202,24 +212,26 @@
 	return longest
 }
 
-func (a *Agent) reclaimSession(ctx context.Context, d member.DeleteSession) error {
+// reclaimSession removes a session's parts from all ledger rows and deletes the
+// session's row, in one transaction.
+func (a *Agent) reclaimSession(ctx context.Context, session member.DeleteSession) error {
 	rows, err := a.store.Scan(ctx, limitPrefix, "")
 	if err != nil {
 		return err
 	}
-	key := sessionKey(d.ID)
-	t := store.Txn{Checks: []store.Check{{Key: key, Version: d.Version}}, Dels: []string{key}}
+	key := sessionKey(session.ID)
+	t := store.Txn{Checks: []store.Check{{Key: key, Version: session.Version}}, Dels: []string{key}}
 	for _, r := range rows {
 		var row ledger.Row
 		if json.Unmarshal(r.Val, &row) != nil {
 			continue
 		}
-		without, had := ledger.Reclaim(row, ledger.Holder(d.ID))
-		if !had {
+		remaining, changed := ledger.Reclaim(row, ledger.Holder(session.ID))
+		if !changed {
 			continue
 		}
 		t.Checks = append(t.Checks, store.Check{Key: r.Key, Version: r.Version})
-		if err := t.Set(r.Key, without); err != nil {
+		if err := t.Set(r.Key, remaining); err != nil {
 			return err
 		}
 	}
--- a/io/agent/session.go
+++ b/io/agent/session.go
@@ -23,9 +23,10 @@
 	cellPrefix    = "member/cell/"
 )
 
+// sessionKey returns the key of a session's row.
 func sessionKey(id core.SessionID) string { return sessionPrefix + string(id) }
 
-// CellKey returns the key of a cell's row.
+// CellKey returns the key of the row that holds a cell's claim.
 func CellKey(id core.CellID) string { return cellPrefix + id.String() }
 
 type (
@@ -36,9 +37,10 @@
 		err     error
 	}
 	membersRead struct {
-		sent      time.Time
-		sessions  []core.Row[member.Session]
-		claims    []core.Row[member.Claim]
+		sent     time.Time
+		sessions []core.Row[member.Session]
+		claims   []core.Row[member.Claim]
+		// malformed holds the errors of the rows that did not parse.
 		malformed []error
 		err       error
 	}
@@ -94,38 +96,41 @@
 // Message implements loop.Message.
 func (aliveRequest) Message() {}
 
-// perform carries out one action of the membership.
-func (a *Agent) perform(act member.Action) {
-	switch act := act.(type) {
+// perform starts one action that the membership has planned.
+func (a *Agent) perform(action member.Action) {
+	switch action := action.(type) {
 	case member.WriteSession:
 		a.loop.Go(func(ctx context.Context) loop.Message {
 			sent := time.Now()
-			v, err := a.writeSession(ctx, act.Row, act.Version)
-			return sessionWriteDone{act.Row.Process.ID, sent, v, err}
+			v, err := a.writeSession(ctx, action.Row, action.Version)
+			return sessionWriteDone{action.Row.Process.ID, sent, v, err}
 		})
 	case member.Scan:
 		a.loop.Go(a.readMembers)
 	case member.WriteClaim:
 		a.loop.Go(func(ctx context.Context) loop.Message {
-			v, err := a.writeClaim(ctx, act)
-			return claimWriteDone{act.Claim, v, err}
+			v, err := a.writeClaim(ctx, action)
+			return claimWriteDone{action.Claim, v, err}
 		})
 	case member.Probe:
-		a.loop.Go(func(ctx context.Context) loop.Message { return probeDone{act.Process.ID, a.probe(ctx, act.Process)} })
+		a.loop.Go(func(ctx context.Context) loop.Message {
+			return probeDone{action.Process.ID, a.probe(ctx, action.Process)}
+		})
 	case member.AskHold:
-		a.loop.Go(func(ctx context.Context) loop.Message { return a.requestRenewal(ctx, act) })
+		a.loop.Go(func(ctx context.Context) loop.Message { return a.requestRenewal(ctx, action) })
 	case member.Resign:
-		a.log.Warn("cut off from the store alone: giving the cells up")
+		a.log.Warn("the store is unreachable from this process but not from its peers; giving up all cells")
 		a.loop.Go(func(ctx context.Context) loop.Message {
 			ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 			defer cancel()
-			// Without an answer the lease lapses by itself.
-			_, _ = a.peers.Hold(ctx, act.Peer, member.Session{Process: act.Process}, 0, true)
+			// If this fails, the session's lease expires later.
+			_, _ = a.peers.Hold(ctx, action.Peer, member.Session{Process: action.Process}, 0, true)
 			return nil
 		})
 	}
 }
 
+// writeSession writes a session row if the stored row still has the version.
 func (a *Agent) writeSession(ctx context.Context, row member.Session, version uint64) (uint64, error) {
 	key := sessionKey(row.Process.ID)
 	t := store.Txn{Checks: []store.Check{{Key: key, Version: version}}}
@@ -137,6 +142,8 @@
 	return a.store.Write(ctx, t)
 }
 
+// handleSessionWrite reports the outcome of a write of this process's session
+// row to the membership, unless the process has since rejoined under another ID.
 func (a *Agent) handleSessionWrite(now time.Time, m sessionWriteDone) {
 	if m.id != a.Member.Self().ID {
 		return
@@ -153,6 +160,7 @@
 	}
 }
 
+// readMembers reads the rows of all sessions and claims.
 func (a *Agent) readMembers(ctx context.Context) loop.Message {
 	m := membersRead{sent: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, store.Quick)
@@ -163,28 +171,31 @@
 		return m
 	}
 	for _, r := range rows {
-		var bad error
+		var parseErr error
 		if strings.HasPrefix(r.Key, sessionPrefix) {
-			m.sessions, bad = decodeRow(m.sessions, r)
+			m.sessions, parseErr = decodeRow(m.sessions, r)
 		} else if strings.HasPrefix(r.Key, cellPrefix) {
-			m.claims, bad = decodeRow(m.claims, r)
+			m.claims, parseErr = decodeRow(m.claims, r)
 		}
-		if bad != nil {
-			m.malformed = append(m.malformed, bad)
+		if parseErr != nil {
+			m.malformed = append(m.malformed, parseErr)
 		}
 	}
 	return m
 }
 
-// decodeRow appends a row's value; a row that does not parse is passed over.
-func decodeRow[T any](into []core.Row[T], r store.Row) ([]core.Row[T], error) {
+// decodeRow parses a row and appends it to rows. If the row does not parse, it
+// returns rows unchanged and the error.
+func decodeRow[T any](rows []core.Row[T], r store.Row) ([]core.Row[T], error) {
 	var val T
 	if err := json.Unmarshal(r.Val, &val); err != nil {
-		return into, &store.FormatError{Key: r.Key, Err: err}
+		return rows, &store.FormatError{Key: r.Key, Err: err}
 	}
-	return append(into, core.Row[T]{Val: val, Version: r.Version}), nil
+	return append(rows, core.Row[T]{Val: val, Version: r.Version}), nil
 }
 
+// handleMembersRead updates the membership and closes the connections to
+// processes that have no session any more.
 func (a *Agent) handleMembersRead(now time.Time, m membersRead) {
 	a.logFailureOnce("reading the sessions", m.err)
 	if m.err != nil {
@@ -192,7 +203,7 @@
 		return
 	}
 	for _, err := range m.malformed {
-		a.logFailureOnce("parsing a row", err)
+		a.logFailureOnce("parsing a session or claim row", err)
 	}
 	a.Member.Scanned(now, m.sent, m.sessions, m.claims)
 	keep := core.NewSet[netip.AddrPort]()
@@ -202,12 +213,14 @@
 	a.peers.Keep(keep)
 }
 
-func (a *Agent) writeClaim(ctx context.Context, act member.WriteClaim) (uint64, error) {
-	key := CellKey(act.Claim.Cell)
+// writeClaim writes a cell's claim if the claim's row and the own session row
+// still have the versions that the action names.
+func (a *Agent) writeClaim(ctx context.Context, action member.WriteClaim) (uint64, error) {
+	key := CellKey(action.Claim.Cell)
 	t := store.Txn{Checks: []store.Check{
-		{Key: key, Version: act.Version}, {Key: sessionKey(act.Self), Version: act.Session},
+		{Key: key, Version: action.Version}, {Key: sessionKey(action.Self), Version: action.Session},
 	}}
-	if err := t.Set(key, act.Claim); err != nil {
+	if err := t.Set(key, action.Claim); err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, store.Quick)
@@ -215,6 +228,9 @@
 	return a.store.Write(ctx, t)
 }
 
+// handleClaimWrite reports the outcome of a claim or a release to the
+// membership. It returns the error to be logged: a claim that lost to another
+// process is no failure.
 func (a *Agent) handleClaimWrite(m claimWriteDone) error {
 	var conflict *store.ConflictError
 	if m.claim.Owner == "" {
@@ -235,52 +251,58 @@
 	return m.err
 }
 
-// probe asks a process whether it is alive. A refused connection proves that
-// it is not: it listens for as long as it lives, and nobody else can have
-// bound its port.
+// probe checks whether a process is alive. A refused connection proves that it
+// is dead, since a live process listens on its port without a break. An answer
+// under another session ID proves it too, since two processes cannot bind the
+// same port.
 func (a *Agent) probe(ctx context.Context, p core.Process) member.Liveness {
 	ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 	defer cancel()
 	var d net.Dialer
-	c, err := d.DialContext(ctx, "tcp", p.Peer.String())
+	conn, err := d.DialContext(ctx, "tcp", p.Peer.String())
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return member.Dead
 	}
 	if err != nil {
 		return member.Silent
 	}
-	_ = c.Close()
-	r, err := a.peers.Alive(ctx, p)
+	_ = conn.Close()
+	answer, err := a.peers.Alive(ctx, p)
 	switch {
 	case err != nil:
 		return member.Silent
-	case r.Session == p.ID:
+	case answer.Session == p.ID:
 		return member.Alive
 	default:
 		return member.Dead
 	}
 }
 
-func (a *Agent) requestRenewal(ctx context.Context, act member.AskHold) loop.Message {
+// requestRenewal asks a peer to renew this process's session, or to promise not
+// to claim its cells. It probes a peer that does not answer.
+func (a *Agent) requestRenewal(ctx context.Context, action member.AskHold) loop.Message {
 	ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 	defer cancel()
-	answer, err := a.peers.Hold(ctx, act.Peer, act.Row, act.Version, false)
+	answer, err := a.peers.Hold(ctx, action.Peer, action.Row, action.Version, false)
 	if err != nil {
-		answer = member.Answer{Dead: a.probe(context.WithoutCancel(ctx), act.Peer) == member.Dead}
+		answer = member.Answer{Dead: a.probe(context.WithoutCancel(ctx), action.Peer) == member.Dead}
 	}
-	return renewalAnswered{act.Peer.ID, act.Round, answer}
+	return renewalAnswered{action.Peer.ID, action.Round, answer}
 }
 
-// RenewOrPromise answers a peer that cannot renew its session; it is called by traffic
-// goroutines.
+// RenewOrPromise answers a peer that cannot renew its session itself. It renews
+// the peer's session if this process reaches the store; otherwise it may promise
+// not to claim the peer's cells. If resign is set, it deletes the peer's session
+// instead. It is called by traffic goroutines.
 func (a *Agent) RenewOrPromise(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
 	return loop.Ask(ctx, a.loop, func(c chan<- member.Answer) loop.Message { return renewalRequest{row, version, resign, c} })
 }
 
+// handleRenewalRequest handles the message that RenewOrPromise sends.
 func (a *Agent) handleRenewalRequest(now time.Time, m renewalRequest) {
 	if m.resign {
 		a.loop.Go(func(ctx context.Context) loop.Message {
-			// Without an answer the lease lapses by itself.
+			// If this fails, the session's lease expires later.
 			_, _ = a.store.Write(ctx, store.Txn{Dels: []string{sessionKey(m.row.Process.ID)}})
 			m.reply <- member.Answer{}
 			return nil
@@ -299,6 +321,7 @@
 	})
 }
 
+// handlePeerRenewal answers the peer after the attempt to renew its session.
 func (a *Agent) handlePeerRenewal(now time.Time, m peerRenewalDone) {
 	if m.err == nil {
 		m.request.reply <- member.Answer{Renewed: true, Version: m.version}
@@ -307,8 +330,8 @@
 	m.request.reply <- a.Member.Promise(now, m.request.row.Process)
 }
 
-// Alive answers a peer's question about this process; it is called by traffic
-// goroutines.
+// Alive returns this process's session and the state of its configuration, for
+// a peer. It is called by traffic goroutines.
 func (a *Agent) Alive(ctx context.Context) (peer.Alive, error) {
 	return loop.Ask(ctx, a.loop, func(c chan<- peer.Alive) loop.Message { return aliveRequest{c} })
 }
@@ -320,16 +343,17 @@
 	}
 }
 
-// ReleaseCell writes the row that hands a cell over.
+// ReleaseCell writes the claim that gives up a cell and offers it to another
+// process.
 func (a *Agent) ReleaseCell(now time.Time, c member.Claim) { a.perform(a.Member.Release(now, c)) }
 
-// DeleteSession deletes the own session row and closes done, which ends a planned
-// stop.
+// DeleteSession deletes this process's session at the end of a drain, and then
+// closes done.
 func (a *Agent) DeleteSession(done chan<- struct{}) {
 	key := sessionKey(a.Member.Self().ID)
 	a.loop.Go(func(ctx context.Context) loop.Message {
 		if _, err := a.store.Write(ctx, store.Txn{Dels: []string{key}}); err != nil {
-			a.log.WithError(err).Warn("the session will lapse by itself")
+			a.log.WithError(err).Warn("session row not deleted; the session's lease will expire")
 		}
 		close(done)
 		return nil
--- a/io/gate/call.go
+++ b/io/gate/call.go
@@ -21,25 +21,29 @@
 )
 
 const (
-	// maxBody bounds a request's body, which is read before a slot is taken.
+	// maxBody bounds a request's body, which is read in full before a slot is
+	// requested.
 	maxBody = 8 << 20
-	// bufferLimit is the size up to which an answer is read whole before any of
-	// it is passed on, so that a broken one can still be asked for again.
+	// bufferLimit is the size below which a response is read in full before any
+	// of it is passed on. If it is truncated, the request can then be sent again.
 	bufferLimit  = 256 << 10
 	bearerPrefix = "Bearer "
-	// The headers of a request that the gate itself reads.
+	// The request headers that the gate itself reads.
 	teamHeader        = "Team"
 	idempotencyHeader = "Idempotency-Key"
 	requestIDHeader   = "Request-Id"
 )
 
+// lastCallID is the ID given to the newest call.
 var lastCallID atomic.Uint64
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the headers that are not passed on: those that belong to one
+// connection, and Authorization, which holds the caller's key.
 var hopHeaders = core.NewSet("Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", "Proxy-Connection")
 
-// ForwardError reports an answer that cannot be passed on as whole.
+// ForwardError reports a request that cannot be sent to the target, or a
+// response that cannot be passed on in full.
 type ForwardError struct {
 	Reason string
 	Err    error
@@ -58,8 +62,10 @@
 
 // call is one caller's request on its way to a target.
 type call struct {
-	gate      *Gate
-	id        uint64
+	gate *Gate
+	// id is unique within the process.
+	id uint64
+	// requestID is the value of the Request-Id header sent to the target.
 	requestID string
 	queue     core.Queue
 	team      core.Team
@@ -70,20 +76,21 @@
 	body      []byte
 }
 
-// credentials returns the team and key that a caller shows.
+// credentials returns the team and key in a request's headers.
 func credentials(r *http.Request) (core.Team, string) {
 	return core.Team(r.Header.Get(teamHeader)), strings.TrimPrefix(r.Header.Get("Authorization"), bearerPrefix)
 }
 
-// authorize checks a caller's key and returns the team and rule of its work.
+// authorize checks that a key is valid for a queue and a team, and returns the
+// team and the queue's rule.
 func (g *Gate) authorize(ctx context.Context, queue core.Queue, team core.Team, key string) (core.Team, *rules.Queue, error) {
-	a, err := loop.Ask(ctx, g.loop, func(c chan<- authResult) loop.Message {
+	result, err := loop.Ask(ctx, g.loop, func(c chan<- authResult) loop.Message {
 		return authRequest{queue: queue, team: team, key: key, reply: c}
 	})
 	if err != nil {
 		return "", nil, core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
-	return a.team, a.rule, a.err
+	return result.team, result.rule, result.err
 }
 
 // serveCall handles a request for a target.
@@ -100,10 +107,10 @@
 		result = resultLabel(err)
 	}
 	g.meter.Request(queue, team, result, time.Since(began))
-	var broken *ForwardError
-	if errors.As(err, &broken) && broken.Reason == reasonTruncated {
-		// Part of the answer has gone out: only a broken connection can tell
-		// the caller that it is not whole.
+	var forwardErr *ForwardError
+	if errors.As(err, &forwardErr) && forwardErr.Reason == reasonTruncated {
+		// Part of the response has been passed on, so only an aborted connection
+		// can tell the caller that it is truncated.
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
@@ -111,8 +118,11 @@
 	}
 }
 
-const reasonTruncated = "the answer broke off"
+// reasonTruncated is the reason of the ForwardError for a response that broke
+// off after part of it was passed on.
+const reasonTruncated = "response truncated"
 
+// resultLabel returns the metric label for a failed call.
 func resultLabel(err error) string {
 	var r *core.RefusalError
 	if errors.As(err, &r) {
@@ -121,9 +131,10 @@
 	return "cut"
 }
 
+// newCall authorizes a request and reads its body.
 func (g *Gate) newCall(w http.ResponseWriter, r *http.Request, queue core.Queue) (*call, error) {
-	claimed, key := credentials(r)
-	team, rule, err := g.authorize(r.Context(), queue, claimed, key)
+	claimedTeam, key := credentials(r)
+	team, rule, err := g.authorize(r.Context(), queue, claimedTeam, key)
 	if err != nil {
 		return nil, err
 	}
@@ -147,7 +158,9 @@
 	return c, nil
 }
 
-// serve takes the call through admission to its answer.
+// serve waits for a slot, sends the call to the target of the slot and passes
+// the response on. The control goroutine may grant another slot after a failure
+// that allows a retry.
 func (c *call) serve(w http.ResponseWriter, r *http.Request) error {
 	if err := c.recordFirstUse(r); err != nil {
 		return err
@@ -156,13 +169,13 @@
 	if err := c.gate.loop.Post(slotRequest{admit.Request{ID: c.id, Team: c.team, Rule: c.rule}, events}); err != nil {
 		return core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
-	gone := r.Context().Done()
-	left := false
+	disconnected := r.Context().Done()
+	callerLeft := false
 	for {
 		select {
-		case <-gone:
-			// The grant may be on its way: wait for one event more.
-			gone, left = nil, true
+		case <-disconnected:
+			// A slot may have been granted already, so wait for one more event.
+			disconnected, callerLeft = nil, true
 			c.post(callerGone{c.id})
 		case ev := <-events:
 			target, granted := ev.Target.Get()
@@ -171,48 +184,51 @@
 				return ev.Err
 			case !granted:
 				return nil
-			case left:
+			case callerLeft:
 				c.post(requestDone{c.id, admit.Abandoned, nil})
 				continue
 			}
-			// The target's work goes on to its end even if the caller leaves:
-			// its slot is in use until then.
-			gone = nil
-			answer, outcome, err := c.send(context.WithoutCancel(r.Context()), w, target)
-			c.countCrossRegionBytes(target, answer)
+			// The target goes on working on the request if the caller leaves,
+			// and uses its slot until it has finished.
+			disconnected = nil
+			resp, outcome, err := c.send(context.WithoutCancel(r.Context()), w, target)
+			c.countCrossRegionBytes(target, resp)
 			c.post(requestDone{c.id, outcome, err})
 			if outcome == admit.Truncated {
 				<-events
 				return &ForwardError{reasonTruncated, err}
 			}
-			if outcome == admit.Completed && answer != nil {
+			if outcome == admit.Completed && resp != nil {
 				<-events
-				answer.write(w)
+				resp.write(w)
 				return nil
 			}
 		}
 	}
 }
 
-// countCrossRegionBytes notes what has crossed between regions.
-func (c *call) countCrossRegionBytes(target core.VM, answer *response) {
+// countCrossRegionBytes counts the bytes of the call's body and of its response,
+// if buffered, when the target is in another region.
+func (c *call) countCrossRegionBytes(target core.VM, resp *response) {
 	if target.Region == c.gate.region {
 		return
 	}
 	bytes := len(c.body)
-	if answer != nil {
-		bytes += len(answer.body)
+	if resp != nil {
+		bytes += len(resp.body)
 	}
 	c.gate.meter.Crossed(c.queue, bytes)
 }
 
+// post sends a message to the control goroutine.
 func (c *call) post(m loop.Message) {
-	// A stopped loop has no slots left to count.
+	// Post fails only if the loop has stopped; it then counts no slots any more.
 	_ = c.gate.loop.Post(m)
 }
 
-// recordFirstUse makes a request that must not run twice known to every gate
-// before anything of it is sent.
+// recordFirstUse records the idempotency key of a request that must not run
+// twice, before anything of the request is sent. It refuses a key that has been
+// recorded by any gate before.
 func (c *call) recordFirstUse(r *http.Request) error {
 	key := r.Header.Get(idempotencyHeader)
 	if c.rule.Repeat || key == "" {
@@ -220,37 +236,39 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.rule.Wait)
 	defer cancel()
-	v := c.gate.intents.record(ctx, intentKey("call", c.team, key), intent{
+	result := c.gate.intents.record(ctx, intentKey("call", c.team, key), intent{
 		Gate: c.gate.Agent.Name(), Nonce: rand.Text(), At: time.Now().UTC(),
 	})
-	if v.err != nil {
+	if result.err != nil {
 		e := core.Refuse(core.CodeStore, "the idempotency key cannot be recorded")
-		e.Err = v.err
+		e.Err = result.err
 		e.RetryAfter = time.Second
 		return e
 	}
-	if !v.isFirst {
+	if !result.isFirst {
 		e := core.RefuseUnknown(core.CodeRepeat, nil, "the request with this key was first sent through %s at %s",
-			v.earlier.Gate, v.earlier.At.Format(time.RFC3339))
+			result.earlier.Gate, result.earlier.At.Format(time.RFC3339))
 		return e
 	}
 	return nil
 }
 
-// response is an answer that has been read whole.
+// response is a target's response, or its first part if the response is large.
 type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (a *response) write(w http.ResponseWriter) {
-	copyHeader(w.Header(), a.header)
+// write passes the response on to the caller.
+func (r *response) write(w http.ResponseWriter) {
+	copyHeader(w.Header(), r.header)
 	w.Header().Set(httpx.RunHeader, string(core.Executed))
-	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body)
+	w.WriteHeader(r.status)
+	_, _ = w.Write(r.body)
 }
 
+// copyHeader copies all headers that are passed on.
 func copyHeader(to, from http.Header) {
 	for name, vals := range from {
 		if !hopHeaders.Has(name) {
@@ -259,20 +277,21 @@
 	}
 }
 
-// send sends the call to a target once and reads the answer. A large answer
-// is passed on while it is read.
+// send sends the call to a target once and reads the response. A response of at
+// least bufferLimit bytes is passed on while it is read; send then returns nil.
 func (c *call) send(ctx context.Context, w http.ResponseWriter, target core.VM) (*response, admit.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.rule.Run)
 	defer cancel()
 	var conn *trackedConn
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(i httptrace.GotConnInfo) { conn = startRequest(i.Conn) },
+		GotConn: func(info httptrace.GotConnInfo) { conn = startRequest(info.Conn) },
 	})
-	// A body that cannot be rewound keeps the HTTP client from sending the
-	// request again on its own, whatever the method and headers.
+	// The HTTP client retries a request only if it can rewind the body.
+	// NopCloser hides how to, so the client sends the request at most once,
+	// whatever the method and headers.
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+target.Addr.String()+c.path, io.NopCloser(bytes.NewReader(c.body)))
 	if err != nil {
-		return nil, admit.Unsent, &ForwardError{"the request cannot be sent", err}
+		return nil, admit.Unsent, &ForwardError{"request could not be built", err}
 	}
 	req.ContentLength = int64(len(c.body))
 	if len(c.body) == 0 {
@@ -292,12 +311,14 @@
 	return c.read(w, resp)
 }
 
+// read reads the response. It refuses one that carries another request's ID, and
+// one whose truncation could not be detected.
 func (c *call) read(w http.ResponseWriter, resp *http.Response) (*response, admit.Outcome, error) {
 	if id := resp.Header.Get(requestIDHeader); id != "" && id != c.requestID {
-		return nil, admit.Aborted, &ForwardError{"the answer belongs to request " + id, nil}
+		return nil, admit.Aborted, &ForwardError{"response carries the ID of another request: " + id, nil}
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && c.method != http.MethodHead {
-		return nil, admit.Aborted, &ForwardError{"the answer has no length, so it cannot be known to be whole", nil}
+		return nil, admit.Aborted, &ForwardError{"response has neither a length nor a transfer encoding, so its truncation could not be detected", nil}
 	}
 	first, err := io.ReadAll(io.LimitReader(resp.Body, bufferLimit))
 	if err != nil {
--- a/io/gate/conn.go
+++ b/io/gate/conn.go
@@ -11,17 +11,17 @@
 
 const (
 	dialTimeout = time.Second
-	// idleTimeout is shorter than what targets usually allow, so that a reused
-	// connection is rarely one that the target is about to close.
+	// idleTimeout is shorter than the idle time-out of most targets, so that the
+	// gate rarely reuses a connection that the target is about to close.
 	idleTimeout = 5 * time.Second
-	// maxIdle bounds the idle connections to one target. Those in use are
-	// bounded by its slots, so with nine gates and 8 slots a target has at most
-	// 44 of its 64 connections open.
+	// maxIdle bounds the idle connections of one gate to one target. Connections
+	// in use are bounded by the target's slots. With nine gates and 8 slots, a
+	// target has at most 8 + 9*4 = 44 of its 64 connections open.
 	maxIdle = 4
 )
 
-// emptyBody is an empty body that the HTTP client cannot take for one that may be
-// sent again.
+// emptyBody is an empty body that the HTTP client does not recognize as empty.
+// The client would send a request without a body again after some failures.
 type emptyBody struct{}
 
 // Read implements io.Reader.
@@ -30,17 +30,22 @@
 // Close implements io.Closer.
 func (emptyBody) Close() error { return nil }
 
-// WriteBlockedError reports a write to a connection whose request has been given up.
+// WriteBlockedError reports a write to a connection after blockWrites.
 type WriteBlockedError struct{}
 
 // Error implements error.
-func (*WriteBlockedError) Error() string { return "the request has been given up" }
+func (*WriteBlockedError) Error() string {
+	return "write blocked: the request on this connection has already failed"
+}
 
-// trackedConn knows whether anything has been written since it was marked.
+// trackedConn is a connection that records whether any byte of the current
+// request has been written to it.
 type trackedConn struct {
 	net.Conn
-	mu      sync.Mutex
-	wrote   bool
+	mu sync.Mutex
+	// wrote is set by the first write after startRequest.
+	wrote bool
+	// blocked is set by blockWrites; all later writes fail.
 	blocked bool
 }
 
@@ -56,7 +61,8 @@
 	return c.Conn.Write(b)
 }
 
-// startRequest begins a new request on a connection.
+// startRequest marks the start of a new request on a connection. It returns nil
+// if the connection is not tracked.
 func startRequest(conn net.Conn) *trackedConn {
 	c, ok := conn.(*trackedConn)
 	if !ok {
@@ -68,8 +74,9 @@
 	return c
 }
 
-// blockWrites lets nothing more be written and reports whether nothing has been
-// written since the mark: then the request has surely not been sent.
+// blockWrites makes all further writes fail and reports whether nothing has been
+// written since startRequest. If so, no byte of the request can reach the target
+// any more, and the request can be sent again.
 func (c *trackedConn) blockWrites() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,6 +84,7 @@
 	return !c.wrote
 }
 
+// newTransport returns an HTTP transport whose connections are tracked.
 func newTransport() http.RoundTripper {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -1,5 +1,6 @@
-// Package gate is the process that takes callers' requests. Its control
-// goroutine decides on admission; traffic goroutines carry the bytes.
+// Package gate implements the process that accepts callers' requests and jobs.
+// Its control goroutine decides which request gets which slot; traffic goroutines
+// pass requests on to targets and jobs to their owners.
 package gate
 
 import (
@@ -21,9 +22,10 @@
 )
 
 const (
-	// tickInterval is the precision of a request's longest wait.
+	// tickInterval is the time between two searches for requests that have
+	// waited too long, and so the precision of a queue's wait limit.
 	tickInterval = 20 * time.Millisecond
-	// demandInterval is how often the wanted slots are worked out.
+	// demandInterval is the time between two updates of the ledger's demand.
 	demandInterval = 200 * time.Millisecond
 )
 
@@ -33,19 +35,22 @@
 	Submit(ctx context.Context, to core.Process, spec cell.JobSpec) (repeated bool, err error)
 	Cancel(ctx context.Context, to core.Process, id core.JobID) error
 	Show(ctx context.Context, to core.Process, id core.JobID) (cell.View, error)
-	List(ctx context.Context, to core.Process, team core.Team, most int) ([]cell.View, error)
+	List(ctx context.Context, to core.Process, team core.Team, limit int) ([]cell.View, error)
 }
 
-// Meter takes in what the gate measures.
+// Meter records the gate's metrics.
 type Meter interface {
+	// Request records a finished request and the time from its arrival.
 	Request(queue core.Queue, team core.Team, result string, took time.Duration)
+	// RequestWait records the time that a request waited for its slot.
 	RequestWait(queue core.Queue, wait time.Duration)
-	// Crossed takes in the bytes of a request and its answer that crossed
+	// Crossed records the bytes of a request and its response that were sent
 	// between regions.
 	Crossed(queue core.Queue, bytes int)
 }
 
-// Gate is the control state of the process.
+// Gate is the control state of the process, with the clients that its traffic
+// goroutines use.
 type Gate struct {
 	loop      *loop.Loop
 	Agent     *agent.Agent
@@ -58,34 +63,38 @@
 	ledger    *ledger.Ledger
 	intents   *intentWriter
 	transport http.RoundTripper
-	// eventChans holds the traffic goroutine that waits for each request.
+	// eventChans leads to the traffic goroutine of each request that has not
+	// ended, by the request's ID.
 	eventChans map[uint64]chan<- admit.Event
 	nextTick   time.Time
 	nextDemand time.Time
-	// regionGates and all count the gates of the region and of the fleet.
+	// regionGates and fleetGates count the gates of the region and of the fleet,
+	// this one included.
 	regionGates, fleetGates int
-	// rotation spreads jobs over the cells of the region.
-	rotation     int
-	draining     bool
+	// rotation grows with every job, to spread the jobs over a region's cells.
+	rotation int
+	draining bool
+	// sessionEnded is set once the deletion of the session has been started.
 	sessionEnded bool
-	drained      chan struct{}
+	// drained is closed once the session has been deleted or that has failed.
+	drained chan struct{}
 }
 
 // New returns a gate that has not joined yet.
 func New(l *loop.Loop, st agent.Store, p Peers, m *member.Member, mt Meter, log *logrus.Entry) *Gate {
-	book := ledger.New(ledger.Holder(m.Self().ID))
+	slots := ledger.New(ledger.Holder(m.Self().ID))
 	g := &Gate{
-		loop: l, region: m.Self().Region, store: st, peers: p, meter: mt, log: log, ledger: book,
-		admission: admit.New(m.Self().Region, m.Self().Zone, book), transport: newTransport(),
+		loop: l, region: m.Self().Region, store: st, peers: p, meter: mt, log: log, ledger: slots,
+		admission: admit.New(m.Self().Region, m.Self().Zone, slots), transport: newTransport(),
 		eventChans: map[uint64]chan<- admit.Event{}, drained: make(chan struct{}),
 	}
 	g.intents = newIntentWriter(st)
 	g.Agent = agent.New(l, st, p, g, m, log)
-	g.Agent.AddLedger(book, "slots/", "calls/")
+	g.Agent.AddLedger(slots, "slots/", "calls/")
 	return g
 }
 
-// Left is closed once a planned stop is complete.
+// Left returns a channel that is closed once the drain is complete.
 func (g *Gate) Left() <-chan struct{} { return g.drained }
 
 type (
@@ -159,7 +168,7 @@
 // Message implements loop.Message.
 func (drainRequest) Message() {}
 
-// Dump is the whole control state for people.
+// Dump is the gate's control state for the operators' pages.
 type Dump struct {
 	Agent            agent.Dump
 	Mailbox          int
@@ -167,7 +176,7 @@
 	Targets          []admit.TargetView
 }
 
-// Leave begins a planned stop.
+// Leave starts the drain.
 func (g *Gate) Leave() { _ = g.loop.Post(drainRequest{}) }
 
 // Handle implements loop.Handler.
@@ -197,12 +206,13 @@
 	case readyRequest:
 		m.reply <- !g.draining && g.Agent.Ready()
 	case drainRequest:
-		g.log.Info("leaving: finishing the requests in flight")
+		g.log.Info("draining: waiting for requests in flight to end")
 		g.draining = true
 	}
 }
 
-// deliver passes events on to the traffic goroutines that wait for them.
+// deliver sends events to the traffic goroutines of their requests. An event
+// without a target is the request's last one.
 func (g *Gate) deliver(events []admit.Event) {
 	for _, ev := range events {
 		c := g.eventChans[ev.ID]
@@ -216,6 +226,8 @@
 	}
 }
 
+// handleAuth checks a key for a queue and a team. It refuses all new work while
+// the gate is draining.
 func (g *Gate) handleAuth(now time.Time, m authRequest) authResult {
 	if g.draining {
 		r := core.Refuse(core.CodeLeaving, "this gate is about to stop")
@@ -244,6 +256,8 @@
 	return core.Earlier(core.Earlier(next, g.nextTick), g.nextDemand)
 }
 
+// reportAdmission logs the events that admission's charts refused and records
+// the waits of the requests that were granted a slot.
 func (g *Gate) reportAdmission() {
 	g.Agent.LogRefusals(g.admission.Refusals())
 	for _, w := range g.admission.Waits() {
@@ -251,26 +265,27 @@
 	}
 }
 
-// updateGateCounts follows the number of gates that divide the region's targets.
+// updateGateCounts tells admission how many gates share the region's targets and
+// how many share the teams' limits.
 func (g *Gate) updateGateCounts() {
-	near, all := 1, 1
+	inRegion, inFleet := 1, 1
 	self := g.Agent.Member.Self()
 	for _, p := range g.Agent.Member.Peers() {
 		if p.Role == core.RoleGate {
-			all++
+			inFleet++
 			if p.Region == self.Region {
-				near++
+				inRegion++
 			}
 		}
 	}
-	if near != g.regionGates || all != g.fleetGates {
-		g.regionGates, g.fleetGates = near, all
-		g.admission.SetGates(near, all)
+	if inRegion != g.regionGates || inFleet != g.fleetGates {
+		g.regionGates, g.fleetGates = inRegion, inFleet
+		g.admission.SetGates(inRegion, inFleet)
 	}
 }
 
-// renameLedger carries the slots over when the session has joined under a new name.
-// The parts of the old name stay counted until they are reclaimed.
+// renameLedger moves the ledger to the new session ID after the session has
+// rejoined. The parts of the old ID stay in the rows until they are reclaimed.
 func (g *Gate) renameLedger() {
 	if h := ledger.Holder(g.Agent.Member.Self().ID); h != g.ledger.Holder() {
 		g.ledger.Rename(h)
@@ -291,7 +306,8 @@
 	g.deliver(g.admission.SetTargets(now, targets))
 }
 
-// BookRead implements agent.Host.
+// BookRead implements agent.Host. It grants slots that the gate now holds to
+// waiting requests.
 func (g *Gate) BookRead(now time.Time) { g.deliver(g.admission.Tick(now)) }
 
 func (g *Gate) dump() Dump {
@@ -300,19 +316,22 @@
 	return d
 }
 
-// Dump returns the whole control state; it is called by traffic goroutines.
+// Dump returns the control state for the operators' pages; it is called by
+// traffic goroutines.
 func (g *Gate) Dump(ctx context.Context) (any, error) {
 	return loop.Ask(ctx, g.loop, func(c chan<- Dump) loop.Message { return dumpRequest{c} })
 }
 
-// Ready reports whether the balancer may send requests here.
+// Ready reports whether the load balancer may send requests to this gate; it is
+// called by traffic goroutines.
 func (g *Gate) Ready(ctx context.Context) bool {
 	ok, err := loop.Ask(ctx, g.loop, func(c chan<- bool) loop.Message { return readyRequest{c} })
 	return err == nil && ok
 }
 
-// finishDrain ends a planned stop: requests in flight end, slots go back, then the
-// session ends.
+// finishDrain completes the drain, one step per call: it waits until no request
+// is in flight, gives all parts of the ledger back, waits until that is stored,
+// and then ends the session.
 func (g *Gate) finishDrain() {
 	if !g.draining || g.sessionEnded {
 		return
@@ -339,6 +358,7 @@
 	return g.Agent.RenewOrPromise(ctx, row, version, resign)
 }
 
+// notSched returns the refusal of all calls that only a sched serves.
 func notSched() error { return core.Refuse(core.CodeOwner, "a gate owns no cells") }
 
 // Submit implements peer.Backend.
--- a/io/gate/jobs.go
+++ b/io/gate/jobs.go
@@ -21,14 +21,19 @@
 )
 
 const (
+	// maxJobBody bounds the body that submits a job, in bytes.
 	maxJobBody = 4 << 20
-	// ownerTimeout is how long a gate looks for the owner of a cell.
+	// ownerTimeout bounds the time until a cell's owner has answered, all
+	// attempts included.
 	ownerTimeout       = 10 * time.Second
 	ownerRetryInterval = 150 * time.Millisecond
-	// ownerCallTimeout bounds one call to an owner; the owner's journal may be slow.
+	// ownerCallTimeout bounds one call to an owner, which may wait for a slow
+	// write of its journal.
 	ownerCallTimeout = 4 * time.Second
-	defaultListSize  = 100
-	milliPerCore     = 1000
+	// defaultListSize is the number of jobs listed if the caller names none.
+	defaultListSize = 100
+	// milliPerCore converts cores to the thousandths in which they are counted.
+	milliPerCore = 1000
 )
 
 // JobRequest is the body that submits a job.
@@ -38,18 +43,20 @@
 	Tasks []TaskRequest `json:"tasks"`
 }
 
-// TaskRequest asks for one task, or for Count alike.
+// TaskRequest describes one task, or Count equal tasks.
 type TaskRequest struct {
 	Count int `json:"count,omitempty"`
 	// Cores may be a fraction; Memory is in MiB.
-	Cores   float64 `json:"cores"`
-	Memory  int64   `json:"memory"`
-	Accel   int64   `json:"accel,omitempty"`
-	Run     string  `json:"run,omitempty"`
-	Command string  `json:"command"`
+	Cores  float64 `json:"cores"`
+	Memory int64   `json:"memory"`
+	// Accel is the number of accelerators.
+	Accel int64 `json:"accel,omitempty"`
+	// Run is the estimated run time, such as "90s".
+	Run     string `json:"run,omitempty"`
+	Command string `json:"command"`
 }
 
-// JobView is a job as it is shown.
+// JobView is a job as callers see it.
 type JobView struct {
 	ID        string     `json:"id"`
 	Team      string     `json:"team"`
@@ -72,10 +79,11 @@
 // Submitted is the answer to an accepted job.
 type Submitted struct {
 	ID string `json:"id"`
-	// Repeated is set when the job had been accepted before.
+	// Repeated is set if the job had already been accepted.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
+// timePtr returns nil for the zero time, so that JSON omits it.
 func timePtr(t time.Time) *time.Time {
 	if t.IsZero() {
 		return nil
@@ -83,6 +91,7 @@
 	return &t
 }
 
+// newJobView converts the view of a job that its owner returned.
 func newJobView(v cell.View) JobView {
 	return JobView{
 		string(v.ID), string(v.Team), string(v.Queue), string(v.Kind), v.State, v.Submitted, timePtr(v.Started),
@@ -90,7 +99,8 @@
 	}
 }
 
-// parseJob reads the body that submits a job.
+// parseJob parses the body that submits a job, and returns it with one TaskSpec
+// per task.
 func parseJob(text []byte) (JobRequest, []cell.TaskSpec, error) {
 	var req JobRequest
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -102,10 +112,10 @@
 	}
 	var tasks []cell.TaskSpec
 	for i, t := range req.Tasks {
-		run := time.Duration(0)
+		estimate := time.Duration(0)
 		if t.Run != "" {
 			var err error
-			if run, err = time.ParseDuration(t.Run); err != nil || run < 0 {
+			if estimate, err = time.ParseDuration(t.Run); err != nil || estimate < 0 {
 				return req, nil, core.Refuse(core.CodeBadInput, "task %d: run %q is not a time span such as \"90s\"", i, t.Run)
 			}
 		}
@@ -118,7 +128,7 @@
 		}
 		spec := cell.TaskSpec{
 			Need:     core.Resources{Cores: int64(math.Ceil(t.Cores * milliPerCore)), Memory: t.Memory, Accel: t.Accel},
-			Estimate: run, Command: t.Command,
+			Estimate: estimate, Command: t.Command,
 		}
 		for range count {
 			tasks = append(tasks, spec)
@@ -131,14 +141,16 @@
 }
 
 func (g *Gate) serveSubmit(w http.ResponseWriter, r *http.Request) {
-	sub, err := g.submit(w, r)
+	submitted, err := g.submit(w, r)
 	if err != nil {
 		httpx.WriteError(w, err)
 		return
 	}
-	httpx.WriteJSON(w, http.StatusAccepted, sub)
+	httpx.WriteJSON(w, http.StatusAccepted, submitted)
 }
 
+// submit parses and authorizes a job, chooses its cell and submits it to the
+// cell's owner.
 func (g *Gate) submit(w http.ResponseWriter, r *http.Request) (Submitted, error) {
 	text, err := httpx.ReadBody(w, r, maxJobBody)
 	if err != nil {
@@ -148,11 +160,11 @@
 	if err != nil {
 		return Submitted{}, err
 	}
-	claimed, key := credentials(r)
-	if claimed == "" {
-		claimed = core.Team(req.Team)
+	claimedTeam, key := credentials(r)
+	if claimedTeam == "" {
+		claimedTeam = core.Team(req.Team)
 	}
-	team, rule, err := g.authorize(r.Context(), core.Queue(req.Queue), claimed, key)
+	team, rule, err := g.authorize(r.Context(), core.Queue(req.Queue), claimedTeam, key)
 	if err != nil {
 		return Submitted{}, err
 	}
@@ -167,6 +179,8 @@
 	return Submitted{string(spec.ID), repeated}, err
 }
 
+// newJobSpec returns a job without an ID, with the deadlines that the queue's
+// rule sets.
 func newJobSpec(team core.Team, rule *rules.Queue, tasks []cell.TaskSpec, now time.Time) cell.JobSpec {
 	spec := cell.JobSpec{Team: team, Queue: rule.Name, Kind: rule.Kind, Tasks: tasks, Submitted: now}
 	if rule.Start > 0 {
@@ -178,54 +192,57 @@
 	return spec
 }
 
-// chooseCell names the job and with it the cell. Under an idempotency key, the
-// choice is recorded first, so that a repetition through any gate finds it.
+// chooseCell chooses the job's cell and sets the job's ID, which contains the
+// cell. If the caller sent an idempotency key, the ID is recorded under it first,
+// so that a retry through any gate submits the job under the same ID.
 func (g *Gate) chooseCell(r *http.Request, spec *cell.JobSpec) error {
 	needs := make([]core.Resources, 0, len(spec.Tasks))
 	for _, t := range spec.Tasks {
 		needs = append(needs, t.Need)
 	}
-	places, err := loop.Ask(r.Context(), g.loop, func(c chan<- []core.CellID) loop.Message { return cellsRequest{needs, c} })
+	cells, err := loop.Ask(r.Context(), g.loop, func(c chan<- []core.CellID) loop.Message { return cellsRequest{needs, c} })
 	if err != nil {
 		return core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
-	if len(places) == 0 {
+	if len(cells) == 0 {
 		return core.Refuse(core.CodeTooLarge, "no worker of the fleet is large enough for every task")
 	}
-	spec.ID = core.NewJobID(places[0], rand.Text()[:16])
+	spec.ID = core.NewJobID(cells[0], rand.Text()[:16])
 	key := r.Header.Get(idempotencyHeader)
 	if key == "" {
 		return nil
 	}
-	v := g.intents.record(r.Context(), intentKey("job", spec.Team, key), intent{
+	result := g.intents.record(r.Context(), intentKey("job", spec.Team, key), intent{
 		Gate: g.Agent.Name(), Nonce: rand.Text(), Job: spec.ID, At: spec.Submitted,
 	})
-	if v.err != nil {
+	if result.err != nil {
 		e := core.Refuse(core.CodeStore, "the idempotency key cannot be recorded")
-		e.Err = v.err
+		e.Err = result.err
 		return e
 	}
-	if !v.isFirst {
-		spec.ID = v.earlier.Job
+	if !result.isFirst {
+		spec.ID = result.earlier.Job
 	}
 	return nil
 }
 
-// candidateCells returns the cells with a worker large enough for each task, those of
-// the own region first and in turn.
+// candidateCells returns the cells that have, for each task, a worker large
+// enough for it. Cells of the own region come first; within a region, each call
+// begins with the next cell.
 func (g *Gate) candidateCells(needs []core.Resources) []core.CellID {
-	largest := map[core.CellID][]core.Resources{}
+	// sizes holds the distinct sizes of each cell's workers.
+	sizes := map[core.CellID][]core.Resources{}
 	for _, vm := range g.Agent.VMs() {
 		if vm.Kind == "worker" && !vm.Leaving {
 			id := core.CellID{Region: vm.Region, Index: cell.IndexOf(core.WorkerID(vm.Name), g.Agent.Member.Cells())}
-			if !slices.Contains(largest[id], vm.Room) {
-				largest[id] = append(largest[id], vm.Room)
+			if !slices.Contains(sizes[id], vm.Room) {
+				sizes[id] = append(sizes[id], vm.Room)
 			}
 		}
 	}
 	var out []core.CellID
-	for id, rooms := range largest {
-		if allFit(needs, rooms) {
+	for id, cellSizes := range sizes {
+		if allFit(needs, cellSizes) {
 			out = append(out, id)
 		}
 	}
@@ -237,8 +254,10 @@
 	return out
 }
 
+// rotated returns a cell's position in the current rotation.
 func (g *Gate) rotated(id core.CellID) int { return (id.Index + g.rotation) % g.Agent.Member.Cells() }
 
+// remoteRank returns 0 for a cell of the own region and 1 for any other.
 func remoteRank(id core.CellID, self core.Region) int {
 	if id.Region == self {
 		return 0
@@ -246,17 +265,19 @@
 	return 1
 }
 
-func allFit(needs, rooms []core.Resources) bool {
+// allFit reports whether each need fits into at least one of the sizes.
+func allFit(needs, sizes []core.Resources) bool {
 	for _, n := range needs {
-		if !slices.ContainsFunc(rooms, n.Fits) {
+		if !slices.ContainsFunc(sizes, n.Fits) {
 			return false
 		}
 	}
 	return true
 }
 
-// submitToOwner gives a job to the owner of its cell. A submission is idempotent by its
-// name, so it is repeated until an owner has recorded or refused it.
+// submitToOwner submits a job to the owner of its cell and reports whether the
+// owner had recorded it before. Submission is idempotent by the job's ID, so it is
+// retried until an owner has recorded or refused the job.
 func (g *Gate) submitToOwner(ctx context.Context, spec cell.JobSpec) (bool, error) {
 	repeated := false
 	sent := false
@@ -271,41 +292,43 @@
 		if !sent {
 			return false, core.Refuse(core.CodeOwner, "no process owns the cell of job %s", spec.ID)
 		}
-		return false, core.RefuseUnknown(core.CodeOwner, err, "job %s may or may not have been recorded; ask for it by name", spec.ID)
+		return false, core.RefuseUnknown(core.CodeOwner, err, "job %s may or may not have been recorded; look it up by its ID", spec.ID)
 	}
 	return repeated, err
 }
 
-// callOwner calls the owner of a job's cell, following it while it moves.
+// callOwner calls the owner of a job's cell. While the cell has no owner, or the
+// called process says that it is not the owner, it looks up the owner again and
+// retries, until ownerTimeout has passed.
 func (g *Gate) callOwner(ctx context.Context, id core.JobID, do func(ctx context.Context, owner core.Process) error) error {
-	c, ok := id.Cell()
+	cellID, ok := id.Cell()
 	if !ok {
 		return core.Refuse(core.CodeNoJob, "%q is not the name of a job", id)
 	}
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	for {
-		o, err := loop.Ask(ctx, g.loop, func(r chan<- ownersReply) loop.Message { return ownersRequest{r} })
+		owners, err := loop.Ask(ctx, g.loop, func(r chan<- ownersReply) loop.Message { return ownersRequest{r} })
 		if err != nil {
-			return core.Refuse(core.CodeOwner, "no process owns cell %s", c)
+			return core.Refuse(core.CodeOwner, "no process owns cell %s", cellID)
 		}
-		last := error(core.Refuse(core.CodeOwner, "no process owns cell %s", c))
-		if owner, ok := o.cells[c]; ok {
-			call, done := context.WithTimeout(ctx, ownerCallTimeout)
-			last = do(call, owner)
-			done()
+		lastErr := error(core.Refuse(core.CodeOwner, "no process owns cell %s", cellID))
+		if owner, ok := owners.cells[cellID]; ok {
+			callCtx, cancelCall := context.WithTimeout(ctx, ownerCallTimeout)
+			lastErr = do(callCtx, owner)
+			cancelCall()
 		}
 		var r *core.RefusalError
-		if !errors.As(last, &r) || r.Code != core.CodeOwner {
-			return last
+		if !errors.As(lastErr, &r) || r.Code != core.CodeOwner {
+			return lastErr
 		}
 		if !sleep(ctx, ownerRetryInterval) {
-			return last
+			return lastErr
 		}
 	}
 }
 
-// sleep waits unless the context ends first.
+// sleep waits for d and reports whether d has passed before the context ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -317,14 +340,14 @@
 	}
 }
 
-// authTeam returns the team whose key a caller shows.
+// authTeam returns the team of the key in a request's headers.
 func (g *Gate) authTeam(r *http.Request) (core.Team, error) {
 	_, key := credentials(r)
-	a, err := loop.Ask(r.Context(), g.loop, func(c chan<- authResult) loop.Message { return teamRequest{key, c} })
+	result, err := loop.Ask(r.Context(), g.loop, func(c chan<- authResult) loop.Message { return teamRequest{key, c} })
 	if err != nil {
 		return "", core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
-	return a.team, a.err
+	return result.team, result.err
 }
 
 func (g *Gate) serveShow(w http.ResponseWriter, r *http.Request) {
@@ -336,7 +359,8 @@
 	httpx.WriteJSON(w, http.StatusOK, newJobView(v))
 }
 
-// teamJob returns a job if it belongs to the team whose key is shown.
+// teamJob returns the job that a request names. It refuses if the job belongs to
+// another team than the key in the request's headers.
 func (g *Gate) teamJob(r *http.Request) (cell.View, error) {
 	team, err := g.authTeam(r)
 	if err != nil {
@@ -375,11 +399,11 @@
 		httpx.WriteError(w, err)
 		return
 	}
-	most, err := strconv.Atoi(r.URL.Query().Get("most"))
-	if err != nil || most <= 0 {
-		most = defaultListSize
+	limit, err := strconv.Atoi(r.URL.Query().Get("most"))
+	if err != nil || limit <= 0 {
+		limit = defaultListSize
 	}
-	views, err := g.list(r.Context(), team, most)
+	views, err := g.list(r.Context(), team, limit)
 	if err != nil {
 		httpx.WriteError(w, err)
 		return
@@ -391,26 +415,27 @@
 	httpx.WriteJSON(w, http.StatusOK, out)
 }
 
-// list gathers the newest jobs of every sched that answers.
-func (g *Gate) list(ctx context.Context, team core.Team, most int) ([]cell.View, error) {
-	o, err := loop.Ask(ctx, g.loop, func(r chan<- ownersReply) loop.Message { return ownersRequest{r} })
+// list returns a team's newest jobs, newest first. Jobs of scheds that do not
+// answer are missing.
+func (g *Gate) list(ctx context.Context, team core.Team, limit int) ([]cell.View, error) {
+	owners, err := loop.Ask(ctx, g.loop, func(r chan<- ownersReply) loop.Message { return ownersRequest{r} })
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	var out []cell.View
-	for _, p := range o.peers {
+	for _, p := range owners.peers {
 		if p.Role != core.RoleSched {
 			continue
 		}
-		views, err := g.peers.List(ctx, p, team, most)
+		views, err := g.peers.List(ctx, p, team, limit)
 		if err != nil {
-			g.log.WithError(err).Debugf("%s does not list its jobs", p.ID)
+			g.log.WithError(err).Debugf("listing the jobs of %s failed", p.ID)
 			continue
 		}
 		out = append(out, views...)
 	}
 	slices.SortFunc(out, func(a, b cell.View) int { return b.Submitted.Compare(a.Submitted) })
-	return out[:min(len(out), most)], nil
+	return out[:min(len(out), limit)], nil
 }
