--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -51,7 +51,9 @@
 	Nonce string
 }
 
+// Messages to the control goroutine.
 type (
+	// configRead carries the changes that were read.
 	configRead struct {
 		sent    time.Time
 		changes []conf.Change
@@ -62,12 +64,14 @@
 		snapshot *loadedSnapshot
 		err      error
 	}
+	// confirmDone carries the result of confirmWithPeers for a version.
 	confirmDone struct {
 		confirmedAt time.Time
 		version     core.Version
 		ok          bool
 	}
-	viewRequest   struct{ reply chan<- View }
+	viewRequest struct{ reply chan<- View }
+	// configReadDue makes the next tick read the configuration.
 	configReadDue struct{}
 )
 
@@ -146,6 +150,7 @@
 	return out, err
 }
 
+// handleConfigRead puts the snapshot and the changes that were read in force.
 func (a *Agent) handleConfigRead(now time.Time, m configRead) {
 	a.readingConfig = false
 	a.logFailureOnce("reading the configuration", m.err)
@@ -244,6 +249,8 @@
 	return newest, !newest.IsZero()
 }
 
+// handleConfirm confirms the configuration unless another version has come into
+// force since the peers were asked.
 func (a *Agent) handleConfirm(m confirmDone) {
 	a.confirming = false
 	if m.ok && m.version == a.Conf.Version() {
@@ -331,8 +338,9 @@
 }
 
 // appendChange writes a change as version v. If another change has taken that
-// version, a change that commutes is written under the next one, any other is
-// refused.
+// version, a change that commutes is written under the next one, and any other is
+// refused. If a write is not answered, appendChange reads whether it took effect
+// and retries if it did not.
 func (a *Agent) appendChange(ctx context.Context, v core.Version, c storedChange, commutes bool) (core.Version, error) {
 	c.Nonce = randomHex(nonceBytes)
 	c.At = time.Now().UTC()
--- a/io/agent/limits.go
+++ b/io/agent/limits.go
@@ -17,6 +17,7 @@
 // limitPrefix is the prefix of the keys of all ledger rows.
 const limitPrefix = "limit/"
 
+// Messages to the control goroutine.
 type (
 	vmsReadDone struct {
 		list store.List
--- a/io/agent/session.go
+++ b/io/agent/session.go
@@ -29,13 +29,16 @@
 // CellKey returns the key of the row that holds a cell's claim.
 func CellKey(id core.CellID) string { return cellPrefix + id.String() }
 
+// Messages to the control goroutine.
 type (
+	// sessionWriteDone carries the outcome of a write of the own session row.
 	sessionWriteDone struct {
 		id      core.SessionID
 		sent    time.Time
 		version uint64
 		err     error
 	}
+	// membersRead carries the rows of all sessions and claims.
 	membersRead struct {
 		sent     time.Time
 		sessions []core.Row[member.Session]
@@ -44,6 +47,7 @@
 		malformed []error
 		err       error
 	}
+	// claimWriteDone carries the outcome of a claim or of a release.
 	claimWriteDone struct {
 		claim   member.Claim
 		version uint64
@@ -53,17 +57,20 @@
 		id       core.SessionID
 		liveness member.Liveness
 	}
+	// renewalAnswered carries a peer's answer to requestRenewal.
 	renewalAnswered struct {
 		from   core.SessionID
 		round  int
 		answer member.Answer
 	}
+	// renewalRequest is a peer's request to RenewOrPromise.
 	renewalRequest struct {
 		row     member.Session
 		version uint64
 		resign  bool
 		reply   chan<- member.Answer
 	}
+	// peerRenewalDone carries the outcome of the renewal of a peer's session.
 	peerRenewalDone struct {
 		request renewalRequest
 		version uint64
@@ -252,9 +259,8 @@
 }
 
 // probe checks whether a process is alive. A refused connection proves that it
-// is dead, since a live process listens on its port without a break. An answer
-// under another session ID proves it too, since two processes cannot bind the
-// same port.
+// is dead, since a process listens on its port for as long as it lives. So does
+// an answer under another session ID, since two processes cannot bind one port.
 func (a *Agent) probe(ctx context.Context, p core.Process) member.Liveness {
 	ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 	defer cancel()
--- a/io/gate/call.go
+++ b/io/gate/call.go
@@ -25,7 +25,8 @@
 	// requested.
 	maxBody = 8 << 20
 	// bufferLimit is the size below which a response is read in full before any
-	// of it is passed on. If it is truncated, the request can then be sent again.
+	// of it is passed on. If reading fails, the gate can still send the request
+	// to another target.
 	bufferLimit  = 256 << 10
 	bearerPrefix = "Bearer "
 	// The request headers that the gate itself reads.
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -97,7 +97,9 @@
 // Left returns a channel that is closed once the drain is complete.
 func (g *Gate) Left() <-chan struct{} { return g.drained }
 
+// Messages to the control goroutine, and the replies to them.
 type (
+	// authRequest asks whether a key may be used for a queue and a team.
 	authRequest struct {
 		queue core.Queue
 		team  core.Team
@@ -109,19 +111,23 @@
 		rule *rules.Queue
 		err  error
 	}
+	// teamRequest asks for the team of a key.
 	teamRequest struct {
 		key   string
 		reply chan<- authResult
 	}
+	// slotRequest asks for a slot; the answer comes as events.
 	slotRequest struct {
 		request admit.Request
 		events  chan<- admit.Event
 	}
+	// requestDone reports the outcome of a request that was granted a slot.
 	requestDone struct {
 		id      uint64
 		outcome admit.Outcome
 		err     error
 	}
+	// callerGone reports that the caller closed its connection.
 	callerGone    struct{ id uint64 }
 	ownersRequest struct{ reply chan<- ownersReply }
 	ownersReply   struct {
@@ -129,7 +135,8 @@
 		peers []core.Process
 		self  core.Process
 	}
-	dumpRequest  struct{ reply chan<- Dump }
+	dumpRequest struct{ reply chan<- Dump }
+	// cellsRequest asks for the cells whose workers are large enough.
 	cellsRequest struct {
 		needs []core.Resources
 		reply chan<- []core.CellID
--- a/io/gate/jobs.go
+++ b/io/gate/jobs.go
@@ -227,8 +227,8 @@
 }
 
 // candidateCells returns the cells that have, for each task, a worker large
-// enough for it. Cells of the own region come first; within a region, each call
-// begins with the next cell.
+// enough for it. Cells of the own region come first. Within a region, the first
+// cell changes with each call.
 func (g *Gate) candidateCells(needs []core.Resources) []core.CellID {
 	// sizes holds the distinct sizes of each cell's workers.
 	sizes := map[core.CellID][]core.Resources{}
@@ -297,9 +297,9 @@
 	return repeated, err
 }
 
-// callOwner calls the owner of a job's cell. While the cell has no owner, or the
-// called process says that it is not the owner, it looks up the owner again and
-// retries, until ownerTimeout has passed.
+// callOwner calls the owner of a job's cell. If the cell has no owner, or the
+// process called does not answer or no longer owns the cell, it looks up the
+// owner again and retries until ownerTimeout has passed.
 func (g *Gate) callOwner(ctx context.Context, id core.JobID, do func(ctx context.Context, owner core.Process) error) error {
 	cellID, ok := id.Cell()
 	if !ok {
