--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -20,76 +20,84 @@
 )
 
 const (
-	confPrefix = "conf/"
-	// keyBytes is the length of a key's secret and nonceBytes that of the mark
-	// by which a writer finds its own change.
-	keyBytes   = 24
+	configPrefix = "conf/"
+	// secretBytes is the length of an API key's secret.
+	secretBytes = 24
+	// nonceBytes is the length of a change's nonce and of an API key's ID.
 	nonceBytes = 8
 	// compactDelay lets a change come into force before the snapshot is taken.
 	compactDelay = 2 * time.Second
-	// maxRaces bounds how often a change of keys is tried again after losing
-	// to another operator.
-	maxRaces = 64
+	// maxConflicts bounds how often a change of keys is written under the next
+	// version after other operators' changes took the previous ones.
+	maxConflicts = 64
 )
 
-func confKey(v core.Version) string { return fmt.Sprintf("%s%012d", confPrefix, v) }
+// configKey returns the key of the row that holds a version's change.
+func configKey(v core.Version) string { return fmt.Sprintf("%s%012d", configPrefix, v) }
 
-// change is the stored form of a conf.Change.
-type change struct {
+// storedChange is the stored form of a conf.Change.
+type storedChange struct {
 	Version core.Version
 	Kind    conf.ChangeKind
-	// Object names the rules file in the object store.
+	// Object names the object that holds the rules file; PushRules only.
 	Object string `json:",omitempty"`
 	ID     string `json:",omitempty"`
 	Team   string `json:",omitempty"`
 	Hash   string `json:",omitempty"`
 	At     time.Time
 	By     string
-	// Nonce lets a writer whose reply was lost find its own change.
+	// Nonce is random; a writer whose write was not answered finds its own
+	// change by it.
 	Nonce string
 }
 
+// Messages to the control goroutine.
 type (
-	followed struct {
+	// configRead carries the changes that were read.
+	configRead struct {
 		sent    time.Time
 		changes []conf.Change
-		// object names the newest rules file among the changes.
-		object string
-		// restored is set when the changes begin after a snapshot.
-		restored *restored
+		// rulesObject names the object of the newest rules file among the
+		// changes; empty if there is none.
+		rulesObject string
+		// snapshot is set if changes before the first one read were deleted.
+		snapshot *loadedSnapshot
 		err      error
 	}
-	confirmed struct {
-		at   time.Time
-		from core.Version
-		ok   bool
+	// confirmDone carries the result of confirmWithPeers for a version.
+	confirmDone struct {
+		confirmedAt time.Time
+		version     core.Version
+		ok          bool
 	}
-	viewAsked  struct{ reply chan<- View }
-	followSoon struct{}
+	viewRequest struct{ reply chan<- View }
+	// configReadDue makes the next tick read the configuration.
+	configReadDue struct{}
 )
 
 // Message implements loop.Message.
-func (followSoon) Message() {}
+func (configReadDue) Message() {}
 
 // Message implements loop.Message.
-func (followed) Message() {}
+func (configRead) Message() {}
 
 // Message implements loop.Message.
-func (confirmed) Message() {}
+func (confirmDone) Message() {}
 
 // Message implements loop.Message.
-func (viewAsked) Message() {}
+func (viewRequest) Message() {}
 
-// follow reads the changes after the version in force.
-func (a *Agent) follow(now time.Time) {
-	if a.following || now.Before(a.nextFollow) {
+// readConfig reads the changes after the version in force, once per
+// configInterval.
+func (a *Agent) readConfig(now time.Time) {
+	if a.readingConfig || now.Before(a.nextConfigRead) {
 		return
 	}
-	a.following = true
-	a.nextFollow = now.Add(followEvery)
+	a.readingConfig = true
+	a.nextConfigRead = now.Add(configInterval)
 	after := a.Conf.Version()
 	a.loop.Go(func(ctx context.Context) loop.Message {
-		m := followed{sent: time.Now()}
+		m := configRead{sent: time.Now()}
 		ctx, cancel := context.WithTimeout(ctx, store.Quick)
 		defer cancel()
 		m.err = a.readChanges(ctx, after, &m)
@@ -97,36 +105,38 @@
 	})
 }
 
-// readChanges reads what came after a version, beginning with a snapshot where
-// the rows in between have been deleted.
-func (a *Agent) readChanges(ctx context.Context, after core.Version, m *followed) error {
-	rows, err := a.store.Scan(ctx, confPrefix, confKey(after))
+// readChanges reads the changes after a version into m. If the next change has
+// been deleted, it also reads the newest snapshot.
+func (a *Agent) readChanges(ctx context.Context, after core.Version, m *configRead) error {
+	rows, err := a.store.Scan(ctx, configPrefix, configKey(after))
 	if err != nil {
 		return err
 	}
-	if len(rows) > 0 && rows[0].Key != confKey(after+1) {
-		if m.restored, err = a.readHead(ctx, after); err != nil {
+	if len(rows) > 0 && rows[0].Key != configKey(after+1) {
+		if m.snapshot, err = a.readSnapshot(ctx, after); err != nil {
 			return err
 		}
 	}
 	for _, r := range rows {
-		var c change
+		var c storedChange
 		if err := json.Unmarshal(r.Val, &c); err != nil {
 			return &store.FormatError{Key: r.Key, Err: err}
 		}
-		ch, err := a.fetch(ctx, c)
+		decoded, err := a.decodeChange(ctx, c)
 		if err != nil {
 			return err
 		}
 		if c.Kind == conf.PushRules {
-			m.object = c.Object
+			m.rulesObject = c.Object
 		}
-		m.changes = append(m.changes, ch)
+		m.changes = append(m.changes, decoded)
 	}
 	return nil
 }
 
-func (a *Agent) fetch(ctx context.Context, c change) (conf.Change, error) {
+// decodeChange converts a change from its stored form. It reads and parses the
+// rules file if the change has one.
+func (a *Agent) decodeChange(ctx context.Context, c storedChange) (conf.Change, error) {
 	out := conf.Change{Version: c.Version, Kind: c.Kind, At: c.At}
 	if c.Kind != conf.PushRules {
 		out.Key = &conf.Key{ID: c.ID, Team: core.Team(c.Team), Hash: c.Hash}
@@ -140,30 +150,31 @@
 	return out, err
 }
 
-func (a *Agent) followed(now time.Time, m followed) {
-	a.following = false
-	a.warn("following the configuration", m.err)
+// handleConfigRead puts the snapshot and the changes that were read in force.
+func (a *Agent) handleConfigRead(now time.Time, m configRead) {
+	a.readingConfig = false
+	a.logFailureOnce("reading the configuration", m.err)
 	before := a.Conf.Version()
-	if m.restored != nil {
-		a.Conf.Restore(m.restored.version, m.restored.rules, m.restored.keys)
-		a.object = m.restored.object
+	if m.snapshot != nil {
+		a.Conf.Restore(m.snapshot.version, m.snapshot.rules, m.snapshot.keys)
+		a.rulesObject = m.snapshot.rulesObject
 	}
-	if m.object != "" {
-		a.object = m.object
+	if m.rulesObject != "" {
+		a.rulesObject = m.rulesObject
 	}
 	err := a.applyAll(m.changes)
-	a.warn("applying the configuration", err)
+	a.logFailureOnce("applying the configuration", err)
 	if m.err == nil && err == nil {
 		a.Conf.Confirm(m.sent)
 	}
 	if v := a.Conf.Version(); v != before {
-		a.log.Infof("configuration %d is in force", v)
+		a.log.Infof("configuration version %d is in force", v)
 		a.Member.SetConfig(v)
 		a.host.ConfigChanged(now)
 	}
 }
 
-// applyAll puts changes in force in order, up to the first that fails.
+// applyAll puts changes in force in order and stops at the first that fails.
 func (a *Agent) applyAll(changes []conf.Change) error {
 	for _, c := range changes {
 		if err := a.Conf.Apply(c); err != nil {
@@ -173,78 +184,88 @@
 	return nil
 }
 
-// confirm asks the peers for the newest configuration when the store does not
-// answer. The version counts as confirmed if a peer has confirmed it, or if
-// every process answers that it does not reach the store either: then no
-// change can have been accepted.
+// confirm asks the peers whether the version in force is the newest. It does so
+// while the store does not answer: once the last confirmation is older than half
+// of conf.ConfirmWithin.
 func (a *Agent) confirm(now time.Time) {
-	if a.asking || now.Before(a.nextAsk) || now.Sub(a.Conf.Confirmed()) < conf.ConfirmWithin/2 || a.Conf.Version() == 0 {
+	if a.confirming || now.Before(a.nextConfirm) || now.Sub(a.Conf.Confirmed()) < conf.ConfirmWithin/2 || a.Conf.Version() == 0 {
 		return
 	}
-	a.asking = true
-	a.nextAsk = now.Add(followEvery)
+	a.confirming = true
+	a.nextConfirm = now.Add(configInterval)
 	peers, version := a.Member.Peers(), a.Conf.Version()
 	a.loop.Go(func(ctx context.Context) loop.Message {
-		at, ok := a.askPeers(ctx, peers, version)
-		return confirmed{at, version, ok}
+		at, ok := a.confirmWithPeers(ctx, peers, version)
+		return confirmDone{at, version, ok}
 	})
 }
 
-type opinion struct {
+// peerAnswer is the answer of one peer to confirmWithPeers.
+type peerAnswer struct {
 	alive peer.Alive
-	dead  bool
-	err   error
+	// dead is set if the peer gave no answer and a probe proved it dead.
+	dead bool
+	err  error
 }
 
-func (a *Agent) askPeers(ctx context.Context, peers []core.Process, version core.Version) (time.Time, bool) {
+// confirmWithPeers returns the latest time at which the version was known to be
+// the newest, or false if there is none. A peer that runs the version reports
+// when it confirmed it. If no live peer reaches the store either, no change can
+// have been accepted, so the version is confirmed as of now. A peer that runs a
+// newer version refutes it.
+func (a *Agent) confirmWithPeers(ctx context.Context, peers []core.Process, version core.Version) (time.Time, bool) {
 	ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 	defer cancel()
 	sent := time.Now()
-	answers := make(chan opinion, len(peers))
+	answers := make(chan peerAnswer, len(peers))
 	for _, p := range peers {
 		a.loop.Go(func(context.Context) loop.Message {
 			r, err := a.peers.Alive(ctx, p)
 			dead := err != nil && a.probe(ctx, p) == "dead"
-			answers <- opinion{r, dead, err}
+			answers <- peerAnswer{r, dead, err}
 			return nil
 		})
 	}
-	none := true
+	storeUnreachable := true
 	newest := time.Time{}
 	for range peers {
-		o := <-answers
+		p := <-answers
 		switch {
-		case o.dead:
-		case o.err != nil:
-			none = false
-		case o.alive.Config > version:
+		case p.dead:
+		case p.err != nil:
+			storeUnreachable = false
+		case p.alive.Config > version:
 			return time.Time{}, false
 		default:
-			none = none && !o.alive.Stored
-			if at := sent.Add(-o.alive.Confirmed); o.alive.Config == version && at.After(newest) {
+			storeUnreachable = storeUnreachable && !p.alive.Stored
+			if at := sent.Add(-p.alive.Confirmed); p.alive.Config == version && at.After(newest) {
 				newest = at
 			}
 		}
 	}
-	if none {
+	if storeUnreachable {
 		return sent, true
 	}
 	return newest, !newest.IsZero()
 }
 
-func (a *Agent) confirmed(m confirmed) {
-	a.asking = false
-	if m.ok && m.from == a.Conf.Version() {
-		a.Conf.Confirm(m.at)
+// handleConfirm confirms the configuration unless another version has come into
+// force since the peers were asked.
+func (a *Agent) handleConfirm(m confirmDone) {
+	a.confirming = false
+	if m.ok && m.version == a.Conf.Version() {
+		a.Conf.Confirm(m.confirmedAt)
 	}
 }
 
-// View is the configuration in force, for display and for changes.
+// View is the configuration in force, as operators see it and as a change is
+// based on it.
 type View struct {
 	Version core.Version
 	Rules   *rules.Set
 	Keys    []*conf.Key
-	// Object names the rules file in the object store.
+	// Object names the object that holds the rules file; empty while no rules
+	// have been pushed.
 	Object string
 	// Lowest is the lowest version in force in any live process.
 	Lowest core.Version
@@ -252,20 +273,20 @@
 
 // View returns the configuration in force; it is called by traffic goroutines.
 func (a *Agent) View(ctx context.Context) (View, error) {
-	return loop.Ask(ctx, a.loop, func(c chan<- View) loop.Message { return viewAsked{c} })
+	return loop.Ask(ctx, a.loop, func(c chan<- View) loop.Message { return viewRequest{c} })
 }
 
-// HandleView answers a View question and reports whether m was one.
+// HandleView answers the message that View sends and reports whether m was one.
 func (a *Agent) HandleView(now time.Time, m loop.Message) bool {
-	q, ok := m.(viewAsked)
+	request, ok := m.(viewRequest)
 	if ok {
-		q.reply <- View{a.Conf.Version(), a.Conf.Rules(), a.Conf.Keys(), a.object, a.Member.LowestConfig(now)}
+		request.reply <- View{a.Conf.Version(), a.Conf.Rules(), a.Conf.Keys(), a.rulesObject, a.Member.LowestConfig(now)}
 	}
 	return ok
 }
 
-// PushRules stores a rules file as the next version. Base, unless zero, is the
-// version that the operator started from.
+// PushRules stores a rules file as the next version. Unless base is zero, it
+// refuses if another version than base is in force.
 func (a *Agent) PushRules(ctx context.Context, text []byte, base core.Version, by string) (core.Version, error) {
 	if _, err := parse.Rules("rules", text); err != nil {
 		return 0, err
@@ -282,10 +303,11 @@
 	if err := a.store.PutObject(ctx, object, text); err != nil {
 		return 0, storeRefusal(err)
 	}
-	return a.append(ctx, view.Version+1, change{Kind: conf.PushRules, Object: object, By: by}, false)
+	return a.appendChange(ctx, view.Version+1, storedChange{Kind: conf.PushRules, Object: object, By: by}, false)
 }
 
-// GrantKey creates a key for a team and returns it; it cannot be shown again.
+// GrantKey creates a key for a team and returns it. Only the hash of its secret
+// is stored, so the key cannot be read again.
 func (a *Agent) GrantKey(ctx context.Context, team core.Team, by string) (string, core.Version, error) {
 	view, err := a.View(ctx)
 	if err != nil {
@@ -294,14 +316,14 @@
 	if _, ok := view.Rules.Teams[team]; !ok {
 		return "", 0, core.Refuse(core.CodeNoTeam, "no rule for team %q", team)
 	}
-	id, secret := random(nonceBytes), random(keyBytes)
-	v, err := a.append(ctx, view.Version+1, change{
+	id, secret := randomHex(nonceBytes), randomHex(secretBytes)
+	v, err := a.appendChange(ctx, view.Version+1, storedChange{
 		Kind: conf.GrantKey, ID: id, Team: string(team), Hash: conf.HashSecret(secret), By: by,
 	}, true)
 	return id + "." + secret, v, err
 }
 
-// WithdrawKey ends a key.
+// WithdrawKey withdraws a key, which is then no longer accepted.
 func (a *Agent) WithdrawKey(ctx context.Context, id, by string) (core.Version, error) {
 	view, err := a.View(ctx)
 	if err != nil {
@@ -309,31 +331,33 @@
 	}
 	for _, k := range view.Keys {
 		if k.ID == id {
-			return a.append(ctx, view.Version+1, change{Kind: conf.WithdrawKey, ID: id, Team: string(k.Team), By: by}, true)
+			return a.appendChange(ctx, view.Version+1, storedChange{Kind: conf.WithdrawKey, ID: id, Team: string(k.Team), By: by}, true)
 		}
 	}
 	return 0, core.Refuse(core.CodeBadKey, "no key %q", id)
 }
 
-// append writes the next change. A change that commutes with others is tried
-// again after losing a race.
-func (a *Agent) append(ctx context.Context, v core.Version, c change, commutes bool) (core.Version, error) {
-	c.Nonce = random(nonceBytes)
+// appendChange writes a change as version v. If another change has taken that
+// version, a change that commutes is written under the next one, and any other is
+// refused. If a write is not answered, appendChange reads whether it took effect
+// and retries if it did not.
+func (a *Agent) appendChange(ctx context.Context, v core.Version, c storedChange, commutes bool) (core.Version, error) {
+	c.Nonce = randomHex(nonceBytes)
 	c.At = time.Now().UTC()
-	for range maxRaces {
+	for range maxConflicts {
 		c.Version = v
-		t := store.Txn{Checks: []store.Check{{Key: confKey(v)}}}
-		if err := t.Set(confKey(v), c); err != nil {
+		t := store.Txn{Checks: []store.Check{{Key: configKey(v)}}}
+		if err := t.Set(configKey(v), c); err != nil {
 			return 0, err
 		}
 		_, err := a.store.Write(ctx, t)
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
-			a.accepted(v)
+			a.changeAccepted(v)
 			return v, nil
 		case errors.As(err, &conflict):
-			if mine(conflict, c.Nonce) {
+			if hasNonce(conflict, c.Nonce) {
 				return v, nil
 			}
 			if !commutes {
@@ -341,7 +365,7 @@
 			}
 			v++
 		default:
-			if written, rerr := a.settle(ctx, v, c.Nonce); rerr != nil {
+			if written, readErr := a.wasWritten(ctx, v, c.Nonce); readErr != nil {
 				return 0, core.RefuseUnknown(core.CodeStore, err, "the change may or may not have been accepted as version %d", v)
 			} else if written {
 				return v, nil
@@ -351,16 +375,18 @@
 	return 0, core.Refuse(core.CodeConflict, "too many changes at once")
 }
 
-// accepted has a change that this process has written come into force soon.
-func (a *Agent) accepted(v core.Version) {
-	// A stopped loop has nothing to bring into force.
-	_ = a.loop.Post(followSoon{})
-	a.compactLater(v)
+// changeAccepted makes this process read, at once, a change that it has written,
+// and schedules the compaction.
+func (a *Agent) changeAccepted(v core.Version) {
+	// Post fails only if the loop has stopped; the change is then not needed here.
+	_ = a.loop.Post(configReadDue{})
+	a.scheduleCompaction(v)
 }
 
-// compactLater writes a snapshot once this process runs the version.
-func (a *Agent) compactLater(v core.Version) {
-	if v%compactEvery != 0 {
+// scheduleCompaction calls compact after compactDelay, when the version should
+// be in force in this process, if the version ends a snapshot interval.
+func (a *Agent) scheduleCompaction(v core.Version) {
+	if v%snapshotInterval != 0 {
 		return
 	}
 	a.loop.Go(func(ctx context.Context) loop.Message {
@@ -372,31 +398,35 @@
 			return nil
 		}
 		if err := a.compact(ctx, v); err != nil {
-			a.log.WithError(err).Warn("the configuration was not compacted; a later change will")
+			a.log.WithError(err).Warn("configuration not compacted; will retry at the end of the next snapshot interval")
 		}
 		return nil
 	})
 }
 
-func mine(c *store.ConflictError, nonce string) bool {
-	for _, r := range c.Rows {
-		var got change
-		if json.Unmarshal(r.Val, &got) == nil && got.Nonce == nonce {
+// hasNonce reports whether a row in conflict is the change with the nonce.
+func hasNonce(conflict *store.ConflictError, nonce string) bool {
+	for _, r := range conflict.Rows {
+		var c storedChange
+		if json.Unmarshal(r.Val, &c) == nil && c.Nonce == nonce {
 			return true
 		}
 	}
 	return false
 }
 
-// settle reads back whether a write without a reply has taken effect.
-func (a *Agent) settle(ctx context.Context, v core.Version, nonce string) (bool, error) {
-	rows, err := a.store.Scan(ctx, confKey(v), "")
+// wasWritten reads the rows from version v on and reports whether one of them is
+// the change with the nonce. It is called after a write that was not answered.
+func (a *Agent) wasWritten(ctx context.Context, v core.Version, nonce string) (bool, error) {
+	rows, err := a.store.Scan(ctx, configKey(v), "")
 	if err != nil {
 		return false, err
 	}
-	return mine(&store.ConflictError{Rows: rows}, nonce), nil
+	return hasNonce(&store.ConflictError{Rows: rows}, nonce), nil
 }
 
+// storeRefusal returns the refusal of an operation that changed nothing because
+// the store failed.
 func storeRefusal(err error) error {
 	r := core.Refuse(core.CodeStore, "nothing was changed")
 	r.Err = err
@@ -404,24 +434,25 @@
 	return r
 }
 
-// History is one accepted change for display.
+// History is one accepted change, as operators see it.
 type History struct {
 	Version core.Version
 	Kind    conf.ChangeKind
-	What    string
-	By      string
-	At      time.Time
+	// What names the object of a rules file, or the key and its team.
+	What string
+	By   string
+	At   time.Time
 }
 
-// History returns all accepted changes, oldest first.
+// History returns the accepted changes that compaction has kept, oldest first.
 func (a *Agent) History(ctx context.Context) ([]History, error) {
-	rows, err := a.store.Scan(ctx, confPrefix, "")
+	rows, err := a.store.Scan(ctx, configPrefix, "")
 	if err != nil {
 		return nil, storeRefusal(err)
 	}
 	var out []History
 	for _, r := range rows {
-		var c change
+		var c storedChange
 		if err := json.Unmarshal(r.Val, &c); err != nil {
 			return nil, &store.FormatError{Key: r.Key, Err: err}
 		}
@@ -451,9 +482,10 @@
 	return text, view.Version, nil
 }
 
-func random(n int) string {
+// randomHex returns n random bytes in hexadecimal.
+func randomHex(n int) string {
 	b := make([]byte, n)
-	// rand.Read never fails: it ends the program instead.
+	// rand.Read never returns an error; it crashes the program instead.
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
 }
--- a/io/gate/call.go
+++ b/io/gate/call.go
@@ -21,32 +21,37 @@
 )
 
 const (
-	// maxBody bounds a request's body, which is read before a slot is taken.
+	// maxBody bounds a request's body, which is read in full before a slot is
+	// requested.
 	maxBody = 8 << 20
-	// wholeUpTo is the size up to which an answer is read whole before any of
-	// it is passed on, so that a broken one can still be asked for again.
-	wholeUpTo = 256 << 10
-	keyPrefix = "Bearer "
-	// The headers of a request that the gate itself reads.
-	teamHeader = "Team"
-	onceHeader = "Idempotency-Key"
-	idHeader   = "Request-Id"
+	// bufferLimit is the size below which a response is read in full before any
+	// of it is passed on. If reading fails, the gate can still send the request
+	// to another target.
+	bufferLimit  = 256 << 10
+	bearerPrefix = "Bearer "
+	// The request headers that the gate itself reads.
+	teamHeader        = "Team"
+	idempotencyHeader = "Idempotency-Key"
+	requestIDHeader   = "Request-Id"
 )
 
-var lastID atomic.Uint64
+// lastCallID is the ID given to the newest call.
+var lastCallID atomic.Uint64
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the headers that are not passed on: those that belong to one
+// connection, and Authorization, which holds the caller's key.
 var hopHeaders = core.NewSet("Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", "Proxy-Connection")
 
-// BrokenError reports an answer that cannot be passed on as whole.
-type BrokenError struct {
+// ForwardError reports a request that cannot be sent to the target, or a
+// response that cannot be passed on in full.
+type ForwardError struct {
 	Reason string
 	Err    error
 }
 
 // Error implements error.
-func (e *BrokenError) Error() string {
+func (e *ForwardError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("%s: %v", e.Reason, e.Err)
 	}
@@ -54,36 +59,39 @@
 }
 
 // Unwrap returns the cause.
-func (e *BrokenError) Unwrap() error { return e.Err }
+func (e *ForwardError) Unwrap() error { return e.Err }
 
 // call is one caller's request on its way to a target.
 type call struct {
-	gate   *Gate
-	id     uint64
-	name   string
-	queue  core.Queue
-	team   core.Team
-	rule   *rules.Queue
-	method string
-	path   string
-	header http.Header
-	body   []byte
+	gate *Gate
+	// id is unique within the process.
+	id uint64
+	// requestID is the value of the Request-Id header sent to the target.
+	requestID string
+	queue     core.Queue
+	team      core.Team
+	rule      *rules.Queue
+	method    string
+	path      string
+	header    http.Header
+	body      []byte
 }
 
-// credentials returns the team and key that a caller shows.
+// credentials returns the team and key in a request's headers.
 func credentials(r *http.Request) (core.Team, string) {
-	return core.Team(r.Header.Get(teamHeader)), strings.TrimPrefix(r.Header.Get("Authorization"), keyPrefix)
+	return core.Team(r.Header.Get(teamHeader)), strings.TrimPrefix(r.Header.Get("Authorization"), bearerPrefix)
 }
 
-// enter checks a caller's key and returns the team and rule of its work.
-func (g *Gate) enter(ctx context.Context, queue core.Queue, team core.Team, key string) (core.Team, *rules.Queue, error) {
-	a, err := loop.Ask(ctx, g.loop, func(c chan<- admitted) loop.Message {
-		return admitAsked{queue: queue, team: team, key: key, reply: c}
+// authorize checks that a key is valid for a queue and a team, and returns the
+// team and the queue's rule.
+func (g *Gate) authorize(ctx context.Context, queue core.Queue, team core.Team, key string) (core.Team, *rules.Queue, error) {
+	result, err := loop.Ask(ctx, g.loop, func(c chan<- authResult) loop.Message {
+		return authRequest{queue: queue, team: team, key: key, reply: c}
 	})
 	if err != nil {
 		return "", nil, core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
-	return a.team, a.rule, a.err
+	return result.team, result.rule, result.err
 }
 
 // serveCall handles a request for a target.
@@ -94,16 +102,16 @@
 	c, err := g.newCall(w, r, queue)
 	if err == nil {
 		team = c.team
-		err = c.run(w, r)
+		err = c.serve(w, r)
 	}
 	if err != nil {
-		result = resultOf(err)
+		result = resultLabel(err)
 	}
 	g.meter.Request(queue, team, result, time.Since(began))
-	var broken *BrokenError
-	if errors.As(err, &broken) && broken.Reason == answerCut {
-		// Part of the answer has gone out: only a broken connection can tell
-		// the caller that it is not whole.
+	var forwardErr *ForwardError
+	if errors.As(err, &forwardErr) && forwardErr.Reason == reasonTruncated {
+		// Part of the response has been passed on, so only an aborted connection
+		// can tell the caller that it is truncated.
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
@@ -111,9 +119,12 @@
 	}
 }
 
-const answerCut = "the answer broke off"
+// reasonTruncated is the reason of the ForwardError for a response that broke
+// off after part of it was passed on.
+const reasonTruncated = "response truncated"
 
-func resultOf(err error) string {
+// resultLabel returns the metric label for a failed call.
+func resultLabel(err error) string {
 	var r *core.RefusalError
 	if errors.As(err, &r) {
 		return string(r.Code)
@@ -121,9 +132,10 @@
 	return "cut"
 }
 
+// newCall authorizes a request and reads its body.
 func (g *Gate) newCall(w http.ResponseWriter, r *http.Request, queue core.Queue) (*call, error) {
-	claimed, key := credentials(r)
-	team, rule, err := g.enter(r.Context(), queue, claimed, key)
+	claimedTeam, key := credentials(r)
+	team, rule, err := g.authorize(r.Context(), queue, claimedTeam, key)
 	if err != nil {
 		return nil, err
 	}
@@ -135,35 +147,37 @@
 		return nil, err
 	}
 	c := &call{
-		gate: g, id: lastID.Add(1), queue: queue, team: team, rule: rule, method: r.Method,
-		path: "/" + r.PathValue("rest"), header: r.Header, body: body, name: r.Header.Get(idHeader),
+		gate: g, id: lastCallID.Add(1), queue: queue, team: team, rule: rule, method: r.Method,
+		path: "/" + r.PathValue("rest"), header: r.Header, body: body, requestID: r.Header.Get(requestIDHeader),
 	}
 	if r.URL.RawQuery != "" {
 		c.path += "?" + r.URL.RawQuery
 	}
-	if c.name == "" {
-		c.name = fmt.Sprintf("%s-%d", g.Agent.Name(), c.id)
+	if c.requestID == "" {
+		c.requestID = fmt.Sprintf("%s-%d", g.Agent.Name(), c.id)
 	}
 	return c, nil
 }
 
-// run takes the call through admission to its answer.
-func (c *call) run(w http.ResponseWriter, r *http.Request) error {
-	if err := c.recordIntent(r); err != nil {
+// serve waits for a slot, sends the call to the target of the slot and passes
+// the response on. The control goroutine may grant another slot after a failure
+// that allows a retry.
+func (c *call) serve(w http.ResponseWriter, r *http.Request) error {
+	if err := c.recordFirstUse(r); err != nil {
 		return err
 	}
 	events := make(chan admit.Event, 2)
-	if err := c.gate.loop.Post(slotAsked{admit.Request{ID: c.id, Team: c.team, Rule: c.rule}, events}); err != nil {
+	if err := c.gate.loop.Post(slotRequest{admit.Request{ID: c.id, Team: c.team, Rule: c.rule}, events}); err != nil {
 		return core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
-	gone := r.Context().Done()
-	left := false
+	disconnected := r.Context().Done()
+	callerLeft := false
 	for {
 		select {
-		case <-gone:
-			// The grant may be on its way: wait for one event more.
-			gone, left = nil, true
-			c.post(callerLeft{c.id})
+		case <-disconnected:
+			// A slot may have been granted already, so wait for one more event.
+			disconnected, callerLeft = nil, true
+			c.post(callerGone{c.id})
 		case ev := <-events:
 			target, granted := ev.Target.Get()
 			switch {
@@ -171,86 +185,91 @@
 				return ev.Err
 			case !granted:
 				return nil
-			case left:
-				c.post(ended{c.id, admit.Abandoned, nil})
+			case callerLeft:
+				c.post(requestDone{c.id, admit.Abandoned, nil})
 				continue
 			}
-			// The target's work goes on to its end even if the caller leaves:
-			// its slot is in use until then.
-			gone = nil
-			answer, outcome, err := c.send(context.WithoutCancel(r.Context()), w, target)
-			c.count(target, answer)
-			c.post(ended{c.id, outcome, err})
+			// The target goes on working on the request if the caller leaves,
+			// and uses its slot until it has finished.
+			disconnected = nil
+			resp, outcome, err := c.send(context.WithoutCancel(r.Context()), w, target)
+			c.countCrossRegionBytes(target, resp)
+			c.post(requestDone{c.id, outcome, err})
 			if outcome == admit.Truncated {
 				<-events
-				return &BrokenError{answerCut, err}
+				return &ForwardError{reasonTruncated, err}
 			}
-			if outcome == admit.Completed && answer != nil {
+			if outcome == admit.Completed && resp != nil {
 				<-events
-				answer.write(w)
+				resp.write(w)
 				return nil
 			}
 		}
 	}
 }
 
-// count notes what has crossed between regions.
-func (c *call) count(target core.VM, answer *reply) {
+// countCrossRegionBytes counts the bytes of the call's body and of its response,
+// if buffered, when the target is in another region.
+func (c *call) countCrossRegionBytes(target core.VM, resp *response) {
 	if target.Region == c.gate.region {
 		return
 	}
 	bytes := len(c.body)
-	if answer != nil {
-		bytes += len(answer.body)
+	if resp != nil {
+		bytes += len(resp.body)
 	}
 	c.gate.meter.Crossed(c.queue, bytes)
 }
 
+// post sends a message to the control goroutine.
 func (c *call) post(m loop.Message) {
-	// A stopped loop has no slots left to count.
+	// Post fails only if the loop has stopped; it then counts no slots any more.
 	_ = c.gate.loop.Post(m)
 }
 
-// recordIntent makes a request that must not run twice known to every gate
-// before anything of it is sent.
-func (c *call) recordIntent(r *http.Request) error {
-	key := r.Header.Get(onceHeader)
+// recordFirstUse records the idempotency key of a request that must not run
+// twice, before anything of the request is sent. It refuses a key that has been
+// recorded by any gate before.
+func (c *call) recordFirstUse(r *http.Request) error {
+	key := r.Header.Get(idempotencyHeader)
 	if c.rule.Repeat || key == "" {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.rule.Wait)
 	defer cancel()
-	v := c.gate.onces.first(ctx, onceKey("call", c.team, key), intent{
+	result := c.gate.intents.record(ctx, intentKey("call", c.team, key), intent{
 		Gate: c.gate.Agent.Name(), Nonce: rand.Text(), At: time.Now().UTC(),
 	})
-	if v.err != nil {
+	if result.err != nil {
 		e := core.Refuse(core.CodeStore, "the idempotency key cannot be recorded")
-		e.Err = v.err
+		e.Err = result.err
 		e.RetryAfter = time.Second
 		return e
 	}
-	if !v.first {
+	if !result.isFirst {
 		e := core.RefuseUnknown(core.CodeRepeat, nil, "the request with this key was first sent through %s at %s",
-			v.earlier.Gate, v.earlier.At.Format(time.RFC3339))
+			result.earlier.Gate, result.earlier.At.Format(time.RFC3339))
 		return e
 	}
 	return nil
 }
 
-// reply is an answer that has been read whole.
-type reply struct {
+// response is a target's response, or its first part if the response is large.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (a *reply) write(w http.ResponseWriter) {
-	copyHeader(w.Header(), a.header)
+// write passes the response on to the caller.
+func (r *response) write(w http.ResponseWriter) {
+	copyHeader(w.Header(), r.header)
 	w.Header().Set(httpx.RunHeader, string(core.Executed))
-	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body)
+	w.WriteHeader(r.status)
+	_, _ = w.Write(r.body)
 }
 
+// copyHeader copies all headers that are passed on.
 func copyHeader(to, from http.Header) {
 	for name, vals := range from {
 		if !hopHeaders.Has(name) {
@@ -259,31 +278,32 @@
 	}
 }
 
-// send sends the call to a target once and reads the answer. A large answer
-// is passed on while it is read.
-func (c *call) send(ctx context.Context, w http.ResponseWriter, target core.VM) (*reply, admit.Outcome, error) {
+// send sends the call to a target once and reads the response. A response of at
+// least bufferLimit bytes is passed on while it is read; send then returns nil.
+func (c *call) send(ctx context.Context, w http.ResponseWriter, target core.VM) (*response, admit.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.rule.Run)
 	defer cancel()
-	var conn *countConn
+	var conn *trackedConn
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(i httptrace.GotConnInfo) { conn = mark(i.Conn) },
+		GotConn: func(info httptrace.GotConnInfo) { conn = startRequest(info.Conn) },
 	})
-	// A body that cannot be rewound keeps the HTTP client from sending the
-	// request again on its own, whatever the method and headers.
+	// The HTTP client retries a request only if it can rewind the body.
+	// NopCloser hides how to, so the client sends the request at most once,
+	// whatever the method and headers.
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+target.Addr.String()+c.path, io.NopCloser(bytes.NewReader(c.body)))
 	if err != nil {
-		return nil, admit.Unsent, &BrokenError{"the request cannot be sent", err}
+		return nil, admit.Unsent, &ForwardError{"request could not be built", err}
 	}
 	req.ContentLength = int64(len(c.body))
 	if len(c.body) == 0 {
-		req.Body = noBody{}
+		req.Body = emptyBody{}
 	}
 	copyHeader(req.Header, c.header)
-	req.Header.Set(idHeader, c.name)
+	req.Header.Set(requestIDHeader, c.requestID)
 	req.Header.Set(teamHeader, string(c.team))
-	resp, err := c.gate.targets.RoundTrip(req)
+	resp, err := c.gate.transport.RoundTrip(req)
 	if err != nil {
-		if conn == nil || conn.seal() {
+		if conn == nil || conn.blockWrites() {
 			return nil, admit.Unsent, err
 		}
 		return nil, admit.Aborted, err
@@ -292,21 +312,23 @@
 	return c.read(w, resp)
 }
 
-func (c *call) read(w http.ResponseWriter, resp *http.Response) (*reply, admit.Outcome, error) {
-	if id := resp.Header.Get(idHeader); id != "" && id != c.name {
-		return nil, admit.Aborted, &BrokenError{"the answer belongs to request " + id, nil}
+// read reads the response. It refuses one that carries another request's ID, and
+// one whose truncation could not be detected.
+func (c *call) read(w http.ResponseWriter, resp *http.Response) (*response, admit.Outcome, error) {
+	if id := resp.Header.Get(requestIDHeader); id != "" && id != c.requestID {
+		return nil, admit.Aborted, &ForwardError{"response carries the ID of another request: " + id, nil}
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && c.method != http.MethodHead {
-		return nil, admit.Aborted, &BrokenError{"the answer has no length, so it cannot be known to be whole", nil}
+		return nil, admit.Aborted, &ForwardError{"response has neither a length nor a transfer encoding, so its truncation could not be detected", nil}
 	}
-	first, err := io.ReadAll(io.LimitReader(resp.Body, wholeUpTo))
+	first, err := io.ReadAll(io.LimitReader(resp.Body, bufferLimit))
 	if err != nil {
 		return nil, admit.Aborted, err
 	}
-	if len(first) < wholeUpTo {
-		return &reply{resp.StatusCode, resp.Header, first}, admit.Completed, nil
+	if len(first) < bufferLimit {
+		return &response{resp.StatusCode, resp.Header, first}, admit.Completed, nil
 	}
-	head := reply{resp.StatusCode, resp.Header, first}
+	head := response{resp.StatusCode, resp.Header, first}
 	head.write(w)
 	if _, err := io.Copy(w, resp.Body); err != nil {
 		return nil, admit.Truncated, err
--- a/io/gate/conn.go
+++ b/io/gate/conn.go
@@ -11,54 +11,60 @@
 
 const (
 	dialTimeout = time.Second
-	// idleTimeout is shorter than what targets usually allow, so that a reused
-	// connection is rarely one that the target is about to close.
+	// idleTimeout is shorter than the idle time-out of most targets, so that the
+	// gate rarely reuses a connection that the target is about to close.
 	idleTimeout = 5 * time.Second
-	// maxIdle bounds the idle connections to one target. Those in use are
-	// bounded by its slots, so with nine gates and 8 slots a target has at most
-	// 44 of its 64 connections open.
+	// maxIdle bounds the idle connections of one gate to one target. Connections
+	// in use are bounded by the target's slots. With nine gates and 8 slots, a
+	// target has at most 8 + 9*4 = 44 of its 64 connections open.
 	maxIdle = 4
 )
 
-// noBody is an empty body that the HTTP client cannot take for one that may be
-// sent again.
-type noBody struct{}
+// emptyBody is an empty body that the HTTP client does not recognize as empty.
+// The client would send a request without a body again after some failures.
+type emptyBody struct{}
 
 // Read implements io.Reader.
-func (noBody) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 
 // Close implements io.Closer.
-func (noBody) Close() error { return nil }
+func (emptyBody) Close() error { return nil }
 
-// SealedError reports a write to a connection whose request has been given up.
-type SealedError struct{}
+// WriteBlockedError reports a write to a connection after blockWrites.
+type WriteBlockedError struct{}
 
 // Error implements error.
-func (*SealedError) Error() string { return "the request has been given up" }
+func (*WriteBlockedError) Error() string {
+	return "write blocked: the request on this connection has already failed"
+}
 
-// countConn knows whether anything has been written since it was marked.
-type countConn struct {
+// trackedConn is a connection that records whether any byte of the current
+// request has been written to it.
+type trackedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	wrote  bool
-	sealed bool
+	mu sync.Mutex
+	// wrote is set by the first write after startRequest.
+	wrote bool
+	// blocked is set by blockWrites; all later writes fail.
+	blocked bool
 }
 
 // Write implements net.Conn.
-func (c *countConn) Write(b []byte) (int, error) {
+func (c *trackedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.blocked {
 		c.mu.Unlock()
-		return 0, &SealedError{}
+		return 0, &WriteBlockedError{}
 	}
 	c.wrote = true
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-// mark begins a new request on a connection.
-func mark(conn net.Conn) *countConn {
-	c, ok := conn.(*countConn)
+// startRequest marks the start of a new request on a connection. It returns nil
+// if the connection is not tracked.
+func startRequest(conn net.Conn) *trackedConn {
+	c, ok := conn.(*trackedConn)
 	if !ok {
 		return nil
 	}
@@ -68,15 +74,17 @@
 	return c
 }
 
-// seal lets nothing more be written and reports whether nothing has been
-// written since the mark: then the request has surely not been sent.
-func (c *countConn) seal() bool {
+// blockWrites makes all further writes fail and reports whether nothing has been
+// written since startRequest. If so, no byte of the request can reach the target
+// any more, and the request can be sent again.
+func (c *trackedConn) blockWrites() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
+	c.blocked = true
 	return !c.wrote
 }
 
+// newTransport returns an HTTP transport whose connections are tracked.
 func newTransport() http.RoundTripper {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
@@ -85,7 +93,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countConn{Conn: conn}, nil
+			return &trackedConn{Conn: conn}, nil
 		},
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: maxIdle,
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -1,5 +1,6 @@
-// Package gate is the process that takes callers' requests. Its control
-// goroutine decides on admission; traffic goroutines carry the bytes.
+// Package gate implements the process that accepts callers' requests and jobs.
+// Its control goroutine decides which request gets which slot; traffic goroutines
+// pass requests on to targets and jobs to their owners.
 package gate
 
 import (
@@ -21,10 +22,11 @@
 )
 
 const (
-	// tickEvery is the precision of a request's longest wait.
-	tickEvery = 20 * time.Millisecond
-	// wantEvery is how often the wanted slots are worked out.
-	wantEvery = 200 * time.Millisecond
+	// tickInterval is the time between two searches for requests that have
+	// waited too long, and so the precision of a queue's wait limit.
+	tickInterval = 20 * time.Millisecond
+	// demandInterval is the time between two updates of the ledger's demand.
+	demandInterval = 200 * time.Millisecond
 )
 
 // Peers calls other processes.
@@ -33,133 +35,147 @@
 	Submit(ctx context.Context, to core.Process, spec cell.JobSpec) (repeated bool, err error)
 	Cancel(ctx context.Context, to core.Process, id core.JobID) error
 	Show(ctx context.Context, to core.Process, id core.JobID) (cell.View, error)
-	List(ctx context.Context, to core.Process, team core.Team, most int) ([]cell.View, error)
+	List(ctx context.Context, to core.Process, team core.Team, limit int) ([]cell.View, error)
 }
 
-// Meter takes in what the gate measures.
+// Meter records the gate's metrics.
 type Meter interface {
+	// Request records a finished request and the time from its arrival.
 	Request(queue core.Queue, team core.Team, result string, took time.Duration)
+	// RequestWait records the time that a request waited for its slot.
 	RequestWait(queue core.Queue, wait time.Duration)
-	// Crossed takes in the bytes of a request and its answer that crossed
+	// Crossed records the bytes of a request and its response that were sent
 	// between regions.
 	Crossed(queue core.Queue, bytes int)
 }
 
-// Gate is the control state of the process.
+// Gate is the control state of the process, with the clients that its traffic
+// goroutines use.
 type Gate struct {
-	loop    *loop.Loop
-	Agent   *agent.Agent
-	region  core.Region
-	store   agent.Store
-	peers   Peers
-	meter   Meter
-	log     *logrus.Entry
-	admit   *admit.Controller
-	book    *ledger.Ledger
-	onces   *onces
-	targets http.RoundTripper
-	// waiting holds the traffic goroutine that waits for each request.
-	waiting  map[uint64]chan<- admit.Event
-	nextTick time.Time
-	nextWant time.Time
-	// near and all count the gates of the region and of the fleet.
-	near, all int
-	// turn spreads jobs over the cells of the region.
-	turn     int
-	leaving  bool
-	leftDone bool
-	left     chan struct{}
+	loop      *loop.Loop
+	Agent     *agent.Agent
+	region    core.Region
+	store     agent.Store
+	peers     Peers
+	meter     Meter
+	log       *logrus.Entry
+	admission *admit.Controller
+	ledger    *ledger.Ledger
+	intents   *intentWriter
+	transport http.RoundTripper
+	// eventChans leads to the traffic goroutine of each request that has not
+	// ended, by the request's ID.
+	eventChans map[uint64]chan<- admit.Event
+	nextTick   time.Time
+	nextDemand time.Time
+	// regionGates and fleetGates count the gates of the region and of the fleet,
+	// this one included.
+	regionGates, fleetGates int
+	// rotation grows with every job, to spread the jobs over a region's cells.
+	rotation int
+	draining bool
+	// sessionEnded is set once the deletion of the session has been started.
+	sessionEnded bool
+	// drained is closed once the session has been deleted or that has failed.
+	drained chan struct{}
 }
 
 // New returns a gate that has not joined yet.
 func New(l *loop.Loop, st agent.Store, p Peers, m *member.Member, mt Meter, log *logrus.Entry) *Gate {
-	book := ledger.New(ledger.Holder(m.Self().ID))
+	slots := ledger.New(ledger.Holder(m.Self().ID))
 	g := &Gate{
-		loop: l, region: m.Self().Region, store: st, peers: p, meter: mt, log: log, book: book,
-		admit: admit.New(m.Self().Region, m.Self().Zone, book), targets: newTransport(),
-		waiting: map[uint64]chan<- admit.Event{}, left: make(chan struct{}),
+		loop: l, region: m.Self().Region, store: st, peers: p, meter: mt, log: log, ledger: slots,
+		admission: admit.New(m.Self().Region, m.Self().Zone, slots), transport: newTransport(),
+		eventChans: map[uint64]chan<- admit.Event{}, drained: make(chan struct{}),
 	}
-	g.onces = newOnces(st)
+	g.intents = newIntentWriter(st)
 	g.Agent = agent.New(l, st, p, g, m, log)
-	g.Agent.AddLedger(book, "slots/", "calls/")
+	g.Agent.AddLedger(slots, "slots/", "calls/")
 	return g
 }
 
-// Left is closed once a planned stop is complete.
-func (g *Gate) Left() <-chan struct{} { return g.left }
+// Left returns a channel that is closed once the drain is complete.
+func (g *Gate) Left() <-chan struct{} { return g.drained }
 
+// Messages to the control goroutine, and the replies to them.
 type (
-	admitAsked struct {
+	// authRequest asks whether a key may be used for a queue and a team.
+	authRequest struct {
 		queue core.Queue
 		team  core.Team
 		key   string
-		reply chan<- admitted
+		reply chan<- authResult
 	}
-	admitted struct {
+	authResult struct {
 		team core.Team
 		rule *rules.Queue
 		err  error
 	}
-	ownerAsked struct {
+	// teamRequest asks for the team of a key.
+	teamRequest struct {
 		key   string
-		reply chan<- admitted
+		reply chan<- authResult
 	}
-	slotAsked struct {
-		ask    admit.Request
-		events chan<- admit.Event
+	// slotRequest asks for a slot; the answer comes as events.
+	slotRequest struct {
+		request admit.Request
+		events  chan<- admit.Event
 	}
-	ended struct {
+	// requestDone reports the outcome of a request that was granted a slot.
+	requestDone struct {
 		id      uint64
 		outcome admit.Outcome
 		err     error
 	}
-	callerLeft struct{ id uint64 }
-	ownersRead struct{ reply chan<- owners }
-	owners     struct {
+	// callerGone reports that the caller closed its connection.
+	callerGone    struct{ id uint64 }
+	ownersRequest struct{ reply chan<- ownersReply }
+	ownersReply   struct {
 		cells map[core.CellID]core.Process
 		peers []core.Process
 		self  core.Process
 	}
-	dumpAsked   struct{ reply chan<- Dump }
-	placesAsked struct {
+	dumpRequest struct{ reply chan<- Dump }
+	// cellsRequest asks for the cells whose workers are large enough.
+	cellsRequest struct {
 		needs []core.Resources
 		reply chan<- []core.CellID
 	}
-	readyAsked struct{ reply chan<- bool }
-	leave      struct{}
+	readyRequest struct{ reply chan<- bool }
+	drainRequest struct{}
 )
 
 // Message implements loop.Message.
-func (admitAsked) Message() {}
+func (authRequest) Message() {}
 
 // Message implements loop.Message.
-func (slotAsked) Message() {}
+func (slotRequest) Message() {}
 
 // Message implements loop.Message.
-func (ownerAsked) Message() {}
+func (teamRequest) Message() {}
 
 // Message implements loop.Message.
-func (ended) Message() {}
+func (requestDone) Message() {}
 
 // Message implements loop.Message.
-func (callerLeft) Message() {}
+func (callerGone) Message() {}
 
 // Message implements loop.Message.
-func (ownersRead) Message() {}
+func (ownersRequest) Message() {}
 
 // Message implements loop.Message.
-func (dumpAsked) Message() {}
+func (dumpRequest) Message() {}
 
 // Message implements loop.Message.
-func (readyAsked) Message() {}
+func (readyRequest) Message() {}
 
 // Message implements loop.Message.
-func (placesAsked) Message() {}
+func (cellsRequest) Message() {}
 
 // Message implements loop.Message.
-func (leave) Message() {}
+func (drainRequest) Message() {}
 
-// Dump is the whole control state for people.
+// Dump is the gate's control state for the operators' pages.
 type Dump struct {
 	Agent            agent.Dump
 	Mailbox          int
@@ -167,8 +183,8 @@
 	Targets          []admit.TargetView
 }
 
-// Leave begins a planned stop.
-func (g *Gate) Leave() { _ = g.loop.Post(leave{}) }
+// Leave starts the drain.
+func (g *Gate) Leave() { _ = g.loop.Post(drainRequest{}) }
 
 // Handle implements loop.Handler.
 func (g *Gate) Handle(now time.Time, m loop.Message) {
@@ -176,109 +192,115 @@
 		return
 	}
 	switch m := m.(type) {
-	case admitAsked:
-		m.reply <- g.admitted(now, m)
-	case ownerAsked:
+	case authRequest:
+		m.reply <- g.handleAuth(now, m)
+	case teamRequest:
 		team, err := g.Agent.Conf.TeamOf(now, m.key)
-		m.reply <- admitted{team: team, err: err}
-	case slotAsked:
-		g.waiting[m.ask.ID] = m.events
-		g.tell(g.admit.Admit(now, m.ask))
-	case ended:
-		g.tell(g.admit.RequestEnded(now, m.id, m.outcome, m.err))
-	case callerLeft:
-		g.tell(g.admit.CallerGone(now, m.id))
-	case ownersRead:
-		m.reply <- owners{g.Agent.Member.Owners(), g.Agent.Member.Peers(), g.Agent.Member.Self()}
-	case placesAsked:
-		m.reply <- g.places(m.needs)
-	case dumpAsked:
+		m.reply <- authResult{team: team, err: err}
+	case slotRequest:
+		g.eventChans[m.request.ID] = m.events
+		g.deliver(g.admission.Admit(now, m.request))
+	case requestDone:
+		g.deliver(g.admission.RequestEnded(now, m.id, m.outcome, m.err))
+	case callerGone:
+		g.deliver(g.admission.CallerGone(now, m.id))
+	case ownersRequest:
+		m.reply <- ownersReply{g.Agent.Member.Owners(), g.Agent.Member.Peers(), g.Agent.Member.Self()}
+	case cellsRequest:
+		m.reply <- g.candidateCells(m.needs)
+	case dumpRequest:
 		m.reply <- g.dump()
-	case readyAsked:
-		m.reply <- !g.leaving && g.Agent.Ready()
-	case leave:
-		g.log.Info("leaving: finishing the requests in flight")
-		g.leaving = true
+	case readyRequest:
+		m.reply <- !g.draining && g.Agent.Ready()
+	case drainRequest:
+		g.log.Info("draining: waiting for requests in flight to end")
+		g.draining = true
 	}
 }
 
-// tell passes events on to the traffic goroutines that wait for them.
-func (g *Gate) tell(events []admit.Event) {
+// deliver sends events to the traffic goroutines of their requests. An event
+// without a target is the request's last one.
+func (g *Gate) deliver(events []admit.Event) {
 	for _, ev := range events {
-		c := g.waiting[ev.ID]
+		c := g.eventChans[ev.ID]
 		if c == nil {
 			continue
 		}
 		c <- ev
 		if _, granted := ev.Target.Get(); !granted {
-			delete(g.waiting, ev.ID)
+			delete(g.eventChans, ev.ID)
 		}
 	}
 }
 
-func (g *Gate) admitted(now time.Time, m admitAsked) admitted {
-	if g.leaving {
+// handleAuth checks a key for a queue and a team. It refuses all new work while
+// the gate is draining.
+func (g *Gate) handleAuth(now time.Time, m authRequest) authResult {
+	if g.draining {
 		r := core.Refuse(core.CodeLeaving, "this gate is about to stop")
 		r.RetryAfter = time.Second
-		return admitted{err: r}
+		return authResult{err: r}
 	}
 	team, rule, err := g.Agent.Conf.Admit(now, m.queue, m.team, m.key)
-	return admitted{team, rule, err}
+	return authResult{team, rule, err}
 }
 
 // Wake implements loop.Handler.
 func (g *Gate) Wake(now time.Time) time.Time {
 	if !now.Before(g.nextTick) {
-		g.nextTick = now.Add(tickEvery)
-		g.tell(g.admit.Tick(now))
-		g.observe()
+		g.nextTick = now.Add(tickInterval)
+		g.deliver(g.admission.Tick(now))
+		g.reportAdmission()
 	}
-	if !now.Before(g.nextWant) {
-		g.nextWant = now.Add(wantEvery)
-		g.admit.UpdateDemand()
-		g.countGates()
+	if !now.Before(g.nextDemand) {
+		g.nextDemand = now.Add(demandInterval)
+		g.admission.UpdateDemand()
+		g.updateGateCounts()
 	}
 	next := g.Agent.Tick(now)
-	g.rename()
-	g.leave()
-	return core.Earlier(core.Earlier(next, g.nextTick), g.nextWant)
+	g.renameLedger()
+	g.finishDrain()
+	return core.Earlier(core.Earlier(next, g.nextTick), g.nextDemand)
 }
 
-func (g *Gate) observe() {
-	g.Agent.LogRefusals(g.admit.Refusals())
-	for _, w := range g.admit.Waits() {
+// reportAdmission logs the events that admission's charts refused and records
+// the waits of the requests that were granted a slot.
+func (g *Gate) reportAdmission() {
+	g.Agent.LogRefusals(g.admission.Refusals())
+	for _, w := range g.admission.Waits() {
 		g.meter.RequestWait(w.Queue, w.Time)
 	}
 }
 
-// countGates follows the number of gates that divide the region's targets.
-func (g *Gate) countGates() {
-	near, all := 1, 1
+// updateGateCounts tells admission how many gates share the region's targets and
+// how many share the teams' limits.
+func (g *Gate) updateGateCounts() {
+	inRegion, inFleet := 1, 1
 	self := g.Agent.Member.Self()
 	for _, p := range g.Agent.Member.Peers() {
 		if p.Role == core.RoleGate {
-			all++
+			inFleet++
 			if p.Region == self.Region {
-				near++
+				inRegion++
 			}
 		}
 	}
-	if near != g.near || all != g.all {
-		g.near, g.all = near, all
-		g.admit.SetGates(near, all)
+	if inRegion != g.regionGates || inFleet != g.fleetGates {
+		g.regionGates, g.fleetGates = inRegion, inFleet
+		g.admission.SetGates(inRegion, inFleet)
 	}
 }
 
-// rename carries the slots over when the session has joined under a new name.
-// The parts of the old name stay counted until they are reclaimed.
-func (g *Gate) rename() {
-	if h := ledger.Holder(g.Agent.Member.Self().ID); h != g.book.Holder() {
-		g.book.Rename(h)
+// renameLedger moves the ledger to the new session ID after the session has
+// rejoined. The parts of the old ID stay in the rows until they are reclaimed.
+func (g *Gate) renameLedger() {
+	if h := ledger.Holder(g.Agent.Member.Self().ID); h != g.ledger.Holder() {
+		g.ledger.Rename(h)
 	}
 }
 
 // ConfigChanged implements agent.Host.
-func (g *Gate) ConfigChanged(time.Time) { g.admit.SetRules(g.Agent.Conf.Rules()) }
+func (g *Gate) ConfigChanged(time.Time) { g.admission.SetRules(g.Agent.Conf.Rules()) }
 
 // VMsChanged implements agent.Host.
 func (g *Gate) VMsChanged(now time.Time, vms []core.VM) {
@@ -288,47 +310,51 @@
 			targets = append(targets, vm)
 		}
 	}
-	g.tell(g.admit.SetTargets(now, targets))
+	g.deliver(g.admission.SetTargets(now, targets))
 }
 
-// BookRead implements agent.Host.
-func (g *Gate) BookRead(now time.Time) { g.tell(g.admit.Tick(now)) }
+// BookRead implements agent.Host. It grants slots that the gate now holds to
+// waiting requests.
+func (g *Gate) BookRead(now time.Time) { g.deliver(g.admission.Tick(now)) }
 
 func (g *Gate) dump() Dump {
-	d := Dump{Agent: g.Agent.Dump(), Mailbox: g.loop.Depth(), Targets: g.admit.Targets()}
-	d.Waiting, d.Sending = g.admit.Waiting()
+	d := Dump{Agent: g.Agent.Dump(), Mailbox: g.loop.Depth(), Targets: g.admission.Targets()}
+	d.Waiting, d.Sending = g.admission.Waiting()
 	return d
 }
 
-// Dump returns the whole control state; it is called by traffic goroutines.
+// Dump returns the control state for the operators' pages; it is called by
+// traffic goroutines.
 func (g *Gate) Dump(ctx context.Context) (any, error) {
-	return loop.Ask(ctx, g.loop, func(c chan<- Dump) loop.Message { return dumpAsked{c} })
+	return loop.Ask(ctx, g.loop, func(c chan<- Dump) loop.Message { return dumpRequest{c} })
 }
 
-// Ready reports whether the balancer may send requests here.
+// Ready reports whether the load balancer may send requests to this gate; it is
+// called by traffic goroutines.
 func (g *Gate) Ready(ctx context.Context) bool {
-	ok, err := loop.Ask(ctx, g.loop, func(c chan<- bool) loop.Message { return readyAsked{c} })
+	ok, err := loop.Ask(ctx, g.loop, func(c chan<- bool) loop.Message { return readyRequest{c} })
 	return err == nil && ok
 }
 
-// leave ends a planned stop: requests in flight end, slots go back, then the
-// session ends.
-func (g *Gate) leave() {
-	if !g.leaving || g.leftDone {
+// finishDrain completes the drain, one step per call: it waits until no request
+// is in flight, gives all parts of the ledger back, waits until that is stored,
+// and then ends the session.
+func (g *Gate) finishDrain() {
+	if !g.draining || g.sessionEnded {
 		return
 	}
-	if waiting, sending := g.admit.Waiting(); waiting+sending > 0 || g.onces.active() > 0 {
+	if waiting, sending := g.admission.Waiting(); waiting+sending > 0 || g.intents.inFlight() > 0 {
 		return
 	}
-	g.book.ZeroTotals(func(string) bool { return false })
-	for _, name := range g.book.Names() {
-		if g.book.Held(name) > 0 {
+	g.ledger.ZeroTotals(func(string) bool { return false })
+	for _, name := range g.ledger.Names() {
+		if g.ledger.Held(name) > 0 {
 			return
 		}
 	}
-	g.leftDone = true
+	g.sessionEnded = true
 	g.Agent.Member.Drain()
-	g.Agent.DeleteSession(g.left)
+	g.Agent.DeleteSession(g.drained)
 }
 
 // Alive implements peer.Backend.
@@ -339,6 +365,7 @@
 	return g.Agent.RenewOrPromise(ctx, row, version, resign)
 }
 
+// notSched returns the refusal of all calls that only a sched serves.
 func notSched() error { return core.Refuse(core.CodeOwner, "a gate owns no cells") }
 
 // Submit implements peer.Backend.
