--- a/io/fakes/platform.go
+++ b/io/fakes/platform.go
@@ -1,6 +1,6 @@
-// Package fakes holds small stand-ins for what surrounds the system: the
-// platform, workers, targets and faulty links. They are for tests and the
-// demonstration only.
+// Package fakes holds fakes of the systems around chicoryturn: the platform,
+// workers, targets and faulty links. Only tests, measurements and the
+// demonstration use them.
 package fakes
 
 import (
@@ -18,58 +18,67 @@
 	"chicoryturn/io/store"
 )
 
-const idleWake = time.Second
+// idleInterval is the time to the next Wake of a fake that has no timer pending.
+const idleInterval = time.Second
 
-// PlatformFaults are what the platform can be told to do wrong.
+// PlatformFaults are the faults that a test can inject into the platform.
 type PlatformFaults struct {
-	// Down makes every call fail.
+	// Down answers every call with status 503.
 	Down bool `json:"down"`
-	// Delay is added to every call.
+	// Delay is the duration by which every answer is delayed; empty means none.
 	Delay string `json:"delay"`
-	// Lose is how many of the next writes take effect without an answer.
+	// Lose is the number of coming writes that are applied but whose connection
+	// is closed without an answer.
 	Lose int `json:"lose"`
 }
 
-// Platform is the table service, the object store and the list of VMs.
+// Platform fakes the platform's table service, object store and list of VMs.
 type Platform struct {
-	loop    *loop.Loop
-	version uint64
-	rows    map[string]store.Row
-	objects map[string][]byte
-	list    store.List
-	faults  PlatformFaults
-	delay   time.Duration
-	writes  uint64
-	reads   uint64
-	// sent and received count the bytes of bodies.
-	sent, received atomic.Uint64
+	loop *loop.Loop
+	// lastVersion is the version that the last transaction gave to its rows.
+	lastVersion uint64
+	rows        map[string]store.Row
+	objects     map[string][]byte
+	vmList      store.List
+	faults      PlatformFaults
+	delay       time.Duration
+	writes      uint64
+	reads       uint64
+	// sentBytes and receivedBytes count bytes of HTTP bodies.
+	sentBytes, receivedBytes atomic.Uint64
 }
 
-// NewPlatform returns an empty platform; Serve runs it.
+// NewPlatform returns an empty platform. It answers calls once Run is called.
 func NewPlatform(ctx context.Context) *Platform {
 	return &Platform{
 		loop: loop.New(ctx), rows: map[string]store.Row{}, objects: map[string][]byte{},
-		list: store.List{Version: 1},
+		vmList: store.List{Version: 1},
 	}
 }
 
-// Run owns the platform's state until the context ends.
+// Run handles calls until the context that NewPlatform received ends.
 func (p *Platform) Run() error { return p.loop.Run(p) }
 
-// request is one call, to be answered by the control goroutine.
+// request is one call for the control goroutine. A call with isAdmin set is exempt
+// from faults and is counted neither as a write nor as a read.
 type request struct {
-	do    func(p *Platform) reply
-	write bool
-	admin bool
-	reply chan<- reply
+	do      func(p *Platform) reply
+	isWrite bool
+	isAdmin bool
+	reply   chan<- reply
 }
 
+// reply is the answer to a call to a fake.
 type reply struct {
+	// status is the HTTP status; 0 means 200.
 	status int
-	body   any
-	text   []byte
-	delay  time.Duration
-	lost   bool
+	// value is sent as JSON unless raw is set.
+	value any
+	raw   []byte
+	// delay is the time to wait before the answer is sent.
+	delay time.Duration
+	// connectionLost closes the connection without an answer.
+	connectionLost bool
 }
 
 // Message implements loop.Message.
@@ -82,74 +91,76 @@
 		return
 	}
 	switch {
-	case q.admin:
+	case q.isAdmin:
 		q.reply <- q.do(p)
 		return
 	case p.faults.Down:
 		q.reply <- reply{status: http.StatusServiceUnavailable, delay: p.delay}
 		return
-	case q.write:
+	case q.isWrite:
 		p.writes++
 	default:
 		p.reads++
 	}
 	r := q.do(p)
 	r.delay = p.delay
-	if q.write && p.faults.Lose > 0 {
+	if q.isWrite && p.faults.Lose > 0 {
 		p.faults.Lose--
-		r.lost = true
+		r.connectionLost = true
 	}
 	q.reply <- r
 }
 
 // Wake implements loop.Handler.
-func (p *Platform) Wake(now time.Time) time.Time { return now.Add(idleWake) }
+func (p *Platform) Wake(now time.Time) time.Time { return now.Add(idleInterval) }
 
 // Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /txn", p.handle(true, false, p.txn))
-	mux.HandleFunc("GET /rows", p.handle(false, false, p.scan))
+	mux.HandleFunc("POST /txn", p.handle(true, false, p.runTxn))
+	mux.HandleFunc("GET /rows", p.handle(false, false, p.scanRows))
 	mux.HandleFunc("PUT /objects/", p.handle(true, false, p.putObject))
 	mux.HandleFunc("GET /objects/", p.handle(false, false, p.getObject))
-	mux.HandleFunc("DELETE /objects/", p.handle(true, false, p.delObject))
-	mux.HandleFunc("GET /vms", p.handle(false, false, p.vms))
+	mux.HandleFunc("DELETE /objects/", p.handle(true, false, p.deleteObject))
+	mux.HandleFunc("GET /vms", p.handle(false, false, p.listVMs))
 	mux.HandleFunc("PUT /stand/vms", p.handle(false, true, p.setVMs))
 	mux.HandleFunc("PUT /stand/faults", p.handle(false, true, p.setFaults))
-	mux.HandleFunc("GET /stand/counts", p.handle(false, true, p.counts))
+	mux.HandleFunc("GET /stand/counts", p.handle(false, true, p.getCounts))
 	return mux
 }
 
-type build func(r *http.Request, body []byte) func(p *Platform) reply
+// parseFunc parses a call and returns the function that carries it out on the
+// control goroutine.
+type parseFunc func(r *http.Request, body []byte) func(p *Platform) reply
 
-func (p *Platform) handle(write, admin bool, b build) http.HandlerFunc {
+func (p *Platform) handle(isWrite, isAdmin bool, parse parseFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
 		a, err := loop.Ask(r.Context(), p.loop, func(c chan<- reply) loop.Message {
-			return request{b(r, body), write, admin, c}
+			return request{parse(r, body), isWrite, isAdmin, c}
 		})
 		if err != nil {
 			return
 		}
-		pause(r.Context(), a.delay)
-		if a.lost {
+		sleep(r.Context(), a.delay)
+		if a.connectionLost {
 			panic(http.ErrAbortHandler)
 		}
 		w.WriteHeader(max(a.status, http.StatusOK))
-		if a.text == nil {
-			a.text, _ = json.Marshal(a.body)
+		if a.raw == nil {
+			a.raw, _ = json.Marshal(a.value)
 		}
-		p.sent.Add(uint64(len(a.text)))
-		p.received.Add(uint64(len(body)))
-		_, _ = w.Write(a.text)
+		p.sentBytes.Add(uint64(len(a.raw)))
+		p.receivedBytes.Add(uint64(len(body)))
+		_, _ = w.Write(a.raw)
 	}
 }
 
-// pause waits without holding up anything else.
-func pause(ctx context.Context, d time.Duration) {
+// sleep returns after a duration or when the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -161,12 +172,12 @@
 	}
 }
 
-func (p *Platform) txn(_ *http.Request, body []byte) func(*Platform) reply {
+func (p *Platform) runTxn(_ *http.Request, body []byte) func(*Platform) reply {
 	var t store.Txn
 	if err := json.Unmarshal(body, &t); err != nil {
 		return func(*Platform) reply { return reply{status: http.StatusBadRequest} }
 	}
-	return func(p *Platform) reply { return reply{body: p.apply(t)} }
+	return func(p *Platform) reply { return reply{value: p.apply(t)} }
 }
 
 func (p *Platform) apply(t store.Txn) store.Answer {
@@ -180,10 +191,10 @@
 	if len(a.Conflicts) > 0 {
 		return a
 	}
-	p.version++
-	a.Version = p.version
+	p.lastVersion++
+	a.Version = p.lastVersion
 	for _, put := range t.Puts {
-		p.rows[put.Key] = store.Row{Key: put.Key, Val: put.Val, Version: p.version}
+		p.rows[put.Key] = store.Row{Key: put.Key, Val: put.Val, Version: p.lastVersion}
 	}
 	for _, key := range t.Dels {
 		delete(p.rows, key)
@@ -191,7 +202,7 @@
 	return a
 }
 
-func (p *Platform) scan(r *http.Request, _ []byte) func(*Platform) reply {
+func (p *Platform) scanRows(r *http.Request, _ []byte) func(*Platform) reply {
 	prefix, after := r.URL.Query().Get("prefix"), r.URL.Query().Get("after")
 	return func(p *Platform) reply {
 		rows := []store.Row{}
@@ -201,7 +212,7 @@
 			}
 		}
 		sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
-		return reply{body: rows}
+		return reply{value: rows}
 	}
 }
 
@@ -221,13 +232,13 @@
 	name := objectName(r)
 	return func(p *Platform) reply {
 		if body, ok := p.objects[name]; ok {
-			return reply{text: body}
+			return reply{raw: body}
 		}
 		return reply{status: http.StatusNotFound}
 	}
 }
 
-func (p *Platform) delObject(r *http.Request, _ []byte) func(*Platform) reply {
+func (p *Platform) deleteObject(r *http.Request, _ []byte) func(*Platform) reply {
 	name := objectName(r)
 	return func(p *Platform) reply {
 		delete(p.objects, name)
@@ -235,13 +246,13 @@
 	}
 }
 
-func (p *Platform) vms(r *http.Request, _ []byte) func(*Platform) reply {
+func (p *Platform) listVMs(r *http.Request, _ []byte) func(*Platform) reply {
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	return func(p *Platform) reply {
-		if since == p.list.Version {
-			return reply{body: store.List{Version: since, Same: true}}
+		if since == p.vmList.Version {
+			return reply{value: store.List{Version: since, Same: true}}
 		}
-		return reply{body: p.list}
+		return reply{value: p.vmList}
 	}
 }
 
@@ -250,18 +261,18 @@
 	if err := json.Unmarshal(body, &vms); err != nil {
 		return func(*Platform) reply { return reply{status: http.StatusBadRequest} }
 	}
-	return func(p *Platform) reply { return p.relist(vms) }
+	return func(p *Platform) reply { return p.replaceVMs(vms) }
 }
 
-func (p *Platform) relist(vms []store.VM) reply {
-	p.list = store.List{Version: p.list.Version + 1, VMs: vms}
+func (p *Platform) replaceVMs(vms []store.VM) reply {
+	p.vmList = store.List{Version: p.vmList.Version + 1, VMs: vms}
 	return reply{}
 }
 
-// SetVMs replaces the list of VMs.
+// SetVMs replaces the list of VMs and increments its version.
 func (p *Platform) SetVMs(vms []store.VM) {
 	_, _ = loop.Ask(context.Background(), p.loop, func(c chan<- reply) loop.Message {
-		return request{do: func(p *Platform) reply { return p.relist(vms) }, admin: true, reply: c}
+		return request{do: func(p *Platform) reply { return p.replaceVMs(vms) }, isAdmin: true, reply: c}
 	})
 }
 
@@ -280,29 +291,31 @@
 	}
 }
 
-// PlatformCounts are the calls that the platform has served.
+// PlatformCounts holds the platform's counters and its number of rows. Writes and
+// Reads leave out the calls that were answered with status 503 and the calls to
+// /stand/, by which tests control the platform.
 type PlatformCounts struct {
 	Writes uint64 `json:"writes"`
 	Reads  uint64 `json:"reads"`
 	Rows   int    `json:"rows"`
-	// Sent and Received count the bytes of bodies.
+	// Sent and Received count bytes of HTTP bodies.
 	Sent     uint64 `json:"sent"`
 	Received uint64 `json:"received"`
 }
 
-// Counts returns the calls that the platform has served.
+// Counts returns the platform's counters.
 func (p *Platform) Counts() PlatformCounts {
 	r, _ := loop.Ask(context.Background(), p.loop, func(c chan<- reply) loop.Message {
-		return request{do: p.counted, admin: true, reply: c}
+		return request{do: p.countsReply, isAdmin: true, reply: c}
 	})
-	n, _ := r.body.(PlatformCounts)
+	n, _ := r.value.(PlatformCounts)
 	return n
 }
 
-func (p *Platform) counted(*Platform) reply {
-	return reply{body: PlatformCounts{p.writes, p.reads, len(p.rows), p.sent.Load(), p.received.Load()}}
+func (p *Platform) countsReply(*Platform) reply {
+	return reply{value: PlatformCounts{p.writes, p.reads, len(p.rows), p.sentBytes.Load(), p.receivedBytes.Load()}}
 }
 
-func (p *Platform) counts(_ *http.Request, _ []byte) func(*Platform) reply {
-	return p.counted
+func (p *Platform) getCounts(_ *http.Request, _ []byte) func(*Platform) reply {
+	return p.countsReply
 }
--- a/io/fakes/proxy.go
+++ b/io/fakes/proxy.go
@@ -14,18 +14,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// LinkFaults is how a proxied link behaves.
+// LinkFaults are the faults that a test can inject into a proxied link. The zero
+// value is a link without faults.
 type LinkFaults struct {
-	// Delay is added in each direction.
+	// Delay is the duration by which data is delayed in each direction; empty
+	// means none.
 	Delay string `json:"delay"`
-	// Cut drops what is sent in both directions; connections stay open.
+	// Cut holds back data in both directions; connections stay open.
 	Cut bool `json:"cut"`
-	// Up and Down drop what is sent in one direction.
+	// Up holds back data from the client to the server, Down data from the
+	// server to the client.
 	Up   bool `json:"up"`
 	Down bool `json:"down"`
-	// Truncate closes a connection after so many bytes of the answer.
+	// Truncate closes a connection after this number of bytes from the server;
+	// 0 means never.
 	Truncate int64 `json:"truncate"`
-	// Half closes the sending side after the first chunk of a request.
+	// Half closes the sending side of the connection to the server after the
+	// first chunk from the client.
 	Half bool `json:"half"`
 }
 
@@ -34,31 +39,33 @@
 	delay time.Duration
 }
 
-// Proxy passes TCP connections on to one address and can be told to fail.
+// Proxy forwards TCP connections to one address and injects faults into them.
 type Proxy struct {
-	to    netip.AddrPort
+	// addr is the address of the server.
+	addr  netip.AddrPort
 	state atomic.Pointer[linkState]
-	// changed is closed and replaced whenever the link's state changes.
+	// changed holds a channel that is closed and replaced whenever state changes.
 	changed atomic.Pointer[chan struct{}]
-	bytes   atomic.Int64
+	// forwarded counts the bytes of both directions.
+	forwarded atomic.Int64
 }
 
-const proxyChunk = 32 << 10
+const proxyBufferSize = 32 << 10
 
-// NewProxy returns a proxy of a faultless link.
-func NewProxy(to netip.AddrPort) *Proxy {
-	p := &Proxy{to: to}
+// NewProxy returns a proxy for the server at addr, without faults.
+func NewProxy(addr netip.AddrPort) *Proxy {
+	p := &Proxy{addr: addr}
 	p.state.Store(&linkState{})
 	c := make(chan struct{})
 	p.changed.Store(&c)
 	return p
 }
 
-// Set changes the link's behaviour, also for open connections.
-func (p *Proxy) Set(l LinkFaults) error {
-	s := &linkState{LinkFaults: l}
-	if l.Delay != "" {
-		d, err := time.ParseDuration(l.Delay)
+// Set replaces the link's faults, also for open connections.
+func (p *Proxy) Set(f LinkFaults) error {
+	s := &linkState{LinkFaults: f}
+	if f.Delay != "" {
+		d, err := time.ParseDuration(f.Delay)
 		if err != nil {
 			return err
 		}
@@ -70,16 +77,17 @@
 	return nil
 }
 
-// Bytes returns how much has been passed on in both directions.
-func (p *Proxy) Bytes() int64 { return p.bytes.Load() }
+// Bytes returns the number of bytes forwarded in both directions.
+func (p *Proxy) Bytes() int64 { return p.forwarded.Load() }
 
-// Handler returns the page that sets the link's behaviour.
+// Handler returns the HTTP interface that sets the faults and returns the number
+// of forwarded bytes.
 func (p *Proxy) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /stand/link", func(w http.ResponseWriter, r *http.Request) {
-		var l LinkFaults
-		if json.NewDecoder(r.Body).Decode(&l) != nil || p.Set(l) != nil {
-			http.Error(w, "malformed link", http.StatusBadRequest)
+		var f LinkFaults
+		if json.NewDecoder(r.Body).Decode(&f) != nil || p.Set(f) != nil {
+			http.Error(w, "malformed link faults", http.StatusBadRequest)
 		}
 	})
 	mux.HandleFunc("GET /stand/bytes", func(w http.ResponseWriter, _ *http.Request) {
@@ -88,7 +96,7 @@
 	return mux
 }
 
-// Serve passes connections on until the context ends.
+// Serve forwards the connections that a listener accepts until the context ends.
 func (p *Proxy) Serve(ctx context.Context, l net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -104,37 +112,40 @@
 			if err != nil {
 				return err
 			}
-			group.Go(func() error { p.pass(ctx, c); return nil })
+			group.Go(func() error { p.forward(ctx, c); return nil })
 		}
 	})
 	return group.Wait()
 }
 
-func (p *Proxy) pass(ctx context.Context, in net.Conn) {
+// forward connects to the server and copies data in both directions. When one
+// direction fails, it closes both connections.
+func (p *Proxy) forward(ctx context.Context, in net.Conn) {
 	defer in.Close()
-	if !p.open(ctx, func(s *linkState) bool { return s.Cut }) {
+	if !p.waitUnblocked(ctx, func(s *linkState) bool { return s.Cut }) {
 		return
 	}
 	d := net.Dialer{Timeout: time.Second}
-	out, err := d.DialContext(ctx, "tcp", p.to.String())
+	out, err := d.DialContext(ctx, "tcp", p.addr.String())
 	if err != nil {
 		return
 	}
 	defer out.Close()
 	stop := context.AfterFunc(ctx, func() { _ = in.Close(); _ = out.Close() })
 	defer stop()
-	both := make(chan bool, 2)
-	go func() { both <- p.copy(ctx, out, in, true) }()
-	go func() { both <- p.copy(ctx, in, out, false) }()
-	if ended := <-both; !ended {
+	results := make(chan bool, 2)
+	go func() { results <- p.copyDirection(ctx, out, in, true) }()
+	go func() { results <- p.copyDirection(ctx, in, out, false) }()
+	if atEOF := <-results; !atEOF {
 		_ = in.Close()
 		_ = out.Close()
 	}
-	<-both
+	<-results
 }
 
-// open waits while the link is blocked.
-func (p *Proxy) open(ctx context.Context, blocked func(*linkState) bool) bool {
+// waitUnblocked waits until blocked is false for the link's state. It returns
+// false if the context ends first.
+func (p *Proxy) waitUnblocked(ctx context.Context, blocked func(*linkState) bool) bool {
 	for {
 		changed := *p.changed.Load()
 		if !blocked(p.state.Load()) {
@@ -148,29 +159,30 @@
 	}
 }
 
-// copy passes one direction on and reports whether it has ended in order: the
-// other direction may then go on.
-func (p *Proxy) copy(ctx context.Context, to, from net.Conn, up bool) bool {
-	buf := make([]byte, proxyChunk)
-	passed := int64(0)
+// copyDirection copies data from one connection to the other until EOF. It
+// returns true at EOF, when the other direction may continue, and false if the
+// connections must be closed.
+func (p *Proxy) copyDirection(ctx context.Context, to, from net.Conn, isUp bool) bool {
+	buf := make([]byte, proxyBufferSize)
+	copied := int64(0)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			pause(ctx, p.state.Load().delay)
-			if !p.open(ctx, func(s *linkState) bool { return s.Cut || (up && s.Up) || (!up && s.Down) }) {
+			sleep(ctx, p.state.Load().delay)
+			if !p.waitUnblocked(ctx, func(s *linkState) bool { return s.Cut || (isUp && s.Up) || (!isUp && s.Down) }) {
 				return false
 			}
 			s := p.state.Load()
-			if !up && s.Truncate > 0 && passed+int64(n) > s.Truncate {
-				_, _ = to.Write(buf[:max(s.Truncate-passed, 0)])
+			if !isUp && s.Truncate > 0 && copied+int64(n) > s.Truncate {
+				_, _ = to.Write(buf[:max(s.Truncate-copied, 0)])
 				return false
 			}
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return false
 			}
-			passed += int64(n)
-			p.bytes.Add(int64(n))
-			if c, ok := to.(*net.TCPConn); ok && up && s.Half {
+			copied += int64(n)
+			p.forwarded.Add(int64(n))
+			if c, ok := to.(*net.TCPConn); ok && isUp && s.Half {
 				_ = c.CloseWrite()
 			}
 		}
--- a/io/fakes/target.go
+++ b/io/fakes/target.go
@@ -11,7 +11,7 @@
 	"chicoryturn/io/loop"
 )
 
-// Hit is one request as a target saw it.
+// Hit is a target's record of one request.
 type Hit struct {
 	Target string    `json:"target"`
 	ID     string    `json:"id"`
@@ -21,7 +21,8 @@
 	Ended  time.Time `json:"ended"`
 }
 
-// TargetRecord is all that a target has seen.
+// TargetRecord is the log of a target. Most is the largest number of requests in
+// flight; Overfull counts the requests that arrived when all slots were in use.
 type TargetRecord struct {
 	Slots    int   `json:"slots"`
 	Most     int   `json:"most"`
@@ -29,23 +30,27 @@
 	Hits     []Hit `json:"hits"`
 }
 
-// Target answers requests, a bounded number at a time. The caller's header
-// Stand-Work says how long one takes, Stand-Break how it goes wrong.
+// Target fakes a VM that answers requests. It records when there are more
+// requests in flight than slots, but does not refuse any. The request header
+// Stand-Work sets how long a request takes. Stand-Break breaks the answer: close
+// sends nothing, half sends half of the body with the length of the whole, and
+// chunk sends half of a chunked body.
 type Target struct {
-	loop   *loop.Loop
-	name   string
-	record TargetRecord
-	busy   int
+	loop     *loop.Loop
+	name     string
+	record   TargetRecord
+	inFlight int
 }
 
-// NewTarget returns a target; Run runs it.
+// NewTarget returns a target. It answers requests once Run is called.
 func NewTarget(ctx context.Context, name string, slots int) *Target {
 	return &Target{loop: loop.New(ctx), name: name, record: TargetRecord{Slots: slots}}
 }
 
-// Run owns the target's state until the context ends.
+// Run handles requests until the context that NewTarget received ends.
 func (t *Target) Run() error { return t.loop.Run(t) }
 
+// targetMsg asks the control goroutine to call do.
 type targetMsg struct {
 	do    func(now time.Time, t *Target) TargetRecord
 	reply chan<- TargetRecord
@@ -56,22 +61,23 @@
 
 // Handle implements loop.Handler.
 func (t *Target) Handle(now time.Time, m loop.Message) {
-	if q, ok := m.(targetMsg); ok {
-		q.reply <- q.do(now, t)
+	if m, ok := m.(targetMsg); ok {
+		m.reply <- m.do(now, t)
 	}
 }
 
 // Wake implements loop.Handler.
-func (t *Target) Wake(now time.Time) time.Time { return now.Add(idleWake) }
+func (t *Target) Wake(now time.Time) time.Time { return now.Add(idleInterval) }
 
-func (t *Target) ask(do func(now time.Time, t *Target) TargetRecord) TargetRecord {
+// runInLoop calls do on the control goroutine and returns its result.
+func (t *Target) runInLoop(do func(now time.Time, t *Target) TargetRecord) TargetRecord {
 	r, _ := loop.Ask(context.Background(), t.loop, func(c chan<- TargetRecord) loop.Message { return targetMsg{do, c} })
 	return r
 }
 
-// Record returns all that the target has seen.
+// Record returns a copy of the target's log.
 func (t *Target) Record() TargetRecord {
-	return t.ask(func(_ time.Time, t *Target) TargetRecord {
+	return t.runInLoop(func(_ time.Time, t *Target) TargetRecord {
 		r := t.record
 		r.Hits = append([]Hit{}, r.Hits...)
 		return r
@@ -90,23 +96,23 @@
 
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	at := 0
-	t.ask(func(now time.Time, t *Target) TargetRecord {
-		t.busy++
-		t.record.Most = max(t.record.Most, t.busy)
-		if t.busy > t.record.Slots {
+	index := 0
+	t.runInLoop(func(now time.Time, t *Target) TargetRecord {
+		t.inFlight++
+		t.record.Most = max(t.record.Most, t.inFlight)
+		if t.inFlight > t.record.Slots {
 			t.record.Overfull++
-			fmt.Printf("target %s: OVERFULL: %d of %d slots\n", t.name, t.busy, t.record.Slots)
+			fmt.Printf("target %s: OVERFULL: %d requests in flight on %d slots\n", t.name, t.inFlight, t.record.Slots)
 		}
-		at = len(t.record.Hits)
+		index = len(t.record.Hits)
 		t.record.Hits = append(t.record.Hits, Hit{t.name, r.Header.Get("Request-Id"), r.Header.Get("Team"), r.URL.Path, now, time.Time{}})
 		return TargetRecord{}
 	})
 	d, _ := time.ParseDuration(r.Header.Get("Stand-Work"))
-	pause(context.WithoutCancel(r.Context()), d)
-	t.ask(func(now time.Time, t *Target) TargetRecord {
-		t.busy--
-		t.record.Hits[at].Ended = now
+	sleep(context.WithoutCancel(r.Context()), d)
+	t.runInLoop(func(now time.Time, t *Target) TargetRecord {
+		t.inFlight--
+		t.record.Hits[index].Ended = now
 		return TargetRecord{}
 	})
 	t.answer(w, r, body)
--- a/io/fakes/worker.go
+++ b/io/fakes/worker.go
@@ -16,216 +16,238 @@
 	"chicoryturn/io/work"
 )
 
-// WorkerFaults are what a worker can be told to do wrong.
+// WorkerFaults are the faults that a test can inject into a worker.
 type WorkerFaults struct {
-	// FailAll makes every task fail as soon as it starts.
+	// FailAll makes every task fail 1 ms after it starts.
 	FailAll bool `json:"failall"`
-	// Frozen makes the worker answer nothing.
+	// Frozen leaves every heartbeat without an answer.
 	Frozen bool `json:"frozen"`
-	// Room, if set, is reported in place of the true room.
+	// Room, if set, is reported in place of the worker's true room.
 	Room *work.Room `json:"room,omitempty"`
 }
 
-// TaskRecord is one start or end of a task, as the worker saw it.
+// TaskRecord is a worker's record of one start or end of a task.
 type TaskRecord struct {
 	Worker string    `json:"worker"`
 	Task   string    `json:"task"`
 	Team   string    `json:"team"`
 	Need   work.Room `json:"need"`
-	// Event is "start", or the state in which the task ended.
+	// Event is "start", or the state in which the run ended.
 	Event string    `json:"event"`
 	At    time.Time `json:"at"`
 }
 
-// WorkerRecord is all that a worker has seen.
+// WorkerRecord is the log of a worker. Overfull counts the starts after which the
+// running tasks needed more than Room.
 type WorkerRecord struct {
 	Room     work.Room    `json:"room"`
 	Overfull int          `json:"overfull"`
 	Records  []TaskRecord `json:"records"`
 }
 
+// run is one start of a task.
 type run struct {
-	start  work.Start
-	state  string
-	began  time.Time
-	ran    time.Duration
-	ends   time.Time
-	ending string
-	// seq is that of the newest change.
-	seq uint64
-	// use is by how much the task uses more than it declared; it is reported
-	// once it has run for usageLag.
-	use  float64
-	seen bool
+	start     work.Start
+	state     string
+	startedAt time.Time
+	elapsed   time.Duration
+	// endsAt is when the run ends, in endState, unless it is stopped before.
+	endsAt   time.Time
+	endState string
+	// changeSeq is the sequence number of the run's newest change.
+	changeSeq uint64
+	// usageFactor is the reported use as a multiple of the declared need.
+	usageFactor float64
+	// usageReported is set once the run has lasted for usageDelay.
+	usageReported bool
 }
 
-// usageLag is how long a worker takes to notice what a task uses.
-const usageLag = 500 * time.Millisecond
+// usageDelay is the time from the start of a run until its use is reported.
+const usageDelay = 500 * time.Millisecond
 
-type waiter struct {
-	contact work.Heartbeat
-	until   time.Time
-	reply   chan<- reply
+// longPoll is a heartbeat that the worker answers after the next change or at
+// the deadline.
+type longPoll struct {
+	heartbeat work.Heartbeat
+	deadline  time.Time
+	reply     chan<- reply
 }
 
-// Worker runs tasks under a lease; a task is a sleep.
+// Worker fakes a VM that runs tasks under a lease. A task only occupies room for
+// the duration in its command: "sleep 2s" ends as done, "fail 2s" as failed. A suffix such as " use=1.5" sets the reported use as a multiple of the
+// declared need.
 type Worker struct {
-	loop   *loop.Loop
-	name   string
-	room   work.Room
-	habits WorkerFaults
-	epoch  uint64
-	order  uint64
-	seq    uint64
-	born   time.Time
-	// lease ends a lease time after the newest stamp that came back was made.
-	lease    time.Time
-	tasks    map[string]*run
-	waiters  []waiter
-	records  []TaskRecord
-	overfull int
+	loop      *loop.Loop
+	name      string
+	room      work.Room
+	faults    WorkerFaults
+	epoch     uint64
+	lastOrder uint64
+	lastSeq   uint64
+	// startedAt identifies the worker's incarnation.
+	startedAt time.Time
+	// leaseEnd is the time of the newest stamp that a heartbeat returned, plus the
+	// lease duration. Each report carries a stamp with the time of the report.
+	leaseEnd  time.Time
+	runs      map[string]*run
+	longPolls []longPoll
+	records   []TaskRecord
+	overfull  int
 }
 
-// NewWorker returns a worker with nothing to do; Run runs it.
+// NewWorker returns a worker without tasks. It answers heartbeats once Run is
+// called.
 func NewWorker(ctx context.Context, name string, room work.Room) *Worker {
-	return &Worker{loop: loop.New(ctx), name: name, room: room, born: time.Now(), tasks: map[string]*run{}}
+	return &Worker{loop: loop.New(ctx), name: name, room: room, startedAt: time.Now(), runs: map[string]*run{}}
 }
 
-// Run owns the worker's state until the context ends.
+// Run handles heartbeats and timers until the context that NewWorker received
+// ends.
 func (w *Worker) Run() error { return w.loop.Run(w) }
 
-type contactMsg struct {
-	contact work.Heartbeat
-	// full is set when the sender has to be told every task.
-	full  bool
-	reply chan<- reply
+// heartbeatMsg carries a heartbeat to the control goroutine.
+type heartbeatMsg struct {
+	heartbeat work.Heartbeat
+	// wantsFull requests a report of all runs.
+	wantsFull bool
+	reply     chan<- reply
 }
 
-type workerAdmin struct {
+// adminMsg asks the control goroutine to call do.
+type adminMsg struct {
 	do    func(w *Worker) reply
 	reply chan<- reply
 }
 
 // Message implements loop.Message.
-func (contactMsg) Message() {}
+func (heartbeatMsg) Message() {}
 
 // Message implements loop.Message.
-func (workerAdmin) Message() {}
+func (adminMsg) Message() {}
 
 // Handler returns the worker's HTTP interface.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /contact", func(rw http.ResponseWriter, r *http.Request) {
-		var k work.Heartbeat
-		if err := json.NewDecoder(r.Body).Decode(&k); err != nil {
-			http.Error(rw, "malformed contact", http.StatusBadRequest)
+		var hb work.Heartbeat
+		if err := json.NewDecoder(r.Body).Decode(&hb); err != nil {
+			http.Error(rw, "malformed heartbeat", http.StatusBadRequest)
 			return
 		}
-		w.answer(rw, r, func(c chan<- reply) loop.Message { return contactMsg{contact: k, reply: c} })
+		w.answer(rw, r, func(c chan<- reply) loop.Message { return heartbeatMsg{heartbeat: hb, reply: c} })
 	})
 	mux.HandleFunc("GET /stand/record", func(rw http.ResponseWriter, r *http.Request) {
-		w.admin(rw, r, workerRecord)
+		w.runAdmin(rw, r, recordReply)
 	})
 	mux.HandleFunc("PUT /stand/habits", func(rw http.ResponseWriter, r *http.Request) {
-		var h WorkerFaults
+		var f WorkerFaults
 		body, _ := io.ReadAll(r.Body)
-		if json.Unmarshal(body, &h) != nil {
-			http.Error(rw, "malformed habits", http.StatusBadRequest)
+		if json.Unmarshal(body, &f) != nil {
+			http.Error(rw, "malformed worker faults", http.StatusBadRequest)
 			return
 		}
-		w.admin(rw, r, func(w *Worker) reply { w.habits = h; return reply{} })
+		w.runAdmin(rw, r, func(w *Worker) reply { w.faults = f; return reply{} })
 	})
 	return mux
 }
 
-// Record returns all that the worker has seen.
+// Record returns a copy of the worker's log.
 func (w *Worker) Record() WorkerRecord {
-	a, _ := loop.Ask(context.Background(), w.loop, func(c chan<- reply) loop.Message { return workerAdmin{workerRecord, c} })
-	r, _ := a.body.(WorkerRecord)
+	a, _ := loop.Ask(context.Background(), w.loop, func(c chan<- reply) loop.Message { return adminMsg{recordReply, c} })
+	r, _ := a.value.(WorkerRecord)
 	return r
 }
 
-func workerRecord(w *Worker) reply {
-	return reply{body: WorkerRecord{w.room, w.overfull, append([]TaskRecord{}, w.records...)}}
+func recordReply(w *Worker) reply {
+	return reply{value: WorkerRecord{w.room, w.overfull, append([]TaskRecord{}, w.records...)}}
 }
 
-func (w *Worker) admin(rw http.ResponseWriter, r *http.Request, do func(w *Worker) reply) {
-	w.answer(rw, r, func(c chan<- reply) loop.Message { return workerAdmin{do, c} })
+// runAdmin calls do on the control goroutine and writes its reply.
+func (w *Worker) runAdmin(rw http.ResponseWriter, r *http.Request, do func(w *Worker) reply) {
+	w.answer(rw, r, func(c chan<- reply) loop.Message { return adminMsg{do, c} })
 }
 
+// answer sends the message that build returns to the control goroutine and writes
+// the reply.
 func (w *Worker) answer(rw http.ResponseWriter, r *http.Request, build func(c chan<- reply) loop.Message) {
 	a, err := loop.Ask(r.Context(), w.loop, build)
 	if err != nil {
 		return
 	}
 	rw.WriteHeader(max(a.status, http.StatusOK))
-	_ = json.NewEncoder(rw).Encode(a.body)
+	_ = json.NewEncoder(rw).Encode(a.value)
 }
 
 // Handle implements loop.Handler.
 func (w *Worker) Handle(now time.Time, m loop.Message) {
 	switch m := m.(type) {
-	case workerAdmin:
+	case adminMsg:
 		m.reply <- m.do(w)
-	case contactMsg:
-		if !w.habits.Frozen {
-			w.contact(now, m)
+	case heartbeatMsg:
+		if !w.faults.Frozen {
+			w.handleHeartbeat(now, m)
 		}
 	}
 }
 
-func (w *Worker) contact(now time.Time, m contactMsg) {
-	k := m.contact
-	w.expire(now)
-	if k.Epoch < w.epoch {
+// handleHeartbeat renews the lease and applies the orders of a heartbeat. It
+// answers at once if there are changes or the caller does not wait; otherwise it
+// adds a long poll. It refuses a heartbeat of an old epoch with status 409.
+func (w *Worker) handleHeartbeat(now time.Time, m heartbeatMsg) {
+	hb := m.heartbeat
+	w.updateRuns(now)
+	if hb.Epoch < w.epoch {
 		m.reply <- reply{status: http.StatusConflict}
 		return
 	}
-	if k.Epoch > w.epoch {
-		w.epoch, w.order = k.Epoch, 0
-		m.full = true
-		w.flush()
+	if hb.Epoch > w.epoch {
+		w.epoch, w.lastOrder = hb.Epoch, 0
+		m.wantsFull = true
+		w.answerLongPolls()
 	}
-	m.full = m.full || k.Incarnation != w.bornText() || k.Stamp == ""
-	fresh := w.renew(now, k)
-	if k.Order > w.order {
-		w.order = k.Order
-		w.obey(now, k, fresh)
+	m.wantsFull = m.wantsFull || hb.Incarnation != w.incarnation() || hb.Stamp == ""
+	mayStart := w.renew(now, hb)
+	if hb.Order > w.lastOrder {
+		w.lastOrder = hb.Order
+		w.applyOrders(now, hb, mayStart)
 	}
-	wait, _ := time.ParseDuration(k.Wait)
-	if w.seq > k.After || wait <= 0 || m.full {
-		m.reply <- reply{body: w.report(now, k.After, m.full)}
+	wait, _ := time.ParseDuration(hb.Wait)
+	if w.lastSeq > hb.After || wait <= 0 || m.wantsFull {
+		m.reply <- reply{value: w.report(now, hb.After, m.wantsFull)}
 		return
 	}
-	w.waiters = append(w.waiters, waiter{k, now.Add(wait), m.reply})
+	w.longPolls = append(w.longPolls, longPoll{hb, now.Add(wait), m.reply})
 }
 
-// renew extends the lease and reports whether the stamp is recent enough for
-// new tasks.
-func (w *Worker) renew(now time.Time, k work.Heartbeat) bool {
-	var born, made int64
-	if n, err := fmt.Sscanf(k.Stamp, "%d/%d", &born, &made); err != nil || n != 2 || born != w.born.UnixNano() {
+// renew extends the lease to the heartbeat's stamp plus TTL and reports whether
+// that time is still to come, so that new tasks may start. It ignores a stamp of
+// another incarnation.
+func (w *Worker) renew(now time.Time, hb work.Heartbeat) bool {
+	var incarnation, age int64
+	if n, err := fmt.Sscanf(hb.Stamp, "%d/%d", &incarnation, &age); err != nil || n != 2 || incarnation != w.startedAt.UnixNano() {
 		return false
 	}
-	ttl, err := time.ParseDuration(k.TTL)
+	ttl, err := time.ParseDuration(hb.TTL)
 	if err != nil {
 		return false
 	}
-	until := w.born.Add(time.Duration(made)).Add(ttl)
-	if until.After(w.lease) {
-		w.lease = until
+	until := w.startedAt.Add(time.Duration(age)).Add(ttl)
+	if until.After(w.leaseEnd) {
+		w.leaseEnd = until
 	}
 	return until.After(now)
 }
 
-func (w *Worker) obey(now time.Time, k work.Heartbeat, fresh bool) {
-	for _, a := range k.Acks {
-		if t := w.tasks[a.Task]; t != nil && t.state != "running" && t.start.Run == a.Run {
-			delete(w.tasks, a.Task)
+// applyOrders carries out the acknowledgements and stops of a heartbeat, and its
+// starts if mayStart is set.
+func (w *Worker) applyOrders(now time.Time, hb work.Heartbeat, mayStart bool) {
+	for _, a := range hb.Acks {
+		if t := w.runs[a.Task]; t != nil && t.state != "running" && t.start.Run == a.Run {
+			delete(w.runs, a.Task)
 		}
 	}
-	for _, s := range k.Stops {
-		if t := w.tasks[s.Task]; t != nil && t.state == "running" {
+	for _, s := range hb.Stops {
+		if t := w.runs[s.Task]; t != nil && t.state == "running" {
 			if s.How == "slow" {
 				w.throttle(t)
 				continue
@@ -234,55 +256,56 @@
 			if s.How == "saved" {
 				state = "saved"
 			}
-			w.end(now, t, state)
+			w.endRun(now, t, state)
 		}
 	}
-	for _, s := range k.Starts {
-		if t := w.tasks[s.Task]; fresh && (t == nil || t.state != "running" && t.start.Run != s.Run) {
-			w.start(now, s)
+	for _, s := range hb.Starts {
+		if t := w.runs[s.Task]; mayStart && (t == nil || t.state != "running" && t.start.Run != s.Run) {
+			w.startRun(now, s)
 		}
 	}
 }
 
-func (w *Worker) start(now time.Time, s work.Start) {
-	t := &run{start: s, state: "running", began: now, ending: "done"}
+func (w *Worker) startRun(now time.Time, s work.Start) {
+	t := &run{start: s, state: "running", startedAt: now, endState: "done"}
 	length := time.Duration(0)
 	verb, arg, _ := strings.Cut(s.Command, " ")
-	arg, use, _ := strings.Cut(arg, " use=")
-	t.use, _ = strconv.ParseFloat(use, 64)
+	arg, factor, _ := strings.Cut(arg, " use=")
+	t.usageFactor, _ = strconv.ParseFloat(factor, 64)
 	if d, err := time.ParseDuration(arg); err == nil {
 		length = d
 	}
-	if saved, err := time.ParseDuration(s.Saved); err == nil {
-		length = max(length-saved, 0)
+	if checkpoint, err := time.ParseDuration(s.Saved); err == nil {
+		length = max(length-checkpoint, 0)
 	}
 	switch {
-	case w.habits.FailAll:
-		t.ending, length = "failed", time.Millisecond
+	case w.faults.FailAll:
+		t.endState, length = "failed", time.Millisecond
 	case verb == "fail":
-		t.ending = "failed"
+		t.endState = "failed"
 	}
-	t.ends = now.Add(length)
-	w.tasks[s.Task] = t
+	t.endsAt = now.Add(length)
+	w.runs[s.Task] = t
 	w.record(now, t, "start")
-	if !w.used().Fits(w.room.Core()) {
+	if !w.reserved().Fits(w.room.Core()) {
 		w.overfull++
-		fmt.Printf("worker %s: OVERFULL: %+v of %+v\n", w.name, w.used(), w.room)
+		fmt.Printf("worker %s: OVERFULL: running tasks need %+v of %+v\n", w.name, w.reserved(), w.room)
 	}
-	w.news(t)
+	w.markChanged(t)
 }
 
-// throttle holds a task to what it declared.
+// throttle limits a task to its declared need, so that no use is reported.
 func (w *Worker) throttle(t *run) {
-	if t.use > 0 {
-		t.use = 0
-		w.news(t)
+	if t.usageFactor > 0 {
+		t.usageFactor = 0
+		w.markChanged(t)
 	}
 }
 
-func (w *Worker) used() core.Resources {
+// reserved returns the sum of the declared needs of all running tasks.
+func (w *Worker) reserved() core.Resources {
 	sum := core.Resources{}
-	for _, t := range w.tasks {
+	for _, t := range w.runs {
 		if t.state == "running" {
 			sum = sum.Add(t.start.Need.Core())
 		}
@@ -290,127 +313,128 @@
 	return sum
 }
 
-func (w *Worker) end(now time.Time, t *run, state string) {
-	t.state, t.ran = state, now.Sub(t.began)
+func (w *Worker) endRun(now time.Time, t *run, state string) {
+	t.state, t.elapsed = state, now.Sub(t.startedAt)
 	w.record(now, t, state)
-	w.news(t)
+	w.markChanged(t)
 }
 
 func (w *Worker) record(now time.Time, t *run, event string) {
 	w.records = append(w.records, TaskRecord{w.name, t.start.Task, t.start.Team, t.start.Need, event, now})
 }
 
-// news answers the waiting calls on the next wake.
-func (w *Worker) news(t *run) {
-	w.seq++
-	t.seq = w.seq
+// markChanged gives a run the next sequence number. The next call of Wake then
+// answers the long polls.
+func (w *Worker) markChanged(t *run) {
+	w.lastSeq++
+	t.changeSeq = w.lastSeq
 }
 
-// expire stops every task when the lease has ended.
-func (w *Worker) expire(now time.Time) {
-	for _, id := range w.ids() {
-		t := w.tasks[id]
-		if t.state == "running" && !now.Before(t.ends) && t.ends.Before(w.lease) {
-			w.end(t.ends, t, t.ending)
+// updateRuns ends the runs that have lasted for their full duration within the
+// lease. Once the lease has expired, it stops all other runs.
+func (w *Worker) updateRuns(now time.Time) {
+	for _, id := range w.sortedTaskIDs() {
+		t := w.runs[id]
+		if t.state == "running" && !now.Before(t.endsAt) && t.endsAt.Before(w.leaseEnd) {
+			w.endRun(t.endsAt, t, t.endState)
 		}
 	}
-	if now.Before(w.lease) {
+	if now.Before(w.leaseEnd) {
 		return
 	}
-	for _, id := range w.ids() {
-		if t := w.tasks[id]; t.state == "running" {
-			w.end(now, t, "stopped")
+	for _, id := range w.sortedTaskIDs() {
+		if t := w.runs[id]; t.state == "running" {
+			w.endRun(now, t, "stopped")
 		}
 	}
 }
 
-func (w *Worker) ids() []string {
-	out := make([]string, 0, len(w.tasks))
-	for id := range w.tasks {
+func (w *Worker) sortedTaskIDs() []string {
+	out := make([]string, 0, len(w.runs))
+	for id := range w.runs {
 		out = append(out, id)
 	}
 	sort.Strings(out)
 	return out
 }
 
-func (w *Worker) bornText() string { return strconv.FormatInt(w.born.UnixNano(), 10) }
+func (w *Worker) incarnation() string { return strconv.FormatInt(w.startedAt.UnixNano(), 10) }
 
-// report returns every task, or those that have changed after a sequence
-// number.
+// report returns every run, or those that have changed since a sequence number.
 func (w *Worker) report(now time.Time, after uint64, full bool) work.Report {
 	r := work.Report{
-		Incarnation: w.bornText(), Full: full, Stamp: fmt.Sprintf("%d/%d", w.born.UnixNano(), now.Sub(w.born)), Seq: w.seq, Room: w.room,
+		Incarnation: w.incarnation(), Full: full, Stamp: fmt.Sprintf("%d/%d", w.startedAt.UnixNano(), now.Sub(w.startedAt)), Seq: w.lastSeq, Room: w.room,
 	}
-	if w.habits.Room != nil {
-		r.Room = *w.habits.Room
+	if w.faults.Room != nil {
+		r.Room = *w.faults.Room
 	}
-	for _, id := range w.ids() {
-		t := w.tasks[id]
-		if !full && t.seq <= after {
+	for _, id := range w.sortedTaskIDs() {
+		t := w.runs[id]
+		if !full && t.changeSeq <= after {
 			continue
 		}
 		used := work.Room{}
-		if t.seen {
+		if t.usageReported {
 			used = work.Room{
-				Cores: int64(t.use * float64(t.start.Need.Cores)), Memory: int64(t.use * float64(t.start.Need.Memory)), Accel: t.start.Need.Accel,
+				Cores: int64(t.usageFactor * float64(t.start.Need.Cores)), Memory: int64(t.usageFactor * float64(t.start.Need.Memory)), Accel: t.start.Need.Accel,
 			}
 		}
-		ran := t.ran
+		elapsed := t.elapsed
 		if t.state == "running" {
-			ran = now.Sub(t.began)
+			elapsed = now.Sub(t.startedAt)
 		}
-		r.Tasks = append(r.Tasks, work.Task{Task: id, Run: t.start.Run, State: t.state, Team: t.start.Team, Need: t.start.Need, Used: used, Elapsed: ran.String()})
+		r.Tasks = append(r.Tasks, work.Task{Task: id, Run: t.start.Run, State: t.state, Team: t.start.Team, Need: t.start.Need, Used: used, Elapsed: elapsed.String()})
 	}
 	return r
 }
 
-// flush answers all waiting calls.
-func (w *Worker) flush() {
-	for _, q := range w.waiters {
-		if q.contact.Epoch < w.epoch {
-			q.reply <- reply{status: http.StatusConflict}
+// answerLongPolls answers all long polls, those of an old epoch with status 409.
+func (w *Worker) answerLongPolls() {
+	for _, p := range w.longPolls {
+		if p.heartbeat.Epoch < w.epoch {
+			p.reply <- reply{status: http.StatusConflict}
 		} else {
-			q.reply <- reply{body: w.report(time.Now(), q.contact.After, false)}
+			p.reply <- reply{value: w.report(time.Now(), p.heartbeat.After, false)}
 		}
 	}
-	w.waiters = nil
+	w.longPolls = nil
 }
 
 // Wake implements loop.Handler.
 func (w *Worker) Wake(now time.Time) time.Time {
-	w.expire(now)
-	next := now.Add(idleWake)
-	for _, t := range w.tasks {
-		if t.state != "running" || t.seen || t.use == 0 {
+	w.updateRuns(now)
+	next := now.Add(idleInterval)
+	for _, t := range w.runs {
+		if t.state != "running" || t.usageReported || t.usageFactor == 0 {
 			continue
 		}
-		if due := t.began.Add(usageLag); now.Before(due) {
-			next = core.Earlier(next, due)
+		if at := t.startedAt.Add(usageDelay); now.Before(at) {
+			next = core.Earlier(next, at)
 		} else {
-			t.seen = true
-			w.news(t)
+			t.usageReported = true
+			w.markChanged(t)
 		}
 	}
-	if w.habits.Frozen {
+	if w.faults.Frozen {
 		return next
 	}
-	keep := w.waiters[:0]
-	for _, q := range w.waiters {
-		if w.seq > q.contact.After || !now.Before(q.until) {
-			q.reply <- reply{body: w.report(now, q.contact.After, false)}
+	pending := w.longPolls[:0]
+	for _, p := range w.longPolls {
+		if w.lastSeq > p.heartbeat.After || !now.Before(p.deadline) {
+			p.reply <- reply{value: w.report(now, p.heartbeat.After, false)}
 			continue
 		}
-		next = core.Earlier(next, q.until)
-		keep = append(keep, q)
+		next = core.Earlier(next, p.deadline)
+		pending = append(pending, p)
 	}
-	w.waiters = keep
-	for _, t := range w.tasks {
+	w.longPolls = pending
+	for _, t := range w.runs {
 		if t.state == "running" {
-			next = core.Earlier(next, t.ends)
+			next = core.Earlier(next, t.endsAt)
 		}
 	}
-	if now.Before(w.lease) {
-		next = core.Earlier(next, w.lease)
+	if now.Before(w.leaseEnd) {
+		next = core.Earlier(next, w.leaseEnd)
 	}
 	return next
 }
