--- a/io/deploy/deployment.go
+++ b/io/deploy/deployment.go
@@ -1,5 +1,6 @@
-// Package deploy describes the users' deployments and starts them in one
-// process on loopback: gates, scheds and the stand-ins around them.
+// Package deploy describes the sample deployments of two customers and starts
+// them in one process on loopback: gates, scheds, and the fakes of the platform,
+// the workers and the targets.
 package deploy
 
 import (
@@ -26,34 +27,35 @@
 )
 
 //go:embed rules/*.toml
-var files embed.FS
+var rulesFiles embed.FS
 
-// Plan is the size of a deployment.
+// Plan describes a deployment: the numbers and sizes of its VMs, and its settings.
 type Plan struct {
+	// Name is also the name of the sample rules file.
 	Name    string
 	Regions []string
-	// Gates and Scheds are counted per region.
+	// Gates and Scheds are numbers of processes per region.
 	Gates, Scheds int
-	// Workers and Targets are counted over all regions.
-	Workers, Targets int
-	Room             work.Room
-	Slots            int
-	Services         []string
-	Session, Worker  time.Duration
-	Level            string
-	Options          []sched.Option
+	// Workers and Targets are numbers of VMs in all regions together.
+	Workers, Targets      int
+	Room                  work.Room
+	Slots                 int
+	Services              []string
+	SessionTTL, WorkerTTL time.Duration
+	LogLevel              string
+	Options               []sched.Option
 }
 
-// Glaze returns the deployment of Southern Glaze at today's size.
+// Glaze returns the plan of Southern Glaze's deployment at its present size.
 func Glaze() Plan {
 	return Plan{
 		Name: "glaze", Regions: []string{"hobart", "launceston", "burnie"}, Gates: 3, Scheds: 3,
 		Workers: 50, Targets: 50, Room: work.Room{Cores: 64000, Memory: 262144}, Slots: 8,
-		Services: []string{"fit", "angle"}, Session: 2 * time.Second, Worker: 6 * time.Second, Level: "error",
+		Services: []string{"fit", "angle"}, SessionTTL: 2 * time.Second, WorkerTTL: 6 * time.Second, LogLevel: "error",
 	}
 }
 
-// Bagmati returns the deployment of Bagmati at today's size.
+// Bagmati returns the plan of Bagmati's deployment at its present size.
 func Bagmati() Plan {
 	p := Glaze()
 	p.Name, p.Regions = "bagmati", []string{"kathmandu", "pokhara", "biratnagar"}
@@ -62,95 +64,98 @@
 	return p
 }
 
-// Rules returns the sample rules file of a deployment.
+// Rules returns the text of the deployment's sample rules file.
 func (p Plan) Rules() []byte {
-	text, err := files.ReadFile("rules/" + p.Name + ".toml")
+	text, err := rulesFiles.ReadFile("rules/" + p.Name + ".toml")
 	if err != nil {
 		panic(err)
 	}
 	return text
 }
 
-// Total is what the workers of a fleet hold together.
+// Total returns the room of all workers together.
 func (p Plan) Total() core.Resources {
 	n := int64(p.Workers)
 	return core.Resources{Cores: p.Room.Cores * n, Memory: p.Room.Memory * n, Accel: p.Room.Accel * n}
 }
 
-// Addresses are the addresses of a deployment's processes.
+// Addresses holds the addresses of a deployment's processes.
 type Addresses struct {
-	// Callers and Ops are those of the gates, Scheds the operators' addresses
-	// of the scheds.
+	// Callers and Ops are the callers' and the operators' addresses of the gates;
+	// Scheds are the operators' addresses of the scheds.
 	Callers, Ops, Scheds []netip.AddrPort
 }
 
 // Deployment is a running deployment.
 type Deployment struct {
-	Plan       Plan
-	Platform   *fakes.Platform
-	Workers    []*fakes.Worker
-	Targets    []*fakes.Target
-	Addresses  Addresses
-	VMs        []store.VM
-	group      *errgroup.Group
-	cancel     func()
-	platformAt netip.AddrPort
-	entries    int
+	Plan         Plan
+	Platform     *fakes.Platform
+	Workers      []*fakes.Worker
+	Targets      []*fakes.Target
+	Addresses    Addresses
+	VMs          []store.VM
+	group        *errgroup.Group
+	cancel       func()
+	platformAddr netip.AddrPort
+	processCount int
 }
 
-// zonesPerRegion is the number of data centres that a plan spreads VMs over.
+// zonesPerRegion is the number of zones over which the VMs of a region are spread.
 const zonesPerRegion = 2
 
-// Start starts a deployment on loopback.
+// Start starts a deployment on loopback. It runs until the context ends or Stop
+// is called.
 func Start(ctx context.Context, p Plan) (*Deployment, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	s := &Deployment{Plan: p, group: group, cancel: cancel, Platform: fakes.NewPlatform(ctx)}
-	if err := s.start(ctx); err != nil {
+	d := &Deployment{Plan: p, group: group, cancel: cancel, Platform: fakes.NewPlatform(ctx)}
+	if err := d.start(ctx); err != nil {
 		cancel()
 		return nil, fmt.Errorf("starting %s: %w", p.Name, err)
 	}
-	return s, nil
+	return d, nil
 }
 
-func (s *Deployment) start(ctx context.Context) error {
+// start starts the platform first, then workers and targets, then the processes
+// that call them.
+func (d *Deployment) start(ctx context.Context) error {
 	l, addr, err := listen()
 	if err != nil {
 		return err
 	}
-	s.platformAt = addr
-	s.group.Go(s.Platform.Run)
-	proc.Serve(ctx, s.group, l, s.Platform.Handler())
-	for i := range s.Plan.Workers {
-		if err := s.addWorker(ctx, i); err != nil {
+	d.platformAddr = addr
+	d.group.Go(d.Platform.Run)
+	proc.Serve(ctx, d.group, l, d.Platform.Handler())
+	for i := range d.Plan.Workers {
+		if err := d.addWorker(ctx, i); err != nil {
 			return err
 		}
 	}
-	for i := range s.Plan.Targets {
-		if err := s.addTarget(ctx, i); err != nil {
+	for i := range d.Plan.Targets {
+		if err := d.addTarget(ctx, i); err != nil {
 			return err
 		}
 	}
-	s.Platform.SetVMs(s.VMs)
-	for _, region := range s.Plan.Regions {
-		for range s.Plan.Gates {
-			if err := s.addProcess(ctx, region, core.RoleGate); err != nil {
+	d.Platform.SetVMs(d.VMs)
+	for _, region := range d.Plan.Regions {
+		for range d.Plan.Gates {
+			if err := d.addProcess(ctx, region, core.RoleGate); err != nil {
 				return err
 			}
 		}
-		for range s.Plan.Scheds {
-			if err := s.addProcess(ctx, region, core.RoleSched); err != nil {
+		for range d.Plan.Scheds {
+			if err := d.addProcess(ctx, region, core.RoleSched); err != nil {
 				return err
 			}
 		}
 	}
-	s.Platform.SetVMs(s.VMs)
+	d.Platform.SetVMs(d.VMs)
 	return nil
 }
 
 // listen binds a free loopback port.
 func listen() (net.Listener, netip.AddrPort, error) {
-	l, err := proc.Listen("site", netip.MustParseAddrPort("127.0.0.1:0"))
+	l, err := proc.Listen("deployment", netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		return nil, netip.AddrPort{}, err
 	}
@@ -158,59 +163,62 @@
 	return l, addr, err
 }
 
-// Ports for processes lie below the range from which the system takes the
-// ports of outgoing connections. They are taken from blocks; a listener on a
-// block's first port keeps it from every other process on the machine.
+// The ports of gates and scheds lie below the range from which the operating
+// system takes the ports of outgoing connections. Several test programs may run
+// on one machine: each allocates ports from blocks that it reserves by listening
+// on the first port of the block.
 const (
 	firstPort  = 12000
 	blockSize  = 250
 	blockCount = 80
 )
 
-// ports hands out the ports of the blocks that this process holds.
-type ports struct {
-	mu    sync.Mutex
-	guard []net.Listener
-	next  int
-	left  int
+// portAllocator allocates ports from the blocks that this program has reserved.
+type portAllocator struct {
+	mu sync.Mutex
+	// guards are the listeners on the first ports of the reserved blocks.
+	guards    []net.Listener
+	nextPort  int
+	portsLeft int
 }
 
-var shared ports
+var processPorts portAllocator
 
-func at(port int) netip.AddrPort {
+func loopback(port int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port))
 }
 
-// block takes the next free block.
-func (p *ports) block() error {
+// reserveBlock reserves a free block and makes its ports the next to be allocated.
+// Its search starts at a block that depends on the process ID.
+func (p *portAllocator) reserveBlock() error {
 	var err error
 	for i := range blockCount {
 		first := firstPort + (os.Getpid()+i)%blockCount*blockSize
 		var l net.Listener
-		if l, err = proc.Listen("block", at(first)); err == nil {
-			p.guard = append(p.guard, l)
-			p.next, p.left = first+1, blockSize-1
+		if l, err = proc.Listen("port block", loopback(first)); err == nil {
+			p.guards = append(p.guards, l)
+			p.nextPort, p.portsLeft = first+1, blockSize-1
 			return nil
 		}
 	}
 	return err
 }
 
-// FreeAddr returns a loopback address that is free now and that no other
-// process takes meanwhile.
+// FreeAddr returns a free loopback address. No other program on the machine gets
+// the same address from FreeAddr while this program runs.
 func FreeAddr() (netip.AddrPort, error) {
-	p := &shared
+	p := &processPorts
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
-		if p.left == 0 {
-			if err := p.block(); err != nil {
+		if p.portsLeft == 0 {
+			if err := p.reserveBlock(); err != nil {
 				return netip.AddrPort{}, err
 			}
 		}
-		addr := at(p.next)
-		p.next, p.left = p.next+1, p.left-1
-		l, err := proc.Listen("free", addr)
+		addr := loopback(p.nextPort)
+		p.nextPort, p.portsLeft = p.nextPort+1, p.portsLeft-1
+		l, err := proc.Listen("free port", addr)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
 		}
@@ -221,50 +229,52 @@
 	}
 }
 
-func (s *Deployment) region(i int) (region, zone string) {
-	region = s.Plan.Regions[i%len(s.Plan.Regions)]
-	return region, fmt.Sprintf("%s-%c", region, 'a'+(i/len(s.Plan.Regions))%zonesPerRegion)
+// regionAndZone returns the region and zone of the VM with index i.
+func (d *Deployment) regionAndZone(i int) (region, zone string) {
+	region = d.Plan.Regions[i%len(d.Plan.Regions)]
+	return region, fmt.Sprintf("%s-%c", region, 'a'+(i/len(d.Plan.Regions))%zonesPerRegion)
 }
 
-const perRack = 8
+// workersPerRack is the number of workers in each rack.
+const workersPerRack = 8
 
-func (s *Deployment) addWorker(ctx context.Context, i int) error {
+func (d *Deployment) addWorker(ctx context.Context, i int) error {
 	l, addr, err := listen()
 	if err != nil {
 		return err
 	}
-	region, zone := s.region(i)
+	region, zone := d.regionAndZone(i)
 	name := fmt.Sprintf("worker%d", i)
-	w := fakes.NewWorker(ctx, name, s.Plan.Room)
-	s.group.Go(w.Run)
-	proc.Serve(ctx, s.group, l, w.Handler())
-	s.Workers = append(s.Workers, w)
-	s.VMs = append(s.VMs, store.VM{
+	w := fakes.NewWorker(ctx, name, d.Plan.Room)
+	d.group.Go(w.Run)
+	proc.Serve(ctx, d.group, l, w.Handler())
+	d.Workers = append(d.Workers, w)
+	d.VMs = append(d.VMs, store.VM{
 		Name: name, Kind: "worker", Addr: addr.String(), Region: region, Zone: zone,
-		Rack: fmt.Sprintf("%s-r%d", region, i/len(s.Plan.Regions)/perRack), Cores: s.Plan.Room.Cores, Memory: s.Plan.Room.Memory, Accel: s.Plan.Room.Accel,
+		Rack: fmt.Sprintf("%s-r%d", region, i/len(d.Plan.Regions)/workersPerRack), Cores: d.Plan.Room.Cores, Memory: d.Plan.Room.Memory, Accel: d.Plan.Room.Accel,
 	})
 	return nil
 }
 
-func (s *Deployment) addTarget(ctx context.Context, i int) error {
+func (d *Deployment) addTarget(ctx context.Context, i int) error {
 	l, addr, err := listen()
 	if err != nil {
 		return err
 	}
-	region, zone := s.region(i)
+	region, zone := d.regionAndZone(i)
 	name := fmt.Sprintf("target%d", i)
-	t := fakes.NewTarget(ctx, name, s.Plan.Slots)
-	s.group.Go(t.Run)
-	proc.Serve(ctx, s.group, l, t.Handler())
-	s.Targets = append(s.Targets, t)
-	service := s.Plan.Services[(i/len(s.Plan.Regions))%len(s.Plan.Services)]
-	s.VMs = append(s.VMs, store.VM{
-		Name: name, Kind: "target", Addr: addr.String(), Region: region, Zone: zone, Service: service, Slots: int64(s.Plan.Slots),
+	t := fakes.NewTarget(ctx, name, d.Plan.Slots)
+	d.group.Go(t.Run)
+	proc.Serve(ctx, d.group, l, t.Handler())
+	d.Targets = append(d.Targets, t)
+	service := d.Plan.Services[(i/len(d.Plan.Regions))%len(d.Plan.Services)]
+	d.VMs = append(d.VMs, store.VM{
+		Name: name, Kind: "target", Addr: addr.String(), Region: region, Zone: zone, Service: service, Slots: int64(d.Plan.Slots),
 	})
 	return nil
 }
 
-func (s *Deployment) addProcess(ctx context.Context, region string, role core.Role) error {
+func (d *Deployment) addProcess(ctx context.Context, region string, role core.Role) error {
 	addrs := make([]netip.AddrPort, 3)
 	for i := range addrs {
 		var err error
@@ -272,44 +282,44 @@
 			return err
 		}
 	}
-	s.entries++
-	set := parse.Settings{
-		VM: fmt.Sprintf("entry%d", s.entries), Region: core.Region(region),
-		Zone: core.Zone(fmt.Sprintf("%s-%c", region, 'a'+s.entries%zonesPerRegion)), Platform: s.platformAt,
+	d.processCount++
+	settings := parse.Settings{
+		VM: fmt.Sprintf("entry%d", d.processCount), Region: core.Region(region),
+		Zone: core.Zone(fmt.Sprintf("%s-%c", region, 'a'+d.processCount%zonesPerRegion)), Platform: d.platformAddr,
 		Callers: addrs[0], Peers: addrs[1], Public: addrs[1], Ops: addrs[2], Cells: 1,
-		Session: s.Plan.Session, Worker: s.Plan.Worker, Drain: 10 * time.Second, Level: s.Plan.Level, Form: "text",
+		Session: d.Plan.SessionTTL, Worker: d.Plan.WorkerTTL, Drain: 10 * time.Second, Level: d.Plan.LogLevel, Form: "text",
 	}
-	s.VMs = append(s.VMs, store.VM{Name: set.VM, Kind: "entry", Addr: set.Peers.String(), Region: region, Zone: string(set.Zone)})
+	d.VMs = append(d.VMs, store.VM{Name: settings.VM, Kind: "entry", Addr: settings.Peers.String(), Region: region, Zone: string(settings.Zone)})
 	if role == core.RoleSched {
-		s.Addresses.Scheds = append(s.Addresses.Scheds, set.Ops)
-		s.group.Go(func() error { return proc.Sched(ctx, set, nil, s.Plan.Options...) })
+		d.Addresses.Scheds = append(d.Addresses.Scheds, settings.Ops)
+		d.group.Go(func() error { return proc.Sched(ctx, settings, nil, d.Plan.Options...) })
 		return nil
 	}
-	s.Addresses.Callers = append(s.Addresses.Callers, set.Callers)
-	s.Addresses.Ops = append(s.Addresses.Ops, set.Ops)
-	s.group.Go(func() error { return proc.Gate(ctx, set, nil) })
+	d.Addresses.Callers = append(d.Addresses.Callers, settings.Callers)
+	d.Addresses.Ops = append(d.Addresses.Ops, settings.Ops)
+	d.group.Go(func() error { return proc.Gate(ctx, settings, nil) })
 	return nil
 }
 
-// Stop ends the deployment.
-func (s *Deployment) Stop() error {
-	s.cancel()
-	return s.group.Wait()
+// Stop stops all parts of the deployment and waits until they have ended.
+func (d *Deployment) Stop() error {
+	d.cancel()
+	return d.group.Wait()
 }
 
-// WorkerRecords returns what all workers have recorded.
-func (s *Deployment) WorkerRecords() []fakes.WorkerRecord {
+// WorkerRecords returns the logs of all workers.
+func (d *Deployment) WorkerRecords() []fakes.WorkerRecord {
 	var out []fakes.WorkerRecord
-	for _, w := range s.Workers {
+	for _, w := range d.Workers {
 		out = append(out, w.Record())
 	}
 	return out
 }
 
-// TargetRecords returns what all targets have recorded.
-func (s *Deployment) TargetRecords() []fakes.TargetRecord {
+// TargetRecords returns the logs of all targets.
+func (d *Deployment) TargetRecords() []fakes.TargetRecord {
 	var out []fakes.TargetRecord
-	for _, t := range s.Targets {
+	for _, t := range d.Targets {
 		out = append(out, t.Record())
 	}
 	return out
