--- a/io/demo/caller.go
+++ b/io/demo/caller.go
@@ -1,5 +1,6 @@
-// Package demo drives a running deployment the way its users do and reports
-// what they measure: waiting time, packing and nearness to share.
+// Package demo offers requests and jobs to a running deployment as its users do.
+// It reports waiting times, packing and the deviation from fair shares, and checks
+// the invariants.
 package demo
 
 import (
@@ -21,12 +22,12 @@
 )
 
 const (
-	// clientConns bounds the idle connections that the load keeps to a gate.
-	clientConns   = 256
-	clientTimeout = 90 * time.Second
+	// maxIdleConnsPerGate bounds the idle connections of a client to each gate.
+	maxIdleConnsPerGate = 256
+	clientTimeout       = 90 * time.Second
 )
 
-// Caller sends requests and jobs to gates as the callers of one team.
+// Caller sends requests and jobs to gates with the key of one team.
 type Caller struct {
 	http  *http.Client
 	gates []netip.AddrPort
@@ -35,11 +36,11 @@
 	Key   string
 }
 
-// NewClient returns an HTTP client for many callers.
+// NewClient returns an HTTP client that many callers share.
 func NewClient() *http.Client {
 	d := &net.Dialer{Timeout: time.Second}
 	return &http.Client{Timeout: clientTimeout, Transport: &http.Transport{
-		DialContext: d.DialContext, MaxIdleConnsPerHost: clientConns, IdleConnTimeout: time.Minute,
+		DialContext: d.DialContext, MaxIdleConnsPerHost: maxIdleConnsPerGate, IdleConnTimeout: time.Minute,
 	}}
 }
 
@@ -49,19 +50,23 @@
 	Team   core.Team
 	ID     string
 	Status int
-	Run    core.Execution
-	Code   core.Code
-	Body   string
-	// Took is the time from sending to the whole answer, Work the part of it
-	// that the target was told to work.
-	Took, Work time.Duration
-	Err        error
+	// Run states whether a target executed the request.
+	Run core.Execution
+	// Code is set if the request was refused.
+	Code core.Code
+	Body string
+	// Took is the time from sending the request to the end of the answer. WorkTime
+	// is the time that the target was told to take for it.
+	Took, WorkTime time.Duration
+	// Err is set if there was no answer.
+	Err error
 }
 
-// Call sends one request through a gate.
-func (c *Caller) Call(ctx context.Context, at netip.AddrPort, queue core.Queue, id string, work time.Duration, header http.Header) Result {
-	r := Result{Queue: queue, Team: c.Team, ID: id, Work: work}
-	url := fmt.Sprintf("http://%s/call/%s/%s", at, queue, id)
+// Call sends one request to a gate. Its header Stand-Work tells the target to take
+// the given work time for it.
+func (c *Caller) Call(ctx context.Context, addr netip.AddrPort, queue core.Queue, id string, workTime time.Duration, header http.Header) Result {
+	r := Result{Queue: queue, Team: c.Team, ID: id, WorkTime: workTime}
+	url := fmt.Sprintf("http://%s/call/%s/%s", addr, queue, id)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("ask "+id))
 	if err != nil {
 		r.Err = err
@@ -72,8 +77,8 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+c.Key)
 	req.Header.Set("Request-Id", id)
-	req.Header.Set("Stand-Work", work.String())
-	began := time.Now()
+	req.Header.Set("Stand-Work", workTime.String())
+	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
 		r.Err = err
@@ -81,7 +86,7 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	r.Took = time.Since(began)
+	r.Took = time.Since(start)
 	r.Status, r.Run, r.Body, r.Err = resp.StatusCode, core.Execution(resp.Header.Get(httpx.RunHeader)), string(body), err
 	if resp.StatusCode >= http.StatusBadRequest {
 		var refusal httpx.Refusal
@@ -91,23 +96,24 @@
 	return r
 }
 
-// send sends a body and reads a JSON answer.
-func send(ctx context.Context, c *http.Client, method string, at netip.AddrPort, path, key string, body []byte, out any) error {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+at.String()+path, bytes.NewReader(body))
+// callJSON sends a request and parses the JSON answer into out. It returns a
+// *core.RefusalError if the status is 400 or above.
+func callJSON(ctx context.Context, c *http.Client, method string, addr netip.AddrPort, path, key string, body []byte, out any) error {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr.String()+path, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("building a call: %w", err)
+		return fmt.Errorf("building a request: %w", err)
 	}
 	if key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return fmt.Errorf("calling %s: %w", at, err)
+		return fmt.Errorf("calling %s: %w", addr, err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fmt.Errorf("reading the answer of %s: %w", at, err)
+		return fmt.Errorf("reading the answer of %s: %w", addr, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		var r httpx.Refusal
@@ -118,33 +124,33 @@
 		return nil
 	}
 	if err := json.Unmarshal(text, out); err != nil {
-		return fmt.Errorf("parsing the answer of %s: %w", at, err)
+		return fmt.Errorf("parsing the answer of %s: %w", addr, err)
 	}
 	return nil
 }
 
-// Submit hands in a job and returns its name.
-func (c *Caller) Submit(ctx context.Context, at netip.AddrPort, job gate.JobRequest) (string, error) {
+// Submit submits a job and returns its ID.
+func (c *Caller) Submit(ctx context.Context, addr netip.AddrPort, job gate.JobRequest) (string, error) {
 	body, err := json.Marshal(job)
 	if err != nil {
-		return "", fmt.Errorf("encoding a job: %w", err)
+		return "", fmt.Errorf("encoding a job request: %w", err)
 	}
 	var s gate.Submitted
-	err = send(ctx, c.http, http.MethodPost, at, "/jobs", c.Key, body, &s)
+	err = callJSON(ctx, c.http, http.MethodPost, addr, "/jobs", c.Key, body, &s)
 	return s.ID, err
 }
 
-// Cancel asks for the end of a job.
-func (c *Caller) Cancel(ctx context.Context, at netip.AddrPort, id string) error {
-	return send(ctx, c.http, http.MethodDelete, at, "/jobs/"+id, c.Key, nil, nil)
+// Cancel cancels a job.
+func (c *Caller) Cancel(ctx context.Context, addr netip.AddrPort, id string) error {
+	return callJSON(ctx, c.http, http.MethodDelete, addr, "/jobs/"+id, c.Key, nil, nil)
 }
 
-// Show returns a job.
-func (c *Caller) Show(ctx context.Context, at netip.AddrPort, id string) (gate.JobView, error) {
+// Show returns the state of a job.
+func (c *Caller) Show(ctx context.Context, addr netip.AddrPort, id string) (gate.JobView, error) {
 	var v gate.JobView
-	err := send(ctx, c.http, http.MethodGet, at, "/jobs/"+id, c.Key, nil, &v)
+	err := callJSON(ctx, c.http, http.MethodGet, addr, "/jobs/"+id, c.Key, nil, &v)
 	return v, err
 }
 
-// any returns one of the gates.
-func (c *Caller) any() netip.AddrPort { return c.gates[c.rng.IntN(len(c.gates))] }
+// randomGate returns the address of a gate chosen at random.
+func (c *Caller) randomGate() netip.AddrPort { return c.gates[c.rng.IntN(len(c.gates))] }
--- a/io/demo/demo.go
+++ b/io/demo/demo.go
@@ -23,165 +23,180 @@
 )
 
 const (
-	// startWait bounds the time until all processes are ready, endWait that
-	// until all work has ended.
-	startWait = 30 * time.Second
-	endWait   = 60 * time.Second
-	pollPause = 50 * time.Millisecond
+	// startTimeout bounds each step of the wait for a deployment to become ready;
+	// endTimeout bounds the wait for each job to end.
+	startTimeout = 30 * time.Second
+	endTimeout   = 60 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// TimeoutError reports a condition that did not come true in time.
+// TimeoutError reports a condition that was not met before the deadline.
 type TimeoutError struct {
-	What string
-	Last error
+	Condition string
+	// LastErr is the error of the last check of the condition.
+	LastErr error
 }
 
 // Error implements error.
-func (e *TimeoutError) Error() string { return fmt.Sprintf("timed out: %s (last: %v)", e.What, e.Last) }
+func (e *TimeoutError) Error() string {
+	return fmt.Sprintf("condition not met in time: %s (last error: %v)", e.Condition, e.LastErr)
+}
 
-// BrokenError reports invariants that did not hold.
-type BrokenError struct{ Faults []check.Violation }
+// InvariantError reports violated invariants.
+type InvariantError struct{ Violations []check.Violation }
 
 // Error implements error.
-func (e *BrokenError) Error() string {
-	return fmt.Sprintf("%d broken invariants, the first: %s", len(e.Faults), e.Faults[0])
+func (e *InvariantError) Error() string {
+	return fmt.Sprintf("%d invariant violations, the first: %s", len(e.Violations), e.Violations[0])
 }
 
-// Until waits for a condition.
-func Until(ctx context.Context, most time.Duration, what string, cond func(ctx context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// Until calls cond at intervals until cond returns nil. If the time-out or the
+// context ends before, it returns a *TimeoutError.
+func Until(ctx context.Context, timeout time.Duration, condition string, cond func(ctx context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	tick := time.NewTicker(pollPause)
-	defer tick.Stop()
-	var last error
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	var lastErr error
 	for {
-		if last = cond(ctx); last == nil {
+		if lastErr = cond(ctx); lastErr == nil {
 			return nil
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
-			return &TimeoutError{what, last}
+			return &TimeoutError{condition, lastErr}
 		}
 	}
 }
 
-// Workload is the work that a run offers.
+// Workload describes the requests and jobs that a run sends to a deployment.
 type Workload struct {
-	// Duration is how long work is offered.
+	// Duration is the time during which new requests and jobs are sent.
 	Duration time.Duration
-	// Calls offers requests, Jobs jobs.
-	Calls []RequestStream
-	Jobs  []JobStream
-	Seed  uint64
+	Calls    []RequestStream
+	Jobs     []JobStream
+	// Seed initializes the random choice of gates, work times and run times.
+	Seed uint64
 }
 
-// RequestStream is a stream of requests.
+// RequestStream describes requests that are sent at a steady rate.
 type RequestStream struct {
 	Queue core.Queue
 	Team  core.Team
-	// Every is the time between two requests; Work is how long one takes.
+	// Every is the time between two requests. Work is the mean time that the target
+	// takes for one; the times vary between 0.5 and 1.5 times the mean.
 	Every, Work time.Duration
 }
 
-// JobStream is a stream of jobs of equal tasks.
+// JobStream describes jobs of equal tasks that are submitted at a steady rate.
 type JobStream struct {
 	Queue core.Queue
 	Team  core.Team
+	// Every is the time between two jobs.
 	Every time.Duration
 	// Count is the number of tasks of one job.
 	Count  int
 	Cores  float64
 	Memory int64
-	// Run is how long a task runs; Off is by what factor the declared time may
-	// differ from it.
-	Run           time.Duration
+	// Run is the mean run time of the tasks. The run times of the jobs vary between
+	// 0.5 and 1.5 times the mean.
+	Run time.Duration
+	// EstimateError is the largest factor by which the declared run time of a job
+	// may be above or below its run time. The declared time is exact if it is 1 or
+	// less.
 	EstimateError float64
 }
 
 // submittedJob is a job that was accepted.
 type submittedJob struct {
-	id    string
-	load  JobStream
-	at    time.Time
-	tasks int
+	id          string
+	stream      JobStream
+	submittedAt time.Time
+	taskCount   int
 }
 
-// Fleet is a running deployment.
+// Fleet provides the logs of a deployment's workers and targets.
 type Fleet interface {
 	WorkerRecords() []fakes.WorkerRecord
 	TargetRecords() []fakes.TargetRecord
 }
 
-// Run is one run of a load on a deployment.
+// Run sends a workload to a deployment and collects the results.
 type Run struct {
-	fleet   Fleet
-	doors   deploy.Addresses
-	total   core.Resources
-	client  *http.Client
-	callers map[core.Team]*Caller
-	set     *rules.Set
-	mu      sync.Mutex
-	results []Result
-	jobs    []submittedJob
+	fleet    Fleet
+	addrs    deploy.Addresses
+	capacity core.Resources
+	client   *http.Client
+	callers  map[core.Team]*Caller
+	rules    *rules.Set
+	mu       sync.Mutex
+	results  []Result
+	// jobs are the accepted jobs.
+	jobs []submittedJob
+	// refused counts the refused jobs of each queue.
 	refused map[core.Queue]int
-	began   time.Time
-	ended   time.Time
+	// offerStart and offerEnd are the times between which work is offered.
+	offerStart time.Time
+	offerEnd   time.Time
 }
 
-// Open waits for a deployment, pushes its rules and grants a key to each team.
-func Open(ctx context.Context, f Fleet, doors deploy.Addresses, p deploy.Plan) (*Run, error) {
+// Open pushes the rules of a plan to a deployment and creates a key for each team.
+// It returns once every process is ready and uses this configuration.
+func Open(ctx context.Context, f Fleet, addrs deploy.Addresses, p deploy.Plan) (*Run, error) {
 	r := &Run{
-		fleet: f, doors: doors, total: p.Total(), client: NewClient(),
+		fleet: f, addrs: addrs, capacity: p.Total(), client: NewClient(),
 		callers: map[core.Team]*Caller{}, refused: map[core.Queue]int{},
 	}
-	set, err := parse.Rules(p.Name, p.Rules())
+	ruleSet, err := parse.Rules(p.Name, p.Rules())
 	if err != nil {
 		return nil, err
 	}
-	r.set = set
-	err = Until(ctx, startWait, "the operators' pages answer", func(ctx context.Context) error {
-		return send(ctx, r.client, http.MethodPost, doors.Ops[0], "/rules", "", p.Rules(), nil)
+	r.rules = ruleSet
+	err = Until(ctx, startTimeout, "a gate accepts the rules", func(ctx context.Context) error {
+		return callJSON(ctx, r.client, http.MethodPost, addrs.Ops[0], "/rules", "", p.Rules(), nil)
 	})
 	if err != nil {
 		return nil, err
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	for team := range set.Teams {
+	for team := range ruleSet.Teams {
 		var granted httpx.Pushed
-		err := Until(ctx, startWait, "a key is granted", func(ctx context.Context) error {
-			return send(ctx, r.client, http.MethodPost, doors.Ops[0], "/keys?team="+string(team), "", nil, &granted)
+		err := Until(ctx, startTimeout, "a gate grants a key", func(ctx context.Context) error {
+			return callJSON(ctx, r.client, http.MethodPost, addrs.Ops[0], "/keys?team="+string(team), "", nil, &granted)
 		})
 		if err != nil {
 			return nil, err
 		}
-		r.callers[team] = &Caller{http: r.client, gates: doors.Callers, rng: rng, Team: team, Key: granted.Key}
+		r.callers[team] = &Caller{http: r.client, gates: addrs.Callers, rng: rng, Team: team, Key: granted.Key}
 	}
-	return r, r.await(ctx)
+	return r, r.waitReady(ctx)
 }
 
-// Caller returns the callers of a team.
+// Caller returns the caller of a team.
 func (r *Run) Caller(t core.Team) *Caller { return r.callers[t] }
 
-// AddResult adds a request that was sent outside of a load to the run's checks.
+// AddResult adds the result of a request to those that Summary and Violations
+// use. Tests call it for requests that they send themselves.
 func (r *Run) AddResult(res Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, res)
 }
 
-// await waits until every process runs the newest configuration.
-func (r *Run) await(ctx context.Context) error {
-	for _, at := range append(append([]netip.AddrPort{}, r.doors.Ops...), r.doors.Scheds...) {
-		err := Until(ctx, startWait, "every process is ready", func(ctx context.Context) error {
+// waitReady waits until every process is ready and has the rules and all keys. The
+// rules and each team's key add one version each to the configuration.
+func (r *Run) waitReady(ctx context.Context) error {
+	for _, addr := range append(append([]netip.AddrPort{}, r.addrs.Ops...), r.addrs.Scheds...) {
+		err := Until(ctx, startTimeout, "all processes are ready", func(ctx context.Context) error {
 			var c httpx.Config
-			if err := send(ctx, r.client, http.MethodGet, at, "/config", "", nil, &c); err != nil {
+			if err := callJSON(ctx, r.client, http.MethodGet, addr, "/config", "", nil, &c); err != nil {
 				return err
 			}
-			if int(c.Lowest) < len(r.set.Teams)+1 {
-				return &TimeoutError{What: "configuration"}
+			if int(c.Lowest) < len(r.rules.Teams)+1 {
+				return &TimeoutError{Condition: "all processes have the newest configuration"}
 			}
-			return send(ctx, r.client, http.MethodGet, at, "/ready", "", nil, nil)
+			return callJSON(ctx, r.client, http.MethodGet, addr, "/ready", "", nil, nil)
 		})
 		if err != nil {
 			return err
@@ -190,45 +205,53 @@
 	return nil
 }
 
-// RunWorkload offers a load and waits until all of its work has ended.
-func (r *Run) RunWorkload(ctx context.Context, l Workload) error {
-	if err := r.Submit(ctx, l); err != nil {
+// RunWorkload sends a workload and waits until its requests are answered and its
+// jobs have ended.
+func (r *Run) RunWorkload(ctx context.Context, w Workload) error {
+	if err := r.Submit(ctx, w); err != nil {
 		return err
 	}
 	return r.WaitJobs(ctx)
 }
 
-// Submit offers a load and waits until all of its requests are answered.
-func (r *Run) Submit(ctx context.Context, l Workload) error {
-	r.began = time.Now()
+// Submit sends a workload and waits until its requests are answered, but not until
+// its jobs have ended.
+func (r *Run) Submit(ctx context.Context, w Workload) error {
+	r.offerStart = time.Now()
 	group, gctx := errgroup.WithContext(ctx)
-	for i, c := range l.Calls {
-		group.Go(func() error { r.stream(gctx, c, l.Duration, rand.New(rand.NewPCG(l.Seed, uint64(i)))); return nil })
+	for i, stream := range w.Calls {
+		group.Go(func() error {
+			r.sendRequests(gctx, stream, w.Duration, rand.New(rand.NewPCG(w.Seed, uint64(i))))
+			return nil
+		})
 	}
-	for i, j := range l.Jobs {
-		group.Go(func() error { return r.submits(gctx, j, l.Duration, rand.New(rand.NewPCG(l.Seed, uint64(1000+i)))) })
+	for i, stream := range w.Jobs {
+		group.Go(func() error {
+			return r.submitJobs(gctx, stream, w.Duration, rand.New(rand.NewPCG(w.Seed, uint64(1000+i))))
+		})
 	}
 	err := group.Wait()
-	r.ended = time.Now()
+	r.offerEnd = time.Now()
 	return err
 }
 
-// stream sends requests at a steady rate, each on a goroutine of its own.
-func (r *Run) stream(ctx context.Context, l RequestStream, most time.Duration, rng *rand.Rand) {
-	tick := time.NewTicker(l.Every)
-	defer tick.Stop()
+// sendRequests sends the requests of a stream, each on a goroutine of its own, and
+// waits for the answers.
+func (r *Run) sendRequests(ctx context.Context, s RequestStream, duration time.Duration, rng *rand.Rand) {
+	ticker := time.NewTicker(s.Every)
+	defer ticker.Stop()
 	group, ctx := errgroup.WithContext(ctx)
-	c := r.callers[l.Team]
-	for n := 0; time.Since(r.began) < most; n++ {
-		at := r.doors.Callers[rng.IntN(len(r.doors.Callers))]
-		work := time.Duration((0.5 + rng.Float64()) * float64(l.Work))
-		id := fmt.Sprintf("%s-%s-%d", l.Queue, l.Team, n)
+	c := r.callers[s.Team]
+	for n := 0; time.Since(r.offerStart) < duration; n++ {
+		gateAddr := r.addrs.Callers[rng.IntN(len(r.addrs.Callers))]
+		workTime := time.Duration((0.5 + rng.Float64()) * float64(s.Work))
+		id := fmt.Sprintf("%s-%s-%d", s.Queue, s.Team, n)
 		group.Go(func() error {
-			r.AddResult(c.Call(ctx, at, l.Queue, id, work, nil))
+			r.AddResult(c.Call(ctx, gateAddr, s.Queue, id, workTime, nil))
 			return nil
 		})
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
@@ -236,16 +259,17 @@
 	_ = group.Wait()
 }
 
-func (r *Run) submits(ctx context.Context, l JobStream, most time.Duration, rng *rand.Rand) error {
-	tick := time.NewTicker(l.Every)
-	defer tick.Stop()
-	for time.Since(r.began) < most {
-		at := r.doors.Callers[rng.IntN(len(r.doors.Callers))]
-		if err := r.submit(ctx, at, l, rng); err != nil {
+// submitJobs submits the jobs of a stream.
+func (r *Run) submitJobs(ctx context.Context, s JobStream, duration time.Duration, rng *rand.Rand) error {
+	ticker := time.NewTicker(s.Every)
+	defer ticker.Stop()
+	for time.Since(r.offerStart) < duration {
+		gateAddr := r.addrs.Callers[rng.IntN(len(r.addrs.Callers))]
+		if err := r.submitJob(ctx, gateAddr, s, rng); err != nil {
 			return err
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -253,42 +277,43 @@
 	return nil
 }
 
-func (r *Run) submit(ctx context.Context, at netip.AddrPort, l JobStream, rng *rand.Rand) error {
-	off := 1.0
-	if l.EstimateError > 1 {
-		off = 1 / l.EstimateError * pow(l.EstimateError*l.EstimateError, rng.Float64())
+// submitJob submits one job. A refusal is counted and is not an error.
+func (r *Run) submitJob(ctx context.Context, gateAddr netip.AddrPort, s JobStream, rng *rand.Rand) error {
+	estimateFactor := 1.0
+	if s.EstimateError > 1 {
+		estimateFactor = 1 / s.EstimateError * pow(s.EstimateError*s.EstimateError, rng.Float64())
 	}
-	run := time.Duration((0.5 + rng.Float64()) * float64(l.Run))
-	job := gate.JobRequest{Queue: string(l.Queue), Tasks: []gate.TaskRequest{{
-		Count: l.Count, Cores: l.Cores, Memory: l.Memory,
-		Run: time.Duration(float64(run) * off).Round(time.Millisecond).String(), Command: "sleep " + run.String(),
+	runTime := time.Duration((0.5 + rng.Float64()) * float64(s.Run))
+	job := gate.JobRequest{Queue: string(s.Queue), Tasks: []gate.TaskRequest{{
+		Count: s.Count, Cores: s.Cores, Memory: s.Memory,
+		Run: time.Duration(float64(runTime) * estimateFactor).Round(time.Millisecond).String(), Command: "sleep " + runTime.String(),
 	}}}
-	began := time.Now()
-	id, err := r.callers[l.Team].Submit(ctx, at, job)
+	submittedAt := time.Now()
+	id, err := r.callers[s.Team].Submit(ctx, gateAddr, job)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.refused[l.Queue]++
+		r.refused[s.Queue]++
 		return nil
 	}
-	r.jobs = append(r.jobs, submittedJob{id, l, began, l.Count})
+	r.jobs = append(r.jobs, submittedJob{id, s, submittedAt, s.Count})
 	return nil
 }
 
-// WaitJobs waits until every accepted job has ended.
+// WaitJobs waits until all accepted jobs have ended, except those of daemon queues.
 func (r *Run) WaitJobs(ctx context.Context) error {
 	for _, j := range r.jobs {
-		if r.set.Queues[j.load.Queue].Kind == rules.Daemon {
+		if r.rules.Queues[j.stream.Queue].Kind == rules.Daemon {
 			continue
 		}
-		c := r.callers[j.load.Team]
-		err := Until(ctx, endWait, "job "+j.id+" ends", func(ctx context.Context) error {
-			v, err := c.Show(ctx, c.any(), j.id)
+		c := r.callers[j.stream.Team]
+		err := Until(ctx, endTimeout, "job "+j.id+" ends", func(ctx context.Context) error {
+			v, err := c.Show(ctx, c.randomGate(), j.id)
 			if err != nil {
 				return err
 			}
 			if v.State != "done" {
-				return &TimeoutError{What: fmt.Sprintf("state %s, %d of %d done", v.State, v.Done, v.Tasks)}
+				return &TimeoutError{Condition: fmt.Sprintf("state done (now %s, %d of %d tasks done)", v.State, v.Done, v.Tasks)}
 			}
 			return nil
 		})
@@ -299,78 +324,79 @@
 	return nil
 }
 
-// Violations returns every broken invariant of the run.
+// Violations returns all violations of invariants during the run.
 func (r *Run) Violations() []check.Violation {
-	limits, calls := map[core.Team]int64{}, map[core.Team]int64{}
-	for name, t := range r.set.Teams {
-		limits[name], calls[name] = t.Cores, t.Slots
+	coreLimits, requestLimits := map[core.Team]int64{}, map[core.Team]int64{}
+	for name, t := range r.rules.Teams {
+		coreLimits[name], requestLimits[name] = t.Cores, t.Slots
 	}
 	log := check.NewLog(r.fleet.WorkerRecords())
-	faults := log.Violations(limits)
-	once := core.NewSet[string]()
+	violations := log.Violations(coreLimits)
+	notRepeatable := core.NewSet[string]()
 	for _, res := range r.results {
-		if !r.set.Queues[res.Queue].Repeat {
-			once.Add(res.ID)
+		if !r.rules.Queues[res.Queue].Repeat {
+			notRepeatable.Add(res.ID)
 		}
 	}
 	targets := r.fleet.TargetRecords()
-	faults = append(faults, check.Targets(targets, once)...)
-	faults = append(faults, check.Calls(targets, calls)...)
+	violations = append(violations, check.Targets(targets, notRepeatable)...)
+	violations = append(violations, check.Calls(targets, requestLimits)...)
 	done := log.Done()
 	for _, j := range r.jobs {
-		for i := range j.tasks {
+		for i := range j.taskCount {
 			id := core.TaskID{Job: core.JobID(j.id), Index: i}.String()
-			if !done.Has(id) && r.set.Queues[j.load.Queue].Kind != rules.Daemon {
-				faults = append(faults, check.Violation{Invariant: check.Lost, What: "task " + id, At: j.at})
+			if !done.Has(id) && r.rules.Queues[j.stream.Queue].Kind != rules.Daemon {
+				violations = append(violations, check.Violation{Invariant: check.Lost, What: "task " + id, At: j.submittedAt})
 			}
 		}
 	}
-	return faults
+	return violations
 }
 
-// Show runs the demonstration of one deployment and prints its tables.
-func Show(ctx context.Context, out io.Writer, p deploy.Plan, l Workload) error {
+// Show starts a deployment, runs a workload on it and prints the report. It returns
+// an *InvariantError if an invariant was violated.
+func Show(ctx context.Context, out io.Writer, p deploy.Plan, w Workload) error {
 	fmt.Fprintf(out, "%s: starting %d gates, %d scheds, %d workers, %d targets\n", p.Name,
 		p.Gates*len(p.Regions), p.Scheds*len(p.Regions), p.Workers, p.Targets)
-	s, err := deploy.Start(ctx, p)
+	d, err := deploy.Start(ctx, p)
 	if err != nil {
 		return err
 	}
-	r, err := Open(ctx, s, s.Addresses, p)
+	r, err := Open(ctx, d, d.Addresses, p)
 	if err == nil {
-		fmt.Fprintf(out, "%s: rules and keys are in force; offering work for %s\n", p.Name, l.Duration)
-		err = r.RunWorkload(ctx, l)
+		fmt.Fprintf(out, "%s: all processes are ready; sending requests and jobs for %s\n", p.Name, w.Duration)
+		err = r.RunWorkload(ctx, w)
 	}
 	if err != nil {
-		_ = s.Stop()
+		_ = d.Stop()
 		return err
 	}
 	r.Report(out)
-	faults := r.Violations()
-	if err := s.Stop(); err != nil {
+	violations := r.Violations()
+	if err := d.Stop(); err != nil {
 		return err
 	}
-	if len(faults) > 0 {
-		return &BrokenError{faults}
+	if len(violations) > 0 {
+		return &InvariantError{violations}
 	}
-	fmt.Fprintf(out, "%s: every invariant held\n\n", p.Name)
+	fmt.Fprintf(out, "%s: no invariant was violated\n\n", p.Name)
 	return nil
 }
 
-// AcceptedIn returns the names of the accepted jobs of a queue.
+// AcceptedIn returns the IDs of the accepted jobs of a queue.
 func (r *Run) AcceptedIn(q core.Queue) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
 	for _, j := range r.jobs {
-		if j.load.Queue == q {
+		if j.stream.Queue == q {
 			out = append(out, j.id)
 		}
 	}
 	return out
 }
 
-// Results returns the answers to all requests so far.
+// Results returns the results of all requests so far.
 func (r *Run) Results() []Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/io/demo/fairness.go
+++ b/io/demo/fairness.go
@@ -8,44 +8,46 @@
 	"chicoryturn/io/check"
 )
 
-// Nearness is how far teams were from what they were owed, as a fraction of
-// all core time in use.
-type Nearness struct {
+// ShareDeviation is the difference between the core time that teams used and
+// their fair core time, as a fraction of the core time of all teams.
+type ShareDeviation struct {
 	Mean, Largest float64
-	// Team is the one that was furthest away.
+	// Team is the team with the largest difference.
 	Team core.Team
 }
 
-// Nearness compares, over windows, what each team got with its max-min fair
-// part: its share of what was in use, but no more than it asked for.
-func (r *Run) Nearness(window time.Duration) Nearness {
+// Nearness compares, in each window of time, the core time that each team used
+// with its max-min fair part of all core time used. The fair part is proportional
+// to the team's share and at most the team's demand: the core time that its tasks
+// used plus the core time for which they waited.
+func (r *Run) Nearness(window time.Duration) ShareDeviation {
 	log := check.NewLog(r.fleet.WorkerRecords())
 	starts := log.Starts()
-	var out Nearness
+	var out ShareDeviation
 	sum, count := 0.0, 0
-	for from := r.began; from.Add(window).Before(r.ended) || from.Equal(r.began); from = from.Add(window) {
+	for from := r.offerStart; from.Add(window).Before(r.offerEnd) || from.Equal(r.offerStart); from = from.Add(window) {
 		to := from.Add(window)
-		got := map[core.Team]float64{}
-		asked := map[core.Team]float64{}
+		used := map[core.Team]float64{}
+		demand := map[core.Team]float64{}
 		for team, use := range log.Use(from, to) {
-			got[team] = float64(use.Cores)
-			asked[team] = float64(use.Cores)
+			used[team] = float64(use.Cores)
+			demand[team] = float64(use.Cores)
 		}
-		r.waiting(starts, from, to, asked)
+		r.addWaitingDemand(starts, from, to, demand)
 		total := 0.0
-		for _, n := range got {
+		for _, n := range used {
 			total += n
 		}
 		if total == 0 {
 			continue
 		}
-		owed := r.fair(total, asked)
-		for team := range asked {
-			d := math.Abs(got[team]-owed[team]) / total
-			sum += d
+		fair := r.fairUse(total, demand)
+		for team := range demand {
+			deviation := math.Abs(used[team]-fair[team]) / total
+			sum += deviation
 			count++
-			if d > out.Largest {
-				out.Largest, out.Team = d, team
+			if deviation > out.Largest {
+				out.Largest, out.Team = deviation, team
 			}
 		}
 	}
@@ -55,54 +57,55 @@
 	return out
 }
 
-// waiting adds the core time of tasks that waited within a window.
-func (r *Run) waiting(starts map[string]time.Time, from, to time.Time, asked map[core.Team]float64) {
+// addWaitingDemand adds to each team's demand the cores of its waiting tasks times
+// the time that they waited within a window.
+func (r *Run) addWaitingDemand(starts map[string]time.Time, from, to time.Time, demand map[core.Team]float64) {
 	for _, j := range r.jobs {
-		for i := range j.tasks {
+		for i := range j.taskCount {
 			until, ok := starts[core.TaskID{Job: core.JobID(j.id), Index: i}.String()]
 			if !ok || until.After(to) {
 				until = to
 			}
-			began := j.at
-			if began.Before(from) {
-				began = from
+			since := j.submittedAt
+			if since.Before(from) {
+				since = from
 			}
-			if s := until.Sub(began).Seconds(); s > 0 {
-				asked[j.load.Team] += j.load.Cores * 1000 * s
+			if s := until.Sub(since).Seconds(); s > 0 {
+				demand[j.stream.Team] += j.stream.Cores * 1000 * s
 			}
 		}
 	}
 }
 
-// fair divides total by the shares in the rules, giving no team more than it
-// asked for.
-func (r *Run) fair(total float64, asked map[core.Team]float64) map[core.Team]float64 {
+// fairUse divides a total by the teams' shares and gives no team more than its
+// demand. What one team does not need is divided among the others.
+func (r *Run) fairUse(total float64, demand map[core.Team]float64) map[core.Team]float64 {
 	out := map[core.Team]float64{}
-	open := core.NewSet[core.Team]()
-	for t := range asked {
-		open.Add(t)
+	unsatisfied := core.NewSet[core.Team]()
+	for t := range demand {
+		unsatisfied.Add(t)
 	}
-	for len(open) > 0 && total > 1e-9 {
+	for len(unsatisfied) > 0 && total > 1e-9 {
 		shares := 0.0
-		for t := range open {
-			shares += r.set.Teams[t].Share
+		for t := range unsatisfied {
+			shares += r.rules.Teams[t].Share
 		}
 		if shares == 0 {
 			break
 		}
-		given, full := 0.0, false
-		for t := range open {
-			part := total * r.set.Teams[t].Share / shares
-			if left := asked[t] - out[t]; part >= left {
-				given += left
-				out[t] = asked[t]
-				delete(open, t)
-				full = true
+		given, satisfiedAny := 0.0, false
+		for t := range unsatisfied {
+			part := total * r.rules.Teams[t].Share / shares
+			if missing := demand[t] - out[t]; part >= missing {
+				given += missing
+				out[t] = demand[t]
+				delete(unsatisfied, t)
+				satisfiedAny = true
 			}
 		}
-		if !full {
-			for t := range open {
-				out[t] += total * r.set.Teams[t].Share / shares
+		if !satisfiedAny {
+			for t := range unsatisfied {
+				out[t] += total * r.rules.Teams[t].Share / shares
 			}
 			break
 		}
@@ -111,11 +114,11 @@
 	return out
 }
 
-// Waits returns the waiting times of a queue at two percentiles.
+// Waits returns two percentiles, low and high, of a queue's waiting times.
 func (s *Summary) Waits(q core.Queue, low, high float64) (atLow, atHigh time.Duration) {
 	w := s.Queues[q]
 	if w == nil {
 		return 0, 0
 	}
-	return w.at(low), w.at(high)
+	return w.percentile(low), w.percentile(high)
 }
--- a/io/demo/report.go
+++ b/io/demo/report.go
@@ -15,116 +15,126 @@
 )
 
 const (
-	histMax    = int64(10 * time.Minute / time.Microsecond)
+	// histMax is the largest waiting time in a histogram, in microseconds.
+	histMax = int64(10 * time.Minute / time.Microsecond)
+	// histDigits is the number of significant digits of a histogram.
 	histDigits = 3
 )
 
 func pow(base, exp float64) float64 { return math.Pow(base, exp) }
 
-// waits gathers the waiting times of one queue.
-type waits struct {
+// waitStats holds the waiting times of one queue and counts its requests and
+// tasks.
+type waitStats struct {
 	count, refused int
-	hist           *hdrhistogram.Histogram
+	// hist holds waiting times in microseconds.
+	hist *hdrhistogram.Histogram
 }
 
-func (w *waits) add(d time.Duration) {
-	// A time beyond the histogram's range is counted at its end.
+func (w *waitStats) add(d time.Duration) {
+	// A time outside the histogram's range is recorded as its nearest bound.
 	_ = w.hist.RecordValue(min(max(int64(d/time.Microsecond), 0), histMax))
 }
 
-func (w *waits) at(percent float64) time.Duration {
-	return time.Duration(w.hist.ValueAtQuantile(percent)) * time.Microsecond
+func (w *waitStats) percentile(p float64) time.Duration {
+	return time.Duration(w.hist.ValueAtQuantile(p)) * time.Microsecond
 }
 
-// Summary is what a run has measured.
+// Summary holds the measurements of a run.
 type Summary struct {
-	Queues map[core.Queue]*waits
+	Queues map[core.Queue]*waitStats
 	Teams  map[core.Team]TeamSummary
-	// Packing is the part of all cores and memory in use while work was
-	// offered.
+	// PackCores and PackMemory are the fractions of the workers' cores and memory
+	// that were in use while work was offered.
 	PackCores, PackMemory float64
-	Tasks                 int
+	// Tasks is the number of tasks of all accepted jobs.
+	Tasks int
 }
 
-// TeamSummary is what a team was owed and got.
+// TeamSummary compares a team's share with its use.
 type TeamSummary struct {
-	// Owed is the team's share, Got its part of all core time in use.
-	Owed, Got float64
-	Limit     int64
+	// Share is the team's share in the rules, Used its fraction of all core time
+	// used.
+	Share, Used float64
+	// CoreLimit is in thousandths of a core.
+	CoreLimit int64
 }
 
-func (s *Summary) queue(q core.Queue) *waits {
+// statsOf returns the statistics of a queue and creates them if needed.
+func (s *Summary) statsOf(q core.Queue) *waitStats {
 	w := s.Queues[q]
 	if w == nil {
-		w = &waits{hist: hdrhistogram.New(1, histMax, histDigits)}
+		w = &waitStats{hist: hdrhistogram.New(1, histMax, histDigits)}
 		s.Queues[q] = w
 	}
 	return w
 }
 
-// Summary works out the measures of a run.
+// Summary computes the measurements of the run. The waiting time of a request is
+// its duration without the work time; that of a task ends at its first start.
 func (r *Run) Summary() *Summary {
-	s := &Summary{Queues: map[core.Queue]*waits{}, Teams: map[core.Team]TeamSummary{}}
+	s := &Summary{Queues: map[core.Queue]*waitStats{}, Teams: map[core.Team]TeamSummary{}}
 	for _, res := range r.results {
-		w := s.queue(res.Queue)
+		w := s.statsOf(res.Queue)
 		w.count++
 		if res.Err != nil || res.Status >= 400 {
 			w.refused++
 			continue
 		}
-		w.add(res.Took - res.Work)
+		w.add(res.Took - res.WorkTime)
 	}
 	log := check.NewLog(r.fleet.WorkerRecords())
 	starts := log.Starts()
 	for _, j := range r.jobs {
-		w := s.queue(j.load.Queue)
-		for i := range j.tasks {
+		w := s.statsOf(j.stream.Queue)
+		for i := range j.taskCount {
 			w.count++
 			s.Tasks++
-			if at, ok := starts[core.TaskID{Job: core.JobID(j.id), Index: i}.String()]; ok {
-				w.add(at.Sub(j.at))
+			if startedAt, ok := starts[core.TaskID{Job: core.JobID(j.id), Index: i}.String()]; ok {
+				w.add(startedAt.Sub(j.submittedAt))
 			}
 		}
 	}
 	for q, n := range r.refused {
-		s.queue(q).refused += n
+		s.statsOf(q).refused += n
 	}
-	r.teams(s, log)
+	r.addTeams(s, log)
 	return s
 }
 
-func (r *Run) teams(s *Summary, log *check.Log) {
-	use := log.Use(r.began, r.ended)
+// addTeams computes the packing and the teams' use.
+func (r *Run) addTeams(s *Summary, log *check.Log) {
+	useByTeam := log.Use(r.offerStart, r.offerEnd)
 	sum := core.Resources{}
-	for _, u := range use {
-		sum = sum.Add(u)
+	for _, use := range useByTeam {
+		sum = sum.Add(use)
 	}
-	span := r.ended.Sub(r.began).Seconds()
-	s.PackCores = float64(sum.Cores) / (float64(r.total.Cores) * span)
-	s.PackMemory = float64(sum.Memory) / (float64(r.total.Memory) * span)
-	for name, t := range r.set.Teams {
-		got := 0.0
+	span := r.offerEnd.Sub(r.offerStart).Seconds()
+	s.PackCores = float64(sum.Cores) / (float64(r.capacity.Cores) * span)
+	s.PackMemory = float64(sum.Memory) / (float64(r.capacity.Memory) * span)
+	for name, t := range r.rules.Teams {
+		used := 0.0
 		if sum.Cores > 0 {
-			got = float64(use[name].Cores) / float64(sum.Cores)
+			used = float64(useByTeam[name].Cores) / float64(sum.Cores)
 		}
-		s.Teams[name] = TeamSummary{t.Share / 100, got, t.Cores}
+		s.Teams[name] = TeamSummary{t.Share / 100, used, t.Cores}
 	}
 }
 
-// Report prints the measures of a run.
+// Report prints the measurements of the run as tables.
 func (r *Run) Report(out io.Writer) {
 	s := r.Summary()
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "rule\tkind\tcount\trefused\twait p50\twait p99\t")
+	fmt.Fprintln(t, "queue\tkind\tcount\trefused\twait p50\twait p99\t")
 	for _, q := range sortedKeys(s.Queues) {
 		w := s.Queues[q]
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\t\n", q, r.set.Queues[q].Kind, w.count, w.refused, round(w.at(50)), round(w.at(99)))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\t\n", q, r.rules.Queues[q].Kind, w.count, w.refused, round(w.percentile(50)), round(w.percentile(99)))
 	}
 	fmt.Fprintln(t, "\t\t\t\t\t\t")
-	fmt.Fprintln(t, "team\tshare owed\tshare got\tlimit (cores)\t\t\t")
+	fmt.Fprintln(t, "team\tshare\tused\tlimit (cores)\t\t\t")
 	for _, name := range sortedKeys(s.Teams) {
 		v := s.Teams[name]
-		fmt.Fprintf(t, "%s\t%.0f%%\t%.0f%%\t%g\t\t\t\n", name, v.Owed*100, v.Got*100, float64(v.Limit)/1000)
+		fmt.Fprintf(t, "%s\t%.0f%%\t%.0f%%\t%g\t\t\t\n", name, v.Share*100, v.Used*100, float64(v.CoreLimit)/1000)
 	}
 	_ = t.Flush()
 	fmt.Fprintf(out, "packing while work was offered: %.0f%% of cores, %.0f%% of memory; %d tasks\n",
@@ -147,7 +157,8 @@
 	return out
 }
 
-// Refused counts the requests and jobs that were not served, by queue.
+// Refused returns the number of refused or failed requests and refused jobs of
+// each queue that had any.
 func (r *Run) Refused() map[core.Queue]int {
 	out := map[core.Queue]int{}
 	for q, w := range r.Summary().Queues {
