--- a/io/deploy/deployment.go
+++ b/io/deploy/deployment.go
@@ -37,13 +37,19 @@
 	// Gates and Scheds are numbers of processes per region.
 	Gates, Scheds int
 	// Workers and Targets are numbers of VMs in all regions together.
-	Workers, Targets      int
-	Room                  work.Room
-	Slots                 int
-	Services              []string
+	Workers, Targets int
+	// Room is the room of each worker.
+	Room work.Room
+	// Slots is the number of slots of each target.
+	Slots int
+	// Services are assigned to the targets in turn.
+	Services []string
+	// SessionTTL and WorkerTTL are the durations of the leases of processes and
+	// workers.
 	SessionTTL, WorkerTTL time.Duration
 	LogLevel              string
-	Options               []sched.Option
+	// Options are passed to each sched.
+	Options []sched.Option
 }
 
 // Glaze returns the plan of Southern Glaze's deployment at its present size.
--- a/io/fakes/platform.go
+++ b/io/fakes/platform.go
@@ -27,8 +27,8 @@
 	Down bool `json:"down"`
 	// Delay is the duration by which every answer is delayed; empty means none.
 	Delay string `json:"delay"`
-	// Lose is the number of coming writes that are applied but whose connection
-	// is closed without an answer.
+	// Lose is a number of writes: the next ones are applied, but their connections
+	// are closed without an answer.
 	Lose int `json:"lose"`
 }
 
@@ -86,29 +86,29 @@
 
 // Handle implements loop.Handler.
 func (p *Platform) Handle(_ time.Time, m loop.Message) {
-	q, ok := m.(request)
+	req, ok := m.(request)
 	if !ok {
 		return
 	}
 	switch {
-	case q.isAdmin:
-		q.reply <- q.do(p)
+	case req.isAdmin:
+		req.reply <- req.do(p)
 		return
 	case p.faults.Down:
-		q.reply <- reply{status: http.StatusServiceUnavailable, delay: p.delay}
+		req.reply <- reply{status: http.StatusServiceUnavailable, delay: p.delay}
 		return
-	case q.isWrite:
+	case req.isWrite:
 		p.writes++
 	default:
 		p.reads++
 	}
-	r := q.do(p)
+	r := req.do(p)
 	r.delay = p.delay
-	if q.isWrite && p.faults.Lose > 0 {
+	if req.isWrite && p.faults.Lose > 0 {
 		p.faults.Lose--
 		r.connectionLost = true
 	}
-	q.reply <- r
+	req.reply <- r
 }
 
 // Wake implements loop.Handler.
@@ -133,6 +133,7 @@
 // control goroutine.
 type parseFunc func(r *http.Request, body []byte) func(p *Platform) reply
 
+// handle returns the HTTP handler of one kind of call.
 func (p *Platform) handle(isWrite, isAdmin bool, parse parseFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -180,6 +181,8 @@
 	return func(p *Platform) reply { return reply{value: p.apply(t)} }
 }
 
+// apply writes and deletes rows if all checked rows have the expected versions;
+// otherwise it returns the conflicting rows.
 func (p *Platform) apply(t store.Txn) store.Answer {
 	var a store.Answer
 	for _, c := range t.Checks {
@@ -292,8 +295,8 @@
 }
 
 // PlatformCounts holds the platform's counters and its number of rows. Writes and
-// Reads leave out the calls that were answered with status 503 and the calls to
-// /stand/, by which tests control the platform.
+// Reads do not count calls that were answered with status 503, nor calls to
+// /stand/, with which tests control the platform.
 type PlatformCounts struct {
 	Writes uint64 `json:"writes"`
 	Reads  uint64 `json:"reads"`
--- a/io/fakes/proxy.go
+++ b/io/fakes/proxy.go
@@ -34,6 +34,7 @@
 	Half bool `json:"half"`
 }
 
+// linkState is the current faults of a link with the delay parsed.
 type linkState struct {
 	LinkFaults
 	delay time.Duration
@@ -50,6 +51,7 @@
 	forwarded atomic.Int64
 }
 
+// proxyBufferSize is the largest number of bytes that are forwarded at once.
 const proxyBufferSize = 32 << 10
 
 // NewProxy returns a proxy for the server at addr, without faults.
@@ -118,8 +120,8 @@
 	return group.Wait()
 }
 
-// forward connects to the server and copies data in both directions. When one
-// direction fails, it closes both connections.
+// forward connects to the server and copies data in both directions. If the first
+// direction to end has failed, it closes both connections, which ends the other.
 func (p *Proxy) forward(ctx context.Context, in net.Conn) {
 	defer in.Close()
 	if !p.waitUnblocked(ctx, func(s *linkState) bool { return s.Cut }) {
--- a/io/fakes/target.go
+++ b/io/fakes/target.go
@@ -32,9 +32,9 @@
 
 // Target fakes a VM that answers requests. It records when there are more
 // requests in flight than slots, but does not refuse any. The request header
-// Stand-Work sets how long a request takes. Stand-Break breaks the answer: close
-// sends nothing, half sends half of the body with the length of the whole, and
-// chunk sends half of a chunked body.
+// Stand-Work sets how long a request takes. Stand-Break makes the target close the
+// connection early: "close" before the answer, "half" after half of a body whose
+// Content-Length was sent, "chunk" after half of a chunked body.
 type Target struct {
 	loop     *loop.Loop
 	name     string
