--- a/io/check/check.go
+++ b/io/check/check.go
@@ -35,16 +35,16 @@
 
 // Log is all task events of a run in order of time.
 type Log struct {
-	events []fakes.TaskRecord
-	rooms  map[string]core.Resources
+	events   []fakes.TaskRecord
+	capacity map[string]core.Resources
 }
 
 // NewLog merges the records of all workers.
 func NewLog(workers []fakes.WorkerRecord) *Log {
-	l := &Log{rooms: map[string]core.Resources{}}
+	l := &Log{capacity: map[string]core.Resources{}}
 	for _, w := range workers {
 		for _, r := range w.Records {
-			l.rooms[r.Worker] = w.Room.Core()
+			l.capacity[r.Worker] = w.Room.Core()
 			l.events = append(l.events, r)
 		}
 	}
@@ -83,8 +83,8 @@
 		}
 		where[e.Task] = e.Worker
 		used[e.Worker] = used[e.Worker].Add(need)
-		if !used[e.Worker].Fits(l.rooms[e.Worker]) {
-			out = append(out, Violation{Room, fmt.Sprintf("%s holds %+v of %+v", e.Worker, used[e.Worker], l.rooms[e.Worker]), e.At})
+		if !used[e.Worker].Fits(l.capacity[e.Worker]) {
+			out = append(out, Violation{Room, fmt.Sprintf("%s holds %+v of %+v", e.Worker, used[e.Worker], l.capacity[e.Worker]), e.At})
 		}
 		team[e.Team] += need.Cores
 		if most, ok := limits[core.Team(e.Team)]; ok && team[e.Team] > most {
--- a/io/check/check_test.go
+++ b/io/check/check_test.go
@@ -12,31 +12,31 @@
 	"chicoryturn/io/work"
 )
 
-var zero = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
 
-func record(worker, task, team, event string, cores int64, at int) fakes.TaskRecord {
-	return fakes.TaskRecord{Worker: worker, Task: task, Team: team, Need: work.Room{Cores: cores}, Event: event, At: zero.Add(time.Duration(at) * time.Second)}
+func taskRecord(worker, task, team, event string, cores int64, at int) fakes.TaskRecord {
+	return fakes.TaskRecord{Worker: worker, Task: task, Team: team, Need: work.Room{Cores: cores}, Event: event, At: startTime.Add(time.Duration(at) * time.Second)}
 }
 
-// TestFaults shows that the checker finds each broken invariant, so that a
+// TestViolations shows that the checker finds each broken invariant, so that a
 // proof without faults means something.
-func TestFaults(t *testing.T) {
+func TestViolations(t *testing.T) {
 	tests := map[string]struct {
 		records []fakes.TaskRecord
 		want    string
 	}{
 		"clean": {[]fakes.TaskRecord{
-			record("w1", "j.0", "a", "start", 4000, 0), record("w1", "j.0", "a", "stopped", 4000, 1),
-			record("w2", "j.0", "a", "start", 4000, 1), record("w2", "j.0", "a", "done", 4000, 2),
+			taskRecord("w1", "j.0", "a", "start", 4000, 0), taskRecord("w1", "j.0", "a", "stopped", 4000, 1),
+			taskRecord("w2", "j.0", "a", "start", 4000, 1), taskRecord("w2", "j.0", "a", "done", 4000, 2),
 		}, ""},
 		"twice": {[]fakes.TaskRecord{
-			record("w1", "j.0", "a", "start", 1000, 0), record("w2", "j.0", "a", "start", 1000, 1),
+			taskRecord("w1", "j.0", "a", "start", 1000, 0), taskRecord("w2", "j.0", "a", "start", 1000, 1),
 		}, check.Twice},
 		"overfull": {[]fakes.TaskRecord{
-			record("w1", "j.0", "a", "start", 5000, 0), record("w1", "j.1", "a", "start", 4000, 1),
+			taskRecord("w1", "j.0", "a", "start", 5000, 0), taskRecord("w1", "j.1", "a", "start", 4000, 1),
 		}, check.Room},
 		"over the limit": {[]fakes.TaskRecord{
-			record("w1", "j.0", "b", "start", 3000, 0), record("w2", "j.1", "b", "start", 3000, 1),
+			taskRecord("w1", "j.0", "b", "start", 3000, 0), taskRecord("w2", "j.1", "b", "start", 3000, 1),
 		}, check.Limit},
 	}
 	for name, tt := range tests {
--- a/io/httpx/httpx.go
+++ b/io/httpx/httpx.go
@@ -38,7 +38,7 @@
 	Lines  []string `json:"lines,omitempty"`
 }
 
-var statuses = map[core.Code]int{
+var statusByCode = map[core.Code]int{
 	core.CodeBadInput: http.StatusBadRequest,
 	core.CodeBadKey:   http.StatusForbidden,
 	core.CodeNoQueue:  http.StatusNotFound,
@@ -60,7 +60,7 @@
 
 // Status returns the HTTP status of a code.
 func Status(c core.Code) int {
-	if s, ok := statuses[c]; ok {
+	if s, ok := statusByCode[c]; ok {
 		return s
 	}
 	return http.StatusInternalServerError
@@ -75,7 +75,7 @@
 		for _, l := range lines {
 			body.Lines = append(body.Lines, l.Error())
 		}
-		write(w, http.StatusBadRequest, body)
+		writeRefusal(w, http.StatusBadRequest, body)
 		return
 	}
 	if !errors.As(err, &r) {
@@ -88,10 +88,10 @@
 	if r.Err != nil {
 		reason += ": " + r.Err.Error()
 	}
-	write(w, Status(r.Code), Refusal{Code: string(r.Code), Run: string(r.Execution), Reason: reason})
+	writeRefusal(w, Status(r.Code), Refusal{Code: string(r.Code), Run: string(r.Execution), Reason: reason})
 }
 
-func write(w http.ResponseWriter, status int, body Refusal) {
+func writeRefusal(w http.ResponseWriter, status int, body Refusal) {
 	w.Header().Set(RunHeader, body.Run)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -138,20 +138,20 @@
 		}
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
-	mux.HandleFunc("GET /dump", func(w http.ResponseWriter, r *http.Request) { answer(w)(p.Dump(r.Context())) })
-	o := ops{a}
-	mux.HandleFunc("GET /rules", o.show)
-	mux.HandleFunc("POST /rules", o.push)
-	mux.HandleFunc("POST /rules/check", o.check)
-	mux.HandleFunc("GET /rules/history", o.history)
-	mux.HandleFunc("GET /config", o.config)
-	mux.HandleFunc("GET /keys", o.keys)
-	mux.HandleFunc("POST /keys", o.grant)
-	mux.HandleFunc("DELETE /keys/{id}", o.withdraw)
+	mux.HandleFunc("GET /dump", func(w http.ResponseWriter, r *http.Request) { respond(w)(p.Dump(r.Context())) })
+	o := opsHandlers{a}
+	mux.HandleFunc("GET /rules", o.showRules)
+	mux.HandleFunc("POST /rules", o.pushRules)
+	mux.HandleFunc("POST /rules/check", o.checkRules)
+	mux.HandleFunc("GET /rules/history", o.showHistory)
+	mux.HandleFunc("GET /config", o.showConfig)
+	mux.HandleFunc("GET /keys", o.listKeys)
+	mux.HandleFunc("POST /keys", o.grantKey)
+	mux.HandleFunc("DELETE /keys/{id}", o.withdrawKey)
 	return mux
 }
 
-func answer(w http.ResponseWriter) func(body any, err error) {
+func respond(w http.ResponseWriter) func(body any, err error) {
 	return func(body any, err error) {
 		if err != nil {
 			WriteError(w, err)
@@ -161,10 +161,10 @@
 	}
 }
 
-type ops struct{ agent *agent.Agent }
+type opsHandlers struct{ agent *agent.Agent }
 
-// operator names who asks, for the history.
-func operator(r *http.Request) string { return strings.TrimSpace(r.Header.Get("Operator")) }
+// operatorName names who asks, for the history.
+func operatorName(r *http.Request) string { return strings.TrimSpace(r.Header.Get("Operator")) }
 
 // Pushed is the answer to an accepted change.
 type Pushed struct {
@@ -173,26 +173,26 @@
 	Key string `json:"key,omitempty"`
 }
 
-func (o ops) push(w http.ResponseWriter, r *http.Request) {
+func (o opsHandlers) pushRules(w http.ResponseWriter, r *http.Request) {
 	text, err := ReadBody(w, r, parse.MaxRules)
 	if err != nil {
 		WriteError(w, err)
 		return
 	}
 	base, _ := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
-	v, err := o.agent.PushRules(r.Context(), text, core.Version(base), operator(r))
-	answer(w)(Pushed{Version: v}, err)
+	v, err := o.agent.PushRules(r.Context(), text, core.Version(base), operatorName(r))
+	respond(w)(Pushed{Version: v}, err)
 }
 
-func (o ops) check(w http.ResponseWriter, r *http.Request) {
+func (o opsHandlers) checkRules(w http.ResponseWriter, r *http.Request) {
 	text, err := ReadBody(w, r, parse.MaxRules)
 	if err == nil {
 		_, err = parse.Rules("rules", text)
 	}
-	answer(w)(struct{}{}, err)
+	respond(w)(struct{}{}, err)
 }
 
-func (o ops) show(w http.ResponseWriter, r *http.Request) {
+func (o opsHandlers) showRules(w http.ResponseWriter, r *http.Request) {
 	text, v, err := o.agent.RulesText(r.Context())
 	if err != nil {
 		WriteError(w, err)
@@ -202,7 +202,9 @@
 	_, _ = w.Write(text)
 }
 
-func (o ops) history(w http.ResponseWriter, r *http.Request) { answer(w)(o.agent.History(r.Context())) }
+func (o opsHandlers) showHistory(w http.ResponseWriter, r *http.Request) {
+	respond(w)(o.agent.History(r.Context()))
+}
 
 // Config is the configuration in force.
 type Config struct {
@@ -211,9 +213,9 @@
 	Lowest core.Version `json:"lowest"`
 }
 
-func (o ops) config(w http.ResponseWriter, r *http.Request) {
+func (o opsHandlers) showConfig(w http.ResponseWriter, r *http.Request) {
 	v, err := o.agent.View(r.Context())
-	answer(w)(Config{v.Version, v.Lowest}, err)
+	respond(w)(Config{v.Version, v.Lowest}, err)
 }
 
 // Key is a key for display; its secret is not kept anywhere.
@@ -223,21 +225,21 @@
 	State string `json:"state"`
 }
 
-func (o ops) keys(w http.ResponseWriter, r *http.Request) {
+func (o opsHandlers) listKeys(w http.ResponseWriter, r *http.Request) {
 	v, err := o.agent.View(r.Context())
 	out := []Key{}
 	for _, k := range v.Keys {
 		out = append(out, Key{k.ID, string(k.Team), k.State()})
 	}
-	answer(w)(out, err)
+	respond(w)(out, err)
 }
 
-func (o ops) grant(w http.ResponseWriter, r *http.Request) {
-	key, v, err := o.agent.GrantKey(r.Context(), core.Team(r.URL.Query().Get("team")), operator(r))
-	answer(w)(Pushed{v, key}, err)
+func (o opsHandlers) grantKey(w http.ResponseWriter, r *http.Request) {
+	key, v, err := o.agent.GrantKey(r.Context(), core.Team(r.URL.Query().Get("team")), operatorName(r))
+	respond(w)(Pushed{v, key}, err)
 }
 
-func (o ops) withdraw(w http.ResponseWriter, r *http.Request) {
-	v, err := o.agent.WithdrawKey(r.Context(), r.PathValue("id"), operator(r))
-	answer(w)(Pushed{Version: v}, err)
+func (o opsHandlers) withdrawKey(w http.ResponseWriter, r *http.Request) {
+	v, err := o.agent.WithdrawKey(r.Context(), r.PathValue("id"), operatorName(r))
+	respond(w)(Pushed{Version: v}, err)
 }
--- a/io/logbuf/writer.go
+++ b/io/logbuf/writer.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// lines bounds the lines that wait to be written.
-	lines = 2048
-	// chunk bounds the bytes of one write.
-	chunk = 16 << 10
+	// maxLines bounds the lines that wait to be written.
+	maxLines = 2048
+	// maxWriteBytes bounds the bytes of one write.
+	maxWriteBytes = 16 << 10
 )
 
 // Writer is an io.Writer that never blocks.
@@ -25,7 +25,7 @@
 }
 
 // New returns a spool in front of a writer; Run writes.
-func New(out io.Writer) *Writer { return &Writer{out: out, queue: make(chan []byte, lines)} }
+func New(out io.Writer) *Writer { return &Writer{out: out, queue: make(chan []byte, maxLines)} }
 
 // Write implements io.Writer. It always succeeds.
 func (s *Writer) Write(line []byte) (int, error) {
@@ -61,7 +61,7 @@
 }
 
 func (s *Writer) flush(buf *bytes.Buffer) {
-	for buf.Len() < chunk {
+	for buf.Len() < maxWriteBytes {
 		select {
 		case line := <-s.queue:
 			buf.Write(line)
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// mailbox bounds the messages that wait; a sender blocks while it is full.
-const mailbox = 4096
+// mailboxSize bounds the messages that wait; a sender blocks while it is full.
+const mailboxSize = 4096
 
 // Message is anything that a handler takes.
 type Message interface{ Message() }
@@ -31,24 +31,24 @@
 
 // Loop is a mailbox with one reader.
 type Loop struct {
-	box   chan Message
-	done  chan struct{}
-	group *errgroup.Group
-	ctx   context.Context
+	mailbox chan Message
+	stopped chan struct{}
+	group   *errgroup.Group
+	ctx     context.Context
 }
 
 // New returns a loop that has not been started.
 func New(ctx context.Context) *Loop {
 	group, ctx := errgroup.WithContext(ctx)
-	return &Loop{box: make(chan Message, mailbox), done: make(chan struct{}), group: group, ctx: ctx}
+	return &Loop{mailbox: make(chan Message, mailboxSize), stopped: make(chan struct{}), group: group, ctx: ctx}
 }
 
 // Post sends a message; it blocks while the mailbox is full.
 func (l *Loop) Post(m Message) error {
 	select {
-	case l.box <- m:
+	case l.mailbox <- m:
 		return nil
-	case <-l.done:
+	case <-l.stopped:
 		return &StoppedError{}
 	}
 }
@@ -66,20 +66,20 @@
 }
 
 // Depth returns how many messages wait.
-func (l *Loop) Depth() int { return len(l.box) }
+func (l *Loop) Depth() int { return len(l.mailbox) }
 
 // Run handles messages until the context ends.
 func (l *Loop) Run(h Handler) error {
-	defer close(l.done)
+	defer close(l.stopped)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-l.ctx.Done():
 			return nil
-		case m := <-l.box:
+		case m := <-l.mailbox:
 			h.Handle(time.Now(), m)
-			l.drain(h)
+			l.handleQueued(h)
 		case <-timer.C:
 		}
 		now := time.Now()
@@ -87,12 +87,12 @@
 	}
 }
 
-// drain handles what has arrived meanwhile, so that Wake is not run between
+// handleQueued handles what has arrived meanwhile, so that Wake is not run between
 // the messages of a burst.
-func (l *Loop) drain(h Handler) {
-	for range mailbox {
+func (l *Loop) handleQueued(h Handler) {
+	for range mailboxSize {
 		select {
-		case m := <-l.box:
+		case m := <-l.mailbox:
 			h.Handle(time.Now(), m)
 		default:
 			return
@@ -115,7 +115,7 @@
 		return r, nil
 	case <-ctx.Done():
 		return zero, ctx.Err()
-	case <-l.done:
+	case <-l.stopped:
 		return zero, &StoppedError{}
 	}
 }
--- a/io/meter/meter.go
+++ b/io/meter/meter.go
@@ -21,8 +21,8 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`chicoryturn_task_wait_seconds{queue=%q,team=%q}`, queue, team)).Update(wait.Seconds())
 }
 
-// Plan takes in the length of one placement pass.
-func (Meter) Plan(took time.Duration) {
+// Placement takes in the length of one placement pass.
+func (Meter) Placement(took time.Duration) {
 	metrics.GetOrCreateHistogram("chicoryturn_plan_seconds").Update(took.Seconds())
 }
 
@@ -49,8 +49,8 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`chicoryturn_crossed_bytes_total{queue=%q}`, queue)).Add(bytes)
 }
 
-// Store shows the calls to the platform.
-func Store(c *store.Client) {
+// RegisterStore shows the calls to the platform.
+func RegisterStore(c *store.Client) {
 	n := c.Counts()
 	for name, v := range map[string]*atomic.Uint64{
 		"writes": &n.Writes, "reads": &n.Reads, "failures": &n.Failures, "sent_bytes": &n.Sent, "received_bytes": &n.Received,
--- a/io/parse/rules.go
+++ b/io/parse/rules.go
@@ -19,56 +19,58 @@
 // MaxRules bounds the size of a rules file, in bytes.
 const MaxRules = 1 << 20
 
-// span is a duration written like "1.5s".
-type span time.Duration
+// duration is a duration written like "1.5s".
+type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *span) UnmarshalText(text []byte) error {
+func (s *duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return &ValueError{"time span", string(text), `a number with a unit, such as "500ms", "2s" or "4h"`}
 	}
-	*s = span(d)
+	*s = duration(d)
 	return nil
 }
 
 // ValueError reports a value of the wrong form.
 type ValueError struct {
-	What, Text, Want string
+	Kind, Text, Expected string
 }
 
 // Error implements error.
-func (e *ValueError) Error() string { return fmt.Sprintf("%s %q is not %s", e.What, e.Text, e.Want) }
+func (e *ValueError) Error() string {
+	return fmt.Sprintf("%s %q is not %s", e.Kind, e.Text, e.Expected)
+}
 
-type teamLine struct {
+type teamRule struct {
 	Share float64 `toml:"share"`
 	Cores float64 `toml:"cores"`
 	Slots int64   `toml:"slots"`
 }
 
-type queueLine struct {
-	Kind    string   `toml:"kind"`
-	Open    bool     `toml:"open"`
-	Teams   []string `toml:"teams"`
-	Service string   `toml:"service"`
-	Wait    *span    `toml:"wait"`
-	Run     *span    `toml:"run"`
-	Repeat  bool     `toml:"repeat"`
-	Backlog *int     `toml:"backlog"`
-	Start   span     `toml:"start"`
-	Due     span     `toml:"due"`
-	Cores   float64  `toml:"cores"`
+type queueRule struct {
+	Kind    string    `toml:"kind"`
+	Open    bool      `toml:"open"`
+	Teams   []string  `toml:"teams"`
+	Service string    `toml:"service"`
+	Wait    *duration `toml:"wait"`
+	Run     *duration `toml:"run"`
+	Repeat  bool      `toml:"repeat"`
+	Backlog *int      `toml:"backlog"`
+	Start   duration  `toml:"start"`
+	Due     duration  `toml:"due"`
+	Cores   float64   `toml:"cores"`
 }
 
 type rulesFile struct {
-	Team  map[string]teamLine  `toml:"team"`
-	Queue map[string]queueLine `toml:"queue"`
+	Team  map[string]teamRule  `toml:"team"`
+	Queue map[string]queueRule `toml:"queue"`
 }
 
-// place is where a rule stands and who asked for it.
-type place struct {
-	line    int
-	askedBy string
+// ruleSource is where a rule stands and who asked for it.
+type ruleSource struct {
+	line        int
+	requestedBy string
 }
 
 // Rules reads a rules file. The error, if any, is core.LineErrors.
@@ -76,12 +78,12 @@
 	if len(text) > MaxRules {
 		return nil, core.LineErrors{{File: file, Line: 1, Reason: fmt.Sprintf("larger than %d bytes", MaxRules)}}
 	}
-	places, faults := locate(file, text)
+	places, faults := findSources(file, text)
 	var f rulesFile
 	if err := decode(text, &f); err != nil {
 		return nil, append(faults, lineErrors(file, err)...)
 	}
-	set := build(&f, places)
+	set := newSet(&f, places)
 	faults = append(faults, set.Check(file)...)
 	if len(faults) > 0 {
 		return nil, faults
@@ -116,10 +118,10 @@
 	return core.LineErrors{{File: file, Line: 1, Reason: err.Error()}}
 }
 
-// locate finds the line and comment of every rule. Each rule is one line of
+// findSources finds the line and comment of every rule. Each rule is one line of
 // the form name = { ... } # who asked for it.
-func locate(file string, text []byte) (map[string]place, core.LineErrors) {
-	places := map[string]place{}
+func findSources(file string, text []byte) (map[string]ruleSource, core.LineErrors) {
+	places := map[string]ruleSource{}
 	var faults core.LineErrors
 	p := unstable.Parser{KeepComments: true}
 	p.Reset(text)
@@ -132,7 +134,7 @@
 		case unstable.KeyValue:
 			line := lineOf(text, e)
 			name := keyName(e.Key())
-			at := place{line: line, askedBy: comment(e)}
+			at := ruleSource{line: line, requestedBy: trailingComment(e)}
 			if e.Value().Kind != unstable.InlineTable {
 				faults = append(faults, &core.LineError{File: file, Line: line,
 					Reason: fmt.Sprintf("a rule is one line of the form %s = { ... } # who asked for it", name)})
@@ -158,8 +160,8 @@
 	return 1 + bytes.Count(text[:it.Node().Raw.Offset], []byte("\n"))
 }
 
-// comment returns the text of the comment at the end of an expression's line.
-func comment(e *unstable.Node) string {
+// trailingComment returns the text of the comment at the end of an expression's line.
+func trailingComment(e *unstable.Node) string {
 	next := e.Next()
 	if next == nil || next.Kind != unstable.Comment {
 		return ""
@@ -167,13 +169,13 @@
 	return strings.TrimSpace(strings.TrimLeft(string(next.Data), "#"))
 }
 
-func build(f *rulesFile, places map[string]place) *rules.Set {
+func newSet(f *rulesFile, places map[string]ruleSource) *rules.Set {
 	set := &rules.Set{Teams: map[core.Team]rules.Team{}, Queues: map[core.Queue]rules.Queue{}}
 	for name, t := range f.Team {
 		at := places["team."+name]
 		set.Teams[core.Team(name)] = rules.Team{
 			Name: core.Team(name), Share: t.Share, Cores: int64(t.Cores * 1000), Slots: t.Slots,
-			AskedBy: at.askedBy, Line: at.line,
+			AskedBy: at.requestedBy, Line: at.line,
 		}
 	}
 	for name, q := range f.Queue {
@@ -181,8 +183,8 @@
 		out := rules.Queue{
 			Name: core.Queue(name), Kind: rules.Kind(q.Kind), Open: q.Open, Service: core.Service(q.Service),
 			Repeat: q.Repeat, Start: time.Duration(q.Start), Due: time.Duration(q.Due), Cores: int64(q.Cores * 1000),
-			Wait: orSpan(q.Wait, rules.DefaultWait), Run: orSpan(q.Run, rules.DefaultRun), Backlog: rules.DefaultBacklog,
-			AskedBy: at.askedBy, Line: at.line,
+			Wait: durationOr(q.Wait, rules.DefaultWait), Run: durationOr(q.Run, rules.DefaultRun), Backlog: rules.DefaultBacklog,
+			AskedBy: at.requestedBy, Line: at.line,
 		}
 		if q.Backlog != nil {
 			out.Backlog = *q.Backlog
@@ -195,7 +197,7 @@
 	return set
 }
 
-func orSpan(s *span, or time.Duration) time.Duration {
+func durationOr(s *duration, or time.Duration) time.Duration {
 	if s == nil {
 		return or
 	}
--- a/io/parse/rules_test.go
+++ b/io/parse/rules_test.go
@@ -33,7 +33,7 @@
 	is.Equal(set.Queues["angle"].Line, 7)
 }
 
-func TestRulesFaults(t *testing.T) {
+func TestRulesErrors(t *testing.T) {
 	tests := map[string]struct {
 		line string
 		at   int
--- a/io/parse/settings.go
+++ b/io/parse/settings.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	minLease = 500 * time.Millisecond
-	maxLease = 10 * time.Minute
-	maxCells = 1024
+	minDuration = 500 * time.Millisecond
+	maxDuration = 10 * time.Minute
+	maxCells    = 1024
 )
 
 // Settings are those of one process.
@@ -80,59 +80,59 @@
 	Form     string `toml:"form"`
 }
 
-// check gathers the faults of one settings file.
-type check struct {
-	file   string
-	lines  map[string]int
-	faults core.LineErrors
+// settingsChecker gathers the faults of one settings file.
+type settingsChecker struct {
+	file  string
+	lines map[string]int
+	errs  core.LineErrors
 }
 
-func (c *check) bad(name, format string, args ...any) {
+func (c *settingsChecker) addError(name, format string, args ...any) {
 	line := max(c.lines[name], 1)
-	c.faults = append(c.faults, &core.LineError{File: c.file, Line: line, Reason: name + ": " + fmt.Sprintf(format, args...)})
+	c.errs = append(c.errs, &core.LineError{File: c.file, Line: line, Reason: name + ": " + fmt.Sprintf(format, args...)})
 }
 
-func (c *check) name(name, val string) string {
+func (c *settingsChecker) name(name, val string) string {
 	if val == "" {
-		c.bad(name, "is missing")
+		c.addError(name, "is missing")
 	}
 	if strings.ContainsAny(val, ". /") {
-		c.bad(name, "%q must not contain a dot, slash or space", val)
+		c.addError(name, "%q must not contain a dot, slash or space", val)
 	}
 	return val
 }
 
-func (c *check) addr(name, val string, need bool) netip.AddrPort {
+func (c *settingsChecker) addr(name, val string, need bool) netip.AddrPort {
 	if val == "" {
 		if need {
-			c.bad(name, "is missing")
+			c.addError(name, "is missing")
 		}
 		return netip.AddrPort{}
 	}
 	a, err := netip.ParseAddrPort(val)
 	if err != nil {
-		c.bad(name, "%q is not an IP address with a port", val)
+		c.addError(name, "%q is not an IP address with a port", val)
 	}
 	return a
 }
 
-func (c *check) lease(name, val string) time.Duration {
+func (c *settingsChecker) duration(name, val string) time.Duration {
 	d, err := time.ParseDuration(val)
 	if err != nil {
-		c.bad(name, "%q is not a time with a unit, such as \"3s\"", val)
-	} else if d < minLease || d > maxLease {
-		c.bad(name, "%s is outside %s to %s", d, minLease, maxLease)
+		c.addError(name, "%q is not a time with a unit, such as \"3s\"", val)
+	} else if d < minDuration || d > maxDuration {
+		c.addError(name, "%s is outside %s to %s", d, minDuration, maxDuration)
 	}
 	return d
 }
 
-func (c *check) oneOf(name, val, list string) string {
+func (c *settingsChecker) oneOf(name, val, list string) string {
 	for _, ok := range strings.Split(list, ", ") {
 		if val == ok {
 			return val
 		}
 	}
-	c.bad(name, "%q is none of %s", val, list)
+	c.addError(name, "%q is none of %s", val, list)
 	return val
 }
 
@@ -143,29 +143,29 @@
 		Cells: 1, Session: member.DefaultTTL.String(), Worker: cell.DefaultWorkerTTL.String(),
 		Drain: "30s", Level: "info", Form: "text",
 	}
-	c := &check{file: file, lines: settingLines(text)}
+	c := &settingsChecker{file: file, lines: settingLines(text)}
 	if err := decode(text, &f); err != nil {
-		c.faults = append(c.faults, lineErrors(file, err)...)
+		c.errs = append(c.errs, lineErrors(file, err)...)
 	}
 	s := Settings{
 		VM: c.name("vm", f.VM), Region: core.Region(c.name("region", f.Region)), Zone: core.Zone(c.name("zone", f.Zone)),
 		Platform: c.addr("platform", f.Platform, true), Callers: c.addr("callers", f.Callers, role == core.RoleGate),
 		Peers: c.addr("peers", f.Peers, true), Ops: c.addr("ops", f.Ops, true),
-		Cells: f.Cells, Session: c.lease("session", f.Session), Worker: c.lease("worker", f.Worker),
-		Drain: c.lease("drain", f.Drain), Level: c.oneOf("level", f.Level, "debug, info, warn, error"),
+		Cells: f.Cells, Session: c.duration("session", f.Session), Worker: c.duration("worker", f.Worker),
+		Drain: c.duration("drain", f.Drain), Level: c.oneOf("level", f.Level, "debug, info, warn, error"),
 		Form: c.oneOf("form", f.Form, "text, json"),
 	}
 	if s.Public = c.addr("public", f.Public, false); !s.Public.IsValid() {
 		s.Public = s.Peers
 	}
 	if f.Cells < 1 || f.Cells > maxCells {
-		c.bad("cells", "%d is outside 1 to %d", f.Cells, maxCells)
+		c.addError("cells", "%d is outside 1 to %d", f.Cells, maxCells)
 	}
 	if s.Peers.IsValid() && (s.Peers == s.Ops || s.Peers == s.Callers) {
-		c.bad("peers", "is the same address as another one")
+		c.addError("peers", "is the same address as another one")
 	}
-	if len(c.faults) > 0 {
-		return Settings{}, c.faults
+	if len(c.errs) > 0 {
+		return Settings{}, c.errs
 	}
 	return s, nil
 }
--- a/io/parse/settings_test.go
+++ b/io/parse/settings_test.go
@@ -30,7 +30,7 @@
 	is.Equal(s.Cells, 1)
 }
 
-func TestSettingsFaults(t *testing.T) {
+func TestSettingsErrors(t *testing.T) {
 	is := is.New(t)
 	bad := strings.NewReplacer(`"3s"`, `"3"`, `peers = "10.0.1.1:7101"`, `peers = "here:7101"`, `region = "hobart"`, "regoin = \"hobart\"").Replace(goodSettings)
 	_, err := parse.ReadSettings("s", []byte(bad+"cells = 0\n"), core.RoleGate)
--- a/io/peer/pool.go
+++ b/io/peer/pool.go
@@ -86,11 +86,11 @@
 func (p *Pool) Alive(ctx context.Context, to core.Process) (Alive, error) {
 	c, err := p.client(to.Peer)
 	if err != nil {
-		return Alive{}, translate(err)
+		return Alive{}, refusalOf(err)
 	}
 	r, err := c.Alive(ctx, &wire.AliveRequest{})
 	if err != nil {
-		return Alive{}, translate(err)
+		return Alive{}, refusalOf(err)
 	}
 	return Alive{
 		core.SessionID(r.Session), r.Stored, core.Version(r.Config), r.Confirmed.AsDuration(),
@@ -102,13 +102,13 @@
 func (p *Pool) Hold(ctx context.Context, to core.Process, row member.Session, version uint64, resign bool) (member.Answer, error) {
 	c, err := p.client(to.Peer)
 	if err != nil {
-		return member.Answer{}, translate(err)
+		return member.Answer{}, refusalOf(err)
 	}
 	r, err := c.Hold(ctx, &wire.HoldRequest{
 		Process: fromProcess(row.Process), Beat: row.Beat, Config: uint64(row.Config), Version: version, Resign: resign,
 	})
 	if err != nil {
-		return member.Answer{}, translate(err)
+		return member.Answer{}, refusalOf(err)
 	}
 	a := member.Answer{Renewed: r.Renewed, Version: r.Version, Promised: r.Promised}
 	for _, s := range r.Scheds {
@@ -123,11 +123,11 @@
 func (p *Pool) Submit(ctx context.Context, to core.Process, spec cell.JobSpec) (repeated bool, err error) {
 	c, err := p.client(to.Peer)
 	if err != nil {
-		return false, translate(err)
+		return false, refusalOf(err)
 	}
 	r, err := c.Submit(ctx, fromSpec(spec))
 	if err != nil {
-		return false, translate(err)
+		return false, refusalOf(err)
 	}
 	return r.RepeatedSubmit, nil
 }
@@ -138,18 +138,18 @@
 	if err == nil {
 		_, err = c.Cancel(ctx, &wire.CancelRequest{Id: string(id)})
 	}
-	return translate(err)
+	return refusalOf(err)
 }
 
 // Show returns a job.
 func (p *Pool) Show(ctx context.Context, to core.Process, id core.JobID) (cell.View, error) {
 	c, err := p.client(to.Peer)
 	if err != nil {
-		return cell.View{}, translate(err)
+		return cell.View{}, refusalOf(err)
 	}
 	v, err := c.Show(ctx, &wire.ShowRequest{Id: string(id)})
 	if err != nil {
-		return cell.View{}, translate(err)
+		return cell.View{}, refusalOf(err)
 	}
 	return toView(v), nil
 }
@@ -158,11 +158,11 @@
 func (p *Pool) List(ctx context.Context, to core.Process, team core.Team, most int) ([]cell.View, error) {
 	c, err := p.client(to.Peer)
 	if err != nil {
-		return nil, translate(err)
+		return nil, refusalOf(err)
 	}
 	r, err := c.List(ctx, &wire.ListRequest{Team: string(team), Most: int32(most)})
 	if err != nil {
-		return nil, translate(err)
+		return nil, refusalOf(err)
 	}
 	var out []cell.View
 	for _, v := range r.Jobs {
@@ -180,8 +180,8 @@
 // Unwrap returns the cause.
 func (e *RefusedError) Unwrap() error { return e.Err }
 
-// translate turns grpc errors into refusals.
-func translate(err error) error {
+// refusalOf turns grpc errors into refusals.
+func refusalOf(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -37,8 +37,8 @@
 	return s
 }
 
-// fail turns an error into a grpc status that carries the refusal.
-func fail(err error) error {
+// statusOf turns an error into a grpc status that carries the refusal.
+func statusOf(err error) error {
 	var r *core.RefusalError
 	if !errors.As(err, &r) {
 		return status.Error(codes.Unknown, err.Error())
@@ -57,7 +57,7 @@
 func (s *server) Alive(ctx context.Context, _ *wire.AliveRequest) (*wire.AliveReply, error) {
 	a, err := s.backend.Alive(ctx)
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	return &wire.AliveReply{
 		Session: string(a.Session), Stored: a.Stored, Config: uint64(a.Config), Confirmed: durationpb.New(a.Confirmed),
@@ -68,11 +68,11 @@
 func (s *server) Hold(ctx context.Context, r *wire.HoldRequest) (*wire.HoldReply, error) {
 	p, err := toProcess(r.Process)
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	a, err := s.backend.Hold(ctx, member.Session{Process: p, Beat: r.Beat, Config: core.Version(r.Config)}, r.Version, r.Resign)
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	out := &wire.HoldReply{Renewed: a.Renewed, Version: a.Version, Promised: a.Promised}
 	for _, p := range a.Scheds {
@@ -85,7 +85,7 @@
 func (s *server) Submit(ctx context.Context, r *wire.SubmitRequest) (*wire.SubmitReply, error) {
 	repeated, err := s.backend.Submit(ctx, toSpec(r))
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	return &wire.SubmitReply{RepeatedSubmit: repeated}, nil
 }
@@ -93,7 +93,7 @@
 // Cancel implements wire.PeerServer.
 func (s *server) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelReply, error) {
 	if err := s.backend.Cancel(ctx, core.JobID(r.Id)); err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	return &wire.CancelReply{}, nil
 }
@@ -102,7 +102,7 @@
 func (s *server) Show(ctx context.Context, r *wire.ShowRequest) (*wire.JobView, error) {
 	v, err := s.backend.Show(ctx, core.JobID(r.Id))
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	return fromView(v), nil
 }
@@ -111,7 +111,7 @@
 func (s *server) List(ctx context.Context, r *wire.ListRequest) (*wire.ListReply, error) {
 	views, err := s.backend.List(ctx, core.Team(r.Team), int(r.Most))
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	out := &wire.ListReply{}
 	for _, v := range views {
--- a/io/proc/proc.go
+++ b/io/proc/proc.go
@@ -30,8 +30,8 @@
 	"chicoryturn/io/work"
 )
 
-// nameBytes is the length of the random part of a session's name.
-const nameBytes = 6
+// sessionNameBytes is the length of the random part of a session's name.
+const sessionNameBytes = 6
 
 // ListenError reports an address that cannot be bound.
 type ListenError struct {
@@ -55,7 +55,7 @@
 	if s.Form == "json" {
 		l.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	} else {
-		l.SetFormatter(&prefixed{logrus.TextFormatter{FullTimestamp: true, DisableColors: true, TimestampFormat: "15:04:05.000"}})
+		l.SetFormatter(&prefixFormatter{logrus.TextFormatter{FullTimestamp: true, DisableColors: true, TimestampFormat: "15:04:05.000"}})
 	}
 	if level, err := logrus.ParseLevel(s.Level); err == nil {
 		l.SetLevel(level)
@@ -63,11 +63,11 @@
 	return l.WithField("part", part)
 }
 
-// prefixed puts the part's name before the message.
-type prefixed struct{ logrus.TextFormatter }
+// prefixFormatter puts the part's name before the message.
+type prefixFormatter struct{ logrus.TextFormatter }
 
 // Format implements logrus.Formatter.
-func (p *prefixed) Format(e *logrus.Entry) ([]byte, error) {
+func (p *prefixFormatter) Format(e *logrus.Entry) ([]byte, error) {
 	c := *e
 	c.Data = logrus.Fields{}
 	for k, v := range e.Data {
@@ -116,8 +116,8 @@
 	return l, nil
 }
 
-func identity(s parse.Settings, role core.Role) core.Process {
-	b := make([]byte, nameBytes)
+func newIdentity(s parse.Settings, role core.Role) core.Process {
+	b := make([]byte, sessionNameBytes)
 	// rand.Read never fails: it ends the program instead.
 	_, _ = rand.Read(b)
 	return core.Process{
@@ -149,9 +149,9 @@
 	})
 }
 
-type assemble func(l *loop.Loop, st *store.Client, p *peer.Pool, m *member.Member, log *logrus.Entry) (process, *agent.Agent, http.Handler, net.Listener)
+type buildFunc func(l *loop.Loop, st *store.Client, p *peer.Pool, m *member.Member, log *logrus.Entry) (process, *agent.Agent, http.Handler, net.Listener)
 
-func run(ctx context.Context, s parse.Settings, role core.Role, stop <-chan struct{}, build assemble) error {
+func run(ctx context.Context, s parse.Settings, role core.Role, stop <-chan struct{}, build buildFunc) error {
 	peers, err := Listen("peers", s.Peers)
 	if err != nil {
 		return err
@@ -166,11 +166,11 @@
 	l := loop.New(ctx)
 	pool := peer.NewPool()
 	defer pool.Close()
-	m := member.New(identity(s, role), member.WithTTL(s.Session), member.WithCells(s.Cells))
+	m := member.New(newIdentity(s, role), member.WithTTL(s.Session), member.WithCells(s.Cells))
 	log := Log(s, string(role)+" "+s.VM)
 	st := store.New(s.Platform)
 	p, a, callers, callersAt := build(l, st, pool, m, log)
-	meter.Store(st)
+	meter.RegisterStore(st)
 	rpc := peer.NewServer(p)
 	group.Go(func() error { return p.Run(ctx) })
 	group.Go(func() error { return rpc.Serve(peers) })
--- a/io/sched/journal.go
+++ b/io/sched/journal.go
@@ -16,21 +16,21 @@
 	"chicoryturn/io/store"
 )
 
-func logPrefix(id core.CellID) string { return "log/" + id.String() + "/" }
+func journalPrefix(id core.CellID) string { return "log/" + id.String() + "/" }
 
-func logKey(id core.CellID, n uint64) string { return fmt.Sprintf("%s%012d", logPrefix(id), n) }
+func journalKey(id core.CellID, n uint64) string { return fmt.Sprintf("%s%012d", journalPrefix(id), n) }
 
-// logRow is the stored form of one batch of entries.
-type logRow struct {
+// journalRow is the stored form of one batch of entries.
+type journalRow struct {
 	Epoch   core.Epoch
 	Entries []cell.Entry
 }
 
-// load reads a cell's snapshot and the journal rows after it.
-func (s *Sched) load(c member.Claim) {
-	s.loading[c.Cell] = time.Now().Add(loadTimeout)
+// readJournal reads a cell's snapshot and the journal rows after it.
+func (s *Sched) readJournal(c member.Claim) {
+	s.nextLoad[c.Cell] = time.Now().Add(loadTimeout)
 	s.loop.Go(func(ctx context.Context) loop.Message {
-		m := loaded{claim: c, next: c.Log}
+		m := loadResult{claim: c, nextRow: c.Log}
 		if c.Snap != "" {
 			text, err := s.store.Object(ctx, c.Snap)
 			if err != nil {
@@ -44,31 +44,31 @@
 			}
 			m.entries = snap.Entries
 		}
-		rows, err := s.store.Scan(ctx, logPrefix(c.Cell), "")
+		rows, err := s.store.Scan(ctx, journalPrefix(c.Cell), "")
 		if err != nil {
 			m.err = err
 			return m
 		}
 		for _, r := range rows {
-			m.logs = append(m.logs, r.Key)
-			if r.Key < logKey(c.Cell, c.Log) {
+			m.keys = append(m.keys, r.Key)
+			if r.Key < journalKey(c.Cell, c.Log) {
 				continue
 			}
-			var row logRow
+			var row journalRow
 			if err := json.Unmarshal(r.Val, &row); err != nil {
 				m.err = &store.FormatError{Key: r.Key, Err: err}
 				return m
 			}
 			m.entries = append(m.entries, row.Entries...)
-			m.next++
+			m.nextRow++
 		}
 		return m
 	})
 }
 
-func (s *Sched) loaded(now time.Time, m loaded) {
+func (s *Sched) handleLoad(now time.Time, m loadResult) {
 	id := m.claim.Cell
-	s.loading[id] = now.Add(recordPause)
+	s.nextLoad[id] = now.Add(retryDelay)
 	if m.err != nil {
 		s.log.WithError(m.err).Errorf("cell %s cannot be loaded; it is tried again", id)
 		return
@@ -77,17 +77,17 @@
 		return
 	}
 	owned, loading, _ := s.Agent.Member.Owned()
-	if !has(loading, m.claim) || has(owned, m.claim) {
+	if !containsClaim(loading, m.claim) || containsClaim(owned, m.claim) {
 		return
 	}
 	book := ledger.New(ledger.Holder(id.String()))
-	t := &tenure{
-		claim: m.claim, book: book, next: m.next, oldLogs: m.logs, oldSnap: m.claim.Snap,
-		waiting: map[core.JobID][]chan<- submitted{},
-		cell:    cell.New(id, m.claim.Epoch, book, cell.WithWorkerTTL(s.workerTTL), cell.WithPolicy(s.policy)),
+	t := &ownedCell{
+		claim: m.claim, ledger: book, nextRow: m.nextRow, journalKeys: m.keys, snapshot: m.claim.Snap,
+		submitters: map[core.JobID][]chan<- submitReply{},
+		cell:       cell.New(id, m.claim.Epoch, book, cell.WithWorkerTTL(s.workerTTL), cell.WithPolicy(s.policy)),
 	}
 	t.cell.Load(now, m.entries)
-	s.tenures[id] = t
+	s.cells[id] = t
 	s.applyRules(t)
 	s.applyVMs(now, t)
 	s.Agent.AddLedger(book, "cores/")
@@ -95,7 +95,7 @@
 	s.log.Infof("cell %s loaded: epoch %d, %d journal entries", id, m.claim.Epoch, len(m.entries))
 }
 
-func has(claims []member.Claim, c member.Claim) bool {
+func containsClaim(claims []member.Claim, c member.Claim) bool {
 	for _, o := range claims {
 		if o.Cell == c.Cell && o.Epoch == c.Epoch {
 			return true
@@ -104,83 +104,83 @@
 	return false
 }
 
-// record writes the entries that have gathered since the last write. Writes
+// writeJournal writes the entries that have gathered since the last write. Writes
 // are grouped by waiting for the one before, so their number grows with time
 // and not with the tasks.
-func (s *Sched) record(now time.Time, t *tenure) {
-	if t.recording || now.Before(t.pauseTill) {
+func (s *Sched) writeJournal(now time.Time, t *ownedCell) {
+	if t.writing || now.Before(t.retryAt) {
 		return
 	}
-	if t.sinceSnap >= snapEvery && !t.doubt {
-		s.snap(t)
+	if t.rowsSinceSnapshot >= rowsPerSnapshot && !t.outcomeUnknown {
+		s.writeSnapshot(t)
 		return
 	}
 	var batch []cell.Entry
-	if t.doubt {
+	if t.outcomeUnknown {
 		batch = t.cell.InFlight()
 	} else if batch = t.cell.Batch(); batch == nil {
 		return
 	}
-	t.recording = true
-	id, epoch, key := t.claim.Cell, t.claim.Epoch, logKey(t.claim.Cell, t.next)
+	t.writing = true
+	id, epoch, key := t.claim.Cell, t.claim.Epoch, journalKey(t.claim.Cell, t.nextRow)
 	version := s.Agent.Member.ClaimVersion(id)
 	s.loop.Go(func(ctx context.Context) loop.Message {
 		txn := store.Txn{Checks: []store.Check{{Key: agent.CellKey(id), Version: version}, {Key: key}}}
-		if err := txn.Set(key, logRow{epoch, batch}); err != nil {
-			return recorded{id, epoch, key, err}
+		if err := txn.Set(key, journalRow{epoch, batch}); err != nil {
+			return journalResult{id, epoch, key, err}
 		}
 		_, err := s.store.Write(ctx, txn)
-		return recorded{id, epoch, key, err}
+		return journalResult{id, epoch, key, err}
 	})
 }
 
-func (s *Sched) recorded(now time.Time, m recorded) {
-	t := s.tenures[m.cell]
+func (s *Sched) handleJournal(now time.Time, m journalResult) {
+	t := s.cells[m.cell]
 	if t == nil || t.claim.Epoch != m.epoch {
 		return
 	}
-	t.recording = false
+	t.writing = false
 	var conflict *store.ConflictError
 	switch {
-	case m.err == nil, errors.As(m.err, &conflict) && ownRow(conflict, m):
-		t.doubt = false
-		t.next++
-		t.sinceSnap++
-		t.oldLogs = append(t.oldLogs, m.key)
-		s.accept(t, t.cell.BatchStored(now))
+	case m.err == nil, errors.As(m.err, &conflict) && isOwnRow(conflict, m):
+		t.outcomeUnknown = false
+		t.nextRow++
+		t.rowsSinceSnapshot++
+		t.journalKeys = append(t.journalKeys, m.key)
+		s.acknowledge(t, t.cell.BatchStored(now))
 	case conflict != nil:
 		s.log.Warnf("cell %s: the journal has a newer owner", m.cell)
 		s.Agent.Member.Lost(m.cell)
-		s.follow(now)
+		s.syncOwnership(now)
 	default:
 		s.log.WithError(m.err).Debugf("cell %s: the journal was not written", m.cell)
-		t.doubt = true
-		t.pauseTill = now.Add(recordPause)
+		t.outcomeUnknown = true
+		t.retryAt = now.Add(retryDelay)
 	}
 }
 
-// ownRow reports whether a conflict is only about this owner's own row, which
+// isOwnRow reports whether a conflict is only about this owner's own row, which
 // an earlier try without a reply has written.
-func ownRow(c *store.ConflictError, m recorded) bool {
+func isOwnRow(c *store.ConflictError, m journalResult) bool {
 	if len(c.Rows) != 1 || c.Rows[0].Key != m.key {
 		return false
 	}
-	var row logRow
+	var row journalRow
 	return json.Unmarshal(c.Rows[0].Val, &row) == nil && row.Epoch == m.epoch
 }
 
-// snap writes the cell's whole recorded state and deletes the journal before
+// writeSnapshot writes the cell's whole recorded state and deletes the journal before
 // it.
-func (s *Sched) snap(t *tenure) {
-	t.recording = true
+func (s *Sched) writeSnapshot(t *ownedCell) {
+	t.writing = true
 	id, claim := t.claim.Cell, t.claim
-	claim.Snap = fmt.Sprintf("snap/%s/%d-%d", id, claim.Epoch, t.next)
-	claim.Log = t.next
+	claim.Snap = fmt.Sprintf("snap/%s/%d-%d", id, claim.Epoch, t.nextRow)
+	claim.Log = t.nextRow
 	version := s.Agent.Member.ClaimVersion(id)
 	text, err := json.Marshal(t.cell.Snapshot())
-	logs, old := t.oldLogs, t.oldSnap
+	logs, old := t.journalKeys, t.snapshot
 	s.loop.Go(func(ctx context.Context) loop.Message {
-		m := snapped{cell: id, epoch: claim.Epoch, claim: claim, err: err}
+		m := snapshotResult{cell: id, epoch: claim.Epoch, claim: claim, err: err}
 		if m.err != nil {
 			return m
 		}
@@ -199,47 +199,47 @@
 	})
 }
 
-func (s *Sched) snapped(now time.Time, m snapped) {
-	t := s.tenures[m.cell]
+func (s *Sched) handleSnapshot(now time.Time, m snapshotResult) {
+	t := s.cells[m.cell]
 	if t == nil || t.claim.Epoch != m.epoch {
 		return
 	}
-	t.recording = false
+	t.writing = false
 	var conflict *store.ConflictError
 	switch {
 	case m.err == nil:
 		t.claim = m.claim
-		t.oldLogs, t.oldSnap, t.sinceSnap = nil, m.claim.Snap, 0
+		t.journalKeys, t.snapshot, t.rowsSinceSnapshot = nil, m.claim.Snap, 0
 		s.Agent.Member.SetClaim(m.claim, m.version)
 	case errors.As(m.err, &conflict):
 		// Either the reply to this owner's own snapshot was lost, or there is a
 		// newer owner. Loading again settles both.
 		s.log.Warnf("cell %s: the snapshot was refused", m.cell)
 		s.Agent.Member.Lost(m.cell)
-		s.follow(now)
+		s.syncOwnership(now)
 	default:
-		t.sinceSnap = snapEvery / 2
+		t.rowsSinceSnapshot = rowsPerSnapshot / 2
 	}
 }
 
-// release writes what is pending, then hands the cell over.
-func (s *Sched) release(now time.Time, t *tenure) {
-	if t.recording || now.Before(t.pauseTill) {
+// releaseCell writes what is pending, then hands the cell over.
+func (s *Sched) releaseCell(now time.Time, t *ownedCell) {
+	if t.writing || now.Before(t.retryAt) {
 		return
 	}
 	if t.cell.Pending() > 0 {
-		s.record(now, t)
+		s.writeJournal(now, t)
 		return
 	}
-	t.pauseTill = now.Add(recordPause)
+	t.retryAt = now.Add(retryDelay)
 	s.Agent.ReleaseCell(now, t.claim)
 }
 
-func (s *Sched) accept(t *tenure, ids []core.JobID) {
+func (s *Sched) acknowledge(t *ownedCell, ids []core.JobID) {
 	for _, id := range ids {
-		for _, c := range t.waiting[id] {
-			c <- submitted{}
+		for _, c := range t.submitters[id] {
+			c <- submitReply{}
 		}
-		delete(t.waiting, id)
+		delete(t.submitters, id)
 	}
 }
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// tickEvery is how often leases are looked at.
-	tickEvery = 100 * time.Millisecond
-	// planEvery is the shortest time between two placement passes.
-	planEvery = 5 * time.Millisecond
-	// snapEvery is how many journal rows are written between two snapshots.
-	snapEvery = 500
-	// slackPart divides a team's limit into the part that a cell keeps at hand.
-	slackPart = 16
+	// tickInterval is how often leases are looked at.
+	tickInterval = 100 * time.Millisecond
+	// minPlanInterval is the shortest time between two placement passes.
+	minPlanInterval = 5 * time.Millisecond
+	// rowsPerSnapshot is how many journal rows are written between two snapshots.
+	rowsPerSnapshot = 500
+	// slackDivisor divides a team's limit into the part that a cell keeps at hand.
+	slackDivisor = 16
 	// loadTimeout is how long the reading of a journal may take.
 	loadTimeout = 10 * time.Second
-	// recordPause is how long a failed write of the journal is left alone.
-	recordPause = 250 * time.Millisecond
+	// retryDelay is how long a failed write of the journal is left alone.
+	retryDelay = 250 * time.Millisecond
 )
 
 // Store is the platform's service.
@@ -41,35 +41,35 @@
 
 // Workers calls worker VMs.
 type Workers interface {
-	Contact(ctx context.Context, k cell.Heartbeat) (cell.Report, error)
+	Heartbeat(ctx context.Context, k cell.Heartbeat) (cell.Report, error)
 }
 
 // Meter takes in what the sched measures.
 type Meter interface {
 	TaskWait(queue core.Queue, team core.Team, wait time.Duration)
-	Plan(took time.Duration)
+	Placement(took time.Duration)
 	Counts(cell core.CellID, c cell.Counts)
 }
 
-// tenure is one cell while this process owns it.
-type tenure struct {
-	claim member.Claim
-	cell  *cell.Cell
-	book  *ledger.Ledger
-	// next numbers the journal row written next.
-	next uint64
-	// recording is set while a write of the journal or a snapshot is in flight.
-	recording bool
-	// doubt is set after a write without a reply: it is tried again as it was,
+// ownedCell is one cell while this process owns it.
+type ownedCell struct {
+	claim  member.Claim
+	cell   *cell.Cell
+	ledger *ledger.Ledger
+	// nextRow numbers the journal row written next.
+	nextRow uint64
+	// writing is set while a write of the journal or a snapshot is in flight.
+	writing bool
+	// outcomeUnknown is set after a write without a reply: it is tried again as it was,
 	// and its own row then counts as success.
-	doubt     bool
-	pauseTill time.Time
-	sinceSnap int
-	oldLogs   []string
-	oldSnap   string
-	waiting   map[core.JobID][]chan<- submitted
-	lastPlan  time.Time
-	releasing bool
+	outcomeUnknown    bool
+	retryAt           time.Time
+	rowsSinceSnapshot int
+	journalKeys       []string
+	snapshot          string
+	submitters        map[core.JobID][]chan<- submitReply
+	lastPlan          time.Time
+	releasing         bool
 }
 
 // Sched is the control state of the process.
@@ -82,13 +82,13 @@
 	log       *logrus.Entry
 	workerTTL time.Duration
 	policy    cell.Policy
-	tenures   map[core.CellID]*tenure
-	// loading holds until when a cell's journal is not read again.
-	loading  map[core.CellID]time.Time
-	nextTick time.Time
-	left     chan struct{}
-	leaving  bool
-	leftDone bool
+	cells     map[core.CellID]*ownedCell
+	// nextLoad holds until when a cell's journal is not read again.
+	nextLoad      map[core.CellID]time.Time
+	nextTick      time.Time
+	drained       chan struct{}
+	draining      bool
+	sessionEnding bool
 }
 
 // Option changes a sched under construction.
@@ -104,8 +104,8 @@
 func New(l *loop.Loop, st Store, p agent.Peers, w Workers, m *member.Member, mt Meter, log *logrus.Entry, opts ...Option) *Sched {
 	s := &Sched{
 		loop: l, store: st, workers: w, meter: mt, log: log, workerTTL: cell.DefaultWorkerTTL,
-		policy: cell.DefaultPolicy(), tenures: map[core.CellID]*tenure{}, loading: map[core.CellID]time.Time{},
-		left: make(chan struct{}),
+		policy: cell.DefaultPolicy(), cells: map[core.CellID]*ownedCell{}, nextLoad: map[core.CellID]time.Time{},
+		drained: make(chan struct{}),
 	}
 	for _, o := range opts {
 		o(s)
@@ -115,74 +115,74 @@
 }
 
 // Left is closed once a planned stop has handed everything over.
-func (s *Sched) Left() <-chan struct{} { return s.left }
+func (s *Sched) Left() <-chan struct{} { return s.drained }
 
 type (
-	contacted struct {
-		cell    core.CellID
-		epoch   core.Epoch
-		contact cell.Heartbeat
-		report  cell.Report
-		err     error
+	heartbeatResult struct {
+		cell      core.CellID
+		epoch     core.Epoch
+		heartbeat cell.Heartbeat
+		report    cell.Report
+		err       error
 	}
-	loaded struct {
+	loadResult struct {
 		claim   member.Claim
 		entries []cell.Entry
-		next    uint64
-		logs    []string
+		nextRow uint64
+		keys    []string
 		err     error
 	}
-	recorded struct {
+	journalResult struct {
 		cell  core.CellID
 		epoch core.Epoch
 		key   string
 		err   error
 	}
-	snapped struct {
+	snapshotResult struct {
 		cell    core.CellID
 		epoch   core.Epoch
 		claim   member.Claim
 		version uint64
 		err     error
 	}
-	leave struct{}
+	drainRequest struct{}
 )
 
 // Message implements loop.Message.
-func (contacted) Message() {}
+func (heartbeatResult) Message() {}
 
 // Message implements loop.Message.
-func (loaded) Message() {}
+func (loadResult) Message() {}
 
 // Message implements loop.Message.
-func (recorded) Message() {}
+func (journalResult) Message() {}
 
 // Message implements loop.Message.
-func (snapped) Message() {}
+func (snapshotResult) Message() {}
 
 // Message implements loop.Message.
-func (leave) Message() {}
+func (drainRequest) Message() {}
 
 // Leave begins a planned stop.
-func (s *Sched) Leave() { _ = s.loop.Post(leave{}) }
+func (s *Sched) Leave() { _ = s.loop.Post(drainRequest{}) }
 
 // Handle implements loop.Handler.
 func (s *Sched) Handle(now time.Time, m loop.Message) {
-	if s.Agent.Handle(now, m) || s.Agent.HandleView(now, m) || s.asked(now, m) {
+	if s.Agent.Handle(now, m) || s.Agent.HandleView(now, m) || s.handleRequest(now, m) {
 		return
 	}
 	switch m := m.(type) {
-	case contacted:
-		s.contacted(now, m)
-	case loaded:
-		s.loaded(now, m)
-	case recorded:
-		s.recorded(now, m)
-	case snapped:
-		s.snapped(now, m)
-	case leave:
+	case heartbeatResult:
+		s.handleHeartbeat(now, m)
+	case loadResult:
+		s.handleLoad(now, m)
+	case journalResult:
+		s.handleJournal(now, m)
+	case snapshotResult:
+		s.handleSnapshot(now, m)
+	case drainRequest:
 		s.log.Info("leaving: handing cells over")
-		s.leaving = true
+		s.draining = true
 		s.Agent.Member.Drain()
 	}
 }
@@ -190,23 +190,23 @@
 // Wake implements loop.Handler.
 func (s *Sched) Wake(now time.Time) time.Time {
 	next := s.Agent.Tick(now)
-	s.follow(now)
+	s.syncOwnership(now)
 	tick := !now.Before(s.nextTick)
 	if tick {
-		s.nextTick = now.Add(tickEvery)
+		s.nextTick = now.Add(tickInterval)
 	}
 	live := s.Agent.Member.SessionValid(now)
-	for _, t := range s.tenures {
+	for _, t := range s.cells {
 		if live {
-			next = core.Earlier(next, s.drive(now, t, tick))
+			next = core.Earlier(next, s.advance(now, t, tick))
 		}
 	}
-	s.leave()
+	s.finishDrain()
 	return core.Earlier(next, s.nextTick)
 }
 
-// follow opens and closes tenures as the membership says.
-func (s *Sched) follow(now time.Time) {
+// syncOwnership opens and closes tenures as the membership says.
+func (s *Sched) syncOwnership(now time.Time) {
 	owned, loading, releasing := s.Agent.Member.Owned()
 	keep := core.NewSet[core.CellID]()
 	for _, c := range owned {
@@ -214,80 +214,80 @@
 	}
 	for _, c := range releasing {
 		keep.Add(c.Cell)
-		if t := s.tenures[c.Cell]; t != nil {
+		if t := s.cells[c.Cell]; t != nil {
 			t.releasing = true
 		}
 	}
 	for _, c := range loading {
 		keep.Add(c.Cell)
-		if now.After(s.loading[c.Cell]) {
-			s.load(c)
+		if now.After(s.nextLoad[c.Cell]) {
+			s.readJournal(c)
 		}
 	}
-	for id, t := range s.tenures {
+	for id, t := range s.cells {
 		if !keep.Has(id) {
-			s.close(id, t)
+			s.closeCell(id, t)
 		}
 	}
 }
 
-func (s *Sched) close(id core.CellID, t *tenure) {
+func (s *Sched) closeCell(id core.CellID, t *ownedCell) {
 	s.log.Infof("cell %s is no longer owned here", id)
-	delete(s.tenures, id)
-	s.Agent.RemoveLedger(t.book)
-	for _, list := range t.waiting {
+	delete(s.cells, id)
+	s.Agent.RemoveLedger(t.ledger)
+	for _, list := range t.submitters {
 		for _, c := range list {
-			c <- submitted{err: core.RefuseUnknown(core.CodeOwner, nil, "cell %s has changed hands", id)}
+			c <- submitReply{err: core.RefuseUnknown(core.CodeOwner, nil, "cell %s has changed hands", id)}
 		}
 	}
 }
 
-// drive lets one cell decide and sends what it has decided.
-func (s *Sched) drive(now time.Time, t *tenure, tick bool) time.Time {
+// advance lets one cell decide and sends what it has decided.
+func (s *Sched) advance(now time.Time, t *ownedCell, tick bool) time.Time {
 	if t.releasing {
-		s.release(now, t)
-		return now.Add(tickEvery)
+		s.releaseCell(now, t)
+		return now.Add(tickInterval)
 	}
 	if tick {
 		t.cell.Tick(now)
 		s.meter.Counts(t.claim.Cell, t.cell.Counts())
 	}
 	next := time.Time{}
-	if now.Sub(t.lastPlan) >= planEvery {
+	if now.Sub(t.lastPlan) >= minPlanInterval {
 		began := time.Now()
 		if t.cell.Plan(now) {
-			next = now.Add(planEvery)
+			next = now.Add(minPlanInterval)
 		}
-		s.meter.Plan(time.Since(began))
+		s.meter.Placement(time.Since(began))
 		t.lastPlan = now
 	} else {
-		next = t.lastPlan.Add(planEvery)
+		next = t.lastPlan.Add(minPlanInterval)
 	}
 	for _, k := range t.cell.Heartbeats(now) {
-		s.contact(t, k)
+		s.sendHeartbeat(t, k)
 	}
-	s.record(now, t)
-	s.observe(t)
+	s.writeJournal(now, t)
+	s.reportMetrics(t)
 	return next
 }
 
-func (s *Sched) observe(t *tenure) {
+func (s *Sched) reportMetrics(t *ownedCell) {
 	s.Agent.LogRefusals(t.cell.Refusals())
 	for _, w := range t.cell.Waits() {
 		s.meter.TaskWait(w.Queue, w.Team, w.Time)
 	}
 }
 
-func (s *Sched) contact(t *tenure, k cell.Heartbeat) {
+func (s *Sched) sendHeartbeat(t *ownedCell, k cell.Heartbeat) {
 	id, epoch := t.claim.Cell, t.claim.Epoch
 	s.loop.Go(func(ctx context.Context) loop.Message {
-		r, err := s.workers.Contact(ctx, k)
-		return contacted{id, epoch, k, r, err}
+		r, err := s.workers.Heartbeat(ctx, k)
+		return heartbeatResult{id, epoch, k, r, err}
 	})
 }
 
-func (s *Sched) contacted(now time.Time, m contacted) {
-	t := s.tenures[m.cell]
+func (s *Sched) handleHeartbeat(now time.Time, m heartbeatResult) {
+	t := s.cells[m.cell]
 	if t == nil || t.claim.Epoch != m.epoch || t.releasing {
 		return
 	}
@@ -296,25 +296,25 @@
 	case errors.As(m.err, &stale):
 		s.log.WithError(m.err).Warnf("cell %s has a newer owner", m.cell)
 		s.Agent.Member.Lost(m.cell)
-		s.follow(now)
+		s.syncOwnership(now)
 	case m.err != nil:
 		s.log.WithError(m.err).Debug("contact missed")
-		t.cell.HeartbeatFailed(now, m.contact)
+		t.cell.HeartbeatFailed(now, m.heartbeat)
 	default:
-		t.cell.Report(now, m.contact, m.report)
+		t.cell.Report(now, m.heartbeat, m.report)
 	}
 }
 
 // ConfigChanged implements agent.Host.
 func (s *Sched) ConfigChanged(time.Time) {
-	for _, t := range s.tenures {
+	for _, t := range s.cells {
 		s.applyRules(t)
 	}
 }
 
 // VMsChanged implements agent.Host.
 func (s *Sched) VMsChanged(now time.Time, _ []core.VM) {
-	for _, t := range s.tenures {
+	for _, t := range s.cells {
 		s.applyVMs(now, t)
 	}
 }
@@ -325,26 +325,26 @@
 	for _, vm := range s.Agent.VMs() {
 		fleet += vm.Room.Cores
 	}
-	for _, t := range s.tenures {
+	for _, t := range s.cells {
 		for team := range s.Agent.Conf.Rules().Teams {
 			name := cell.LimitName(team)
-			t.cell.SetRemoteUse(team, t.book.Total(name)-t.book.Held(name), fleet)
+			t.cell.SetRemoteUse(team, t.ledger.Total(name)-t.ledger.Held(name), fleet)
 		}
 	}
 }
 
-func (s *Sched) applyRules(t *tenure) {
+func (s *Sched) applyRules(t *ownedCell) {
 	set := s.Agent.Conf.Rules()
 	t.cell.SetRules(set)
 	rows := core.NewSet[string]()
 	for name, team := range set.Teams {
 		rows.Add(cell.LimitName(name))
-		t.book.Declare(cell.LimitName(name), team.Cores, team.Cores/slackPart)
+		t.ledger.Declare(cell.LimitName(name), team.Cores, team.Cores/slackDivisor)
 	}
-	t.book.ZeroTotals(rows.Has)
+	t.ledger.ZeroTotals(rows.Has)
 }
 
-func (s *Sched) applyVMs(now time.Time, t *tenure) {
+func (s *Sched) applyVMs(now time.Time, t *ownedCell) {
 	if !s.Agent.Listed() {
 		return
 	}
@@ -362,10 +362,10 @@
 	return out
 }
 
-func (s *Sched) leave() {
-	if !s.leaving || s.leftDone || len(s.tenures) > 0 {
+func (s *Sched) finishDrain() {
+	if !s.draining || s.sessionEnding || len(s.cells) > 0 {
 		return
 	}
-	s.leftDone = true
-	s.Agent.DeleteSession(s.left)
+	s.sessionEnding = true
+	s.Agent.DeleteSession(s.drained)
 }
--- a/io/sched/serve.go
+++ b/io/sched/serve.go
@@ -13,48 +13,48 @@
 )
 
 type (
-	submitted struct {
+	submitReply struct {
 		repeated bool
 		err      error
 	}
-	submitAsked struct {
+	submitRequest struct {
 		spec  cell.JobSpec
-		reply chan<- submitted
+		reply chan<- submitReply
 	}
-	cancelAsked struct {
+	cancelRequest struct {
 		id    core.JobID
 		reply chan<- error
 	}
-	shown struct {
+	showReply struct {
 		view cell.View
 		err  error
 	}
-	showAsked struct {
+	showRequest struct {
 		id    core.JobID
-		reply chan<- shown
+		reply chan<- showReply
 	}
-	listAsked struct {
+	listRequest struct {
 		team  core.Team
 		most  int
 		reply chan<- []cell.View
 	}
-	dumpAsked struct{ reply chan<- Dump }
+	dumpRequest struct{ reply chan<- Dump }
 )
 
 // Message implements loop.Message.
-func (submitAsked) Message() {}
+func (submitRequest) Message() {}
 
 // Message implements loop.Message.
-func (cancelAsked) Message() {}
+func (cancelRequest) Message() {}
 
 // Message implements loop.Message.
-func (showAsked) Message() {}
+func (showRequest) Message() {}
 
 // Message implements loop.Message.
-func (listAsked) Message() {}
+func (listRequest) Message() {}
 
 // Message implements loop.Message.
-func (dumpAsked) Message() {}
+func (dumpRequest) Message() {}
 
 // Dump is the whole control state for people.
 type Dump struct {
@@ -75,26 +75,26 @@
 // dumpJobs bounds the jobs of one cell in a dump.
 const dumpJobs = 500
 
-// asked answers the questions of traffic goroutines.
-func (s *Sched) asked(now time.Time, m loop.Message) bool {
+// handleRequest answers the questions of traffic goroutines.
+func (s *Sched) handleRequest(now time.Time, m loop.Message) bool {
 	switch m := m.(type) {
-	case submitAsked:
+	case submitRequest:
 		s.submit(now, m)
-	case cancelAsked:
-		t, err := s.owned(now, m.id)
+	case cancelRequest:
+		t, err := s.cellOf(now, m.id)
 		if err == nil {
 			err = t.cell.Cancel(now, m.id)
 		}
 		m.reply <- err
-	case showAsked:
+	case showRequest:
 		m.reply <- s.show(now, m.id)
-	case listAsked:
+	case listRequest:
 		var out []cell.View
-		for _, t := range s.tenures {
+		for _, t := range s.cells {
 			out = append(out, t.cell.List(m.team, m.most)...)
 		}
 		m.reply <- out
-	case dumpAsked:
+	case dumpRequest:
 		m.reply <- s.dump()
 	default:
 		return false
@@ -102,13 +102,13 @@
 	return true
 }
 
-// owned returns the tenure that a job belongs to.
-func (s *Sched) owned(now time.Time, id core.JobID) (*tenure, error) {
+// cellOf returns the tenure that a job belongs to.
+func (s *Sched) cellOf(now time.Time, id core.JobID) (*ownedCell, error) {
 	c, ok := id.Cell()
 	if !ok {
 		return nil, core.Refuse(core.CodeNoJob, "%q is not the name of a job", id)
 	}
-	t := s.tenures[c]
+	t := s.cells[c]
 	if t == nil || t.releasing || !s.Agent.Member.SessionValid(now) {
 		r := core.Refuse(core.CodeOwner, "cell %s is not owned here", c)
 		r.RetryAfter = time.Second
@@ -117,37 +117,37 @@
 	return t, nil
 }
 
-func (s *Sched) submit(now time.Time, m submitAsked) {
-	t, err := s.owned(now, m.spec.ID)
+func (s *Sched) submit(now time.Time, m submitRequest) {
+	t, err := s.cellOf(now, m.spec.ID)
 	if err != nil {
-		m.reply <- submitted{err: err}
+		m.reply <- submitReply{err: err}
 		return
 	}
 	fresh, err := t.cell.Submit(now, m.spec)
 	if err != nil || (!fresh && !t.cell.Recording(m.spec.ID)) {
-		m.reply <- submitted{repeated: err == nil, err: err}
+		m.reply <- submitReply{repeated: err == nil, err: err}
 		return
 	}
-	t.waiting[m.spec.ID] = append(t.waiting[m.spec.ID], m.reply)
+	t.submitters[m.spec.ID] = append(t.submitters[m.spec.ID], m.reply)
 }
 
-func (s *Sched) show(now time.Time, id core.JobID) shown {
-	t, err := s.owned(now, id)
+func (s *Sched) show(now time.Time, id core.JobID) showReply {
+	t, err := s.cellOf(now, id)
 	if err != nil {
-		return shown{err: err}
+		return showReply{err: err}
 	}
 	v, ok := t.cell.Show(id)
 	if !ok {
-		return shown{err: core.Refuse(core.CodeNoJob, "no job %q", id)}
+		return showReply{err: core.Refuse(core.CodeNoJob, "no job %q", id)}
 	}
-	return shown{view: v}
+	return showReply{view: v}
 }
 
 func (s *Sched) dump() Dump {
 	d := Dump{Agent: s.Agent.Dump(), Mailbox: s.loop.Depth()}
-	for _, t := range s.tenures {
+	for _, t := range s.cells {
 		d.Cells = append(d.Cells, CellDump{
-			Load: t.cell.State(), Pending: t.cell.Pending(), Journal: t.next,
+			Load: t.cell.State(), Pending: t.cell.Pending(), Journal: t.nextRow,
 			Workers: t.cell.Workers(), Jobs: t.cell.List("", dumpJobs),
 		})
 	}
@@ -156,7 +156,7 @@
 
 // Dump returns the whole control state; it is called by traffic goroutines.
 func (s *Sched) Dump(ctx context.Context) (any, error) {
-	return loop.Ask(ctx, s.loop, func(c chan<- Dump) loop.Message { return dumpAsked{c} })
+	return loop.Ask(ctx, s.loop, func(c chan<- Dump) loop.Message { return dumpRequest{c} })
 }
 
 // Alive implements peer.Backend.
@@ -169,7 +169,7 @@
 
 // Submit implements peer.Backend.
 func (s *Sched) Submit(ctx context.Context, spec cell.JobSpec) (bool, error) {
-	r, err := loop.Ask(ctx, s.loop, func(c chan<- submitted) loop.Message { return submitAsked{spec, c} })
+	r, err := loop.Ask(ctx, s.loop, func(c chan<- submitReply) loop.Message { return submitRequest{spec, c} })
 	if err != nil {
 		return false, core.RefuseUnknown(core.CodeStore, err, "the job may or may not have been recorded")
 	}
@@ -178,7 +178,7 @@
 
 // Cancel implements peer.Backend.
 func (s *Sched) Cancel(ctx context.Context, id core.JobID) error {
-	refused, err := loop.Ask(ctx, s.loop, func(c chan<- error) loop.Message { return cancelAsked{id, c} })
+	refused, err := loop.Ask(ctx, s.loop, func(c chan<- error) loop.Message { return cancelRequest{id, c} })
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 
 // Show implements peer.Backend.
 func (s *Sched) Show(ctx context.Context, id core.JobID) (cell.View, error) {
-	r, err := loop.Ask(ctx, s.loop, func(c chan<- shown) loop.Message { return showAsked{id, c} })
+	r, err := loop.Ask(ctx, s.loop, func(c chan<- showReply) loop.Message { return showRequest{id, c} })
 	if err != nil {
 		return cell.View{}, err
 	}
@@ -196,5 +196,5 @@
 
 // List implements peer.Backend.
 func (s *Sched) List(ctx context.Context, team core.Team, most int) ([]cell.View, error) {
-	return loop.Ask(ctx, s.loop, func(c chan<- []cell.View) loop.Message { return listAsked{team, most, c} })
+	return loop.Ask(ctx, s.loop, func(c chan<- []cell.View) loop.Message { return listRequest{team, most, c} })
 }
--- a/io/store/store.go
+++ b/io/store/store.go
@@ -26,9 +26,9 @@
 	// Quick bounds the calls on which leases depend.
 	Quick       = time.Second
 	dialTimeout = 500 * time.Millisecond
-	// maxAnswer bounds what is read of one answer.
-	maxAnswer = 64 << 20
-	idleConns = 16
+	// maxResponseBytes bounds what is read of one answer.
+	maxResponseBytes = 64 << 20
+	maxIdleConns     = 16
 )
 
 // Row is one row of the table.
@@ -154,9 +154,9 @@
 
 // Client calls the platform.
 type Client struct {
-	base  string
-	http  *http.Client
-	count Counts
+	base   string
+	http   *http.Client
+	counts Counts
 }
 
 // Counts are running totals of calls and bytes.
@@ -171,13 +171,13 @@
 		base: "http://" + addr.String(),
 		http: &http.Client{
 			Timeout:   Timeout,
-			Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: idleConns, IdleConnTimeout: time.Minute},
+			Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute},
 		},
 	}
 }
 
 // Counts returns the running totals.
-func (c *Client) Counts() *Counts { return &c.count }
+func (c *Client) Counts() *Counts { return &c.counts }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, int, error) {
 	// A body that cannot be rewound keeps the HTTP client from repeating a call
@@ -189,23 +189,23 @@
 	req.ContentLength = int64(len(body))
 	resp, err := c.http.Do(req)
 	if err != nil {
-		c.count.Failures.Add(1)
+		c.counts.Failures.Add(1)
 		return nil, 0, &DownError{err}
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil || resp.StatusCode >= http.StatusInternalServerError {
-		c.count.Failures.Add(1)
+		c.counts.Failures.Add(1)
 		return nil, 0, &DownError{err}
 	}
-	c.count.Sent.Add(uint64(len(body) + len(path)))
-	c.count.Received.Add(uint64(len(text)))
+	c.counts.Sent.Add(uint64(len(body) + len(path)))
+	c.counts.Received.Add(uint64(len(text)))
 	return text, resp.StatusCode, nil
 }
 
 // Write applies a transaction. After a DownError it may have taken effect.
 func (c *Client) Write(ctx context.Context, t Txn) (uint64, error) {
-	c.count.Writes.Add(1)
+	c.counts.Writes.Add(1)
 	body, err := json.Marshal(t)
 	if err != nil {
 		return 0, &FormatError{Key: "txn", Err: err}
@@ -226,7 +226,7 @@
 
 // Scan reads the rows whose keys begin with prefix and come after a key.
 func (c *Client) Scan(ctx context.Context, prefix, after string) ([]Row, error) {
-	c.count.Reads.Add(1)
+	c.counts.Reads.Add(1)
 	q := url.Values{"prefix": {prefix}, "after": {after}}
 	text, _, err := c.call(ctx, http.MethodGet, "/rows?"+q.Encode(), nil)
 	if err != nil {
@@ -241,14 +241,14 @@
 
 // PutObject stores an object that never changes afterwards.
 func (c *Client) PutObject(ctx context.Context, name string, val []byte) error {
-	c.count.Writes.Add(1)
+	c.counts.Writes.Add(1)
 	_, _, err := c.call(ctx, http.MethodPut, "/objects/"+name, val)
 	return err
 }
 
 // Object reads an object.
 func (c *Client) Object(ctx context.Context, name string) ([]byte, error) {
-	c.count.Reads.Add(1)
+	c.counts.Reads.Add(1)
 	text, status, err := c.call(ctx, http.MethodGet, "/objects/"+name, nil)
 	if err != nil {
 		return nil, err
@@ -261,14 +261,14 @@
 
 // DeleteObject deletes an object that no row names any more.
 func (c *Client) DeleteObject(ctx context.Context, name string) error {
-	c.count.Writes.Add(1)
+	c.counts.Writes.Add(1)
 	_, _, err := c.call(ctx, http.MethodDelete, "/objects/"+name, nil)
 	return err
 }
 
 // VMs reads the list of VMs if it has changed since a version.
 func (c *Client) VMs(ctx context.Context, since uint64) (List, error) {
-	c.count.Reads.Add(1)
+	c.counts.Reads.Add(1)
 	text, _, err := c.call(ctx, http.MethodGet, fmt.Sprintf("/vms?since=%d", since), nil)
 	if err != nil {
 		return List{}, err
--- a/io/work/work.go
+++ b/io/work/work.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// slack is how long a worker may take to answer beyond the time that it
+	// answerTimeout is how long a worker may take to answer beyond the time that it
 	// was asked to wait.
-	slack     = 1500 * time.Millisecond
-	maxAnswer = 8 << 20
+	answerTimeout  = 1500 * time.Millisecond
+	maxReportBytes = 8 << 20
 )
 
 // Room is an amount of capacity: thousandths of a core, MiB, accelerators.
@@ -97,17 +97,17 @@
 // Error implements error.
 func (e *StaleError) Error() string { return fmt.Sprintf("worker %s obeys a newer epoch", e.Worker) }
 
-// ContactError reports a call without a usable answer.
-type ContactError struct {
+// HeartbeatError reports a call without a usable answer.
+type HeartbeatError struct {
 	Worker core.WorkerID
 	Err    error
 }
 
 // Error implements error.
-func (e *ContactError) Error() string { return fmt.Sprintf("worker %s: %v", e.Worker, e.Err) }
+func (e *HeartbeatError) Error() string { return fmt.Sprintf("worker %s: %v", e.Worker, e.Err) }
 
 // Unwrap returns the cause.
-func (e *ContactError) Unwrap() error { return e.Err }
+func (e *HeartbeatError) Unwrap() error { return e.Err }
 
 // StatusError reports an unexpected HTTP status.
 type StatusError struct{ Status int }
@@ -120,18 +120,18 @@
 
 // New returns a client of all workers.
 func New() *Client {
-	dialer := &net.Dialer{Timeout: slack / 2}
+	dialer := &net.Dialer{Timeout: answerTimeout / 2}
 	return &Client{http: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute,
 	}}}
 }
 
-// Contact sends one message and returns the worker's report.
-func (c *Client) Contact(ctx context.Context, k cell.Heartbeat) (cell.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.Wait+slack)
+// Heartbeat sends one message and returns the worker's report.
+func (c *Client) Heartbeat(ctx context.Context, k cell.Heartbeat) (cell.Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, k.Wait+answerTimeout)
 	defer cancel()
-	fail := func(err error) (cell.Report, error) { return cell.Report{}, &ContactError{k.Worker, err} }
-	body, err := json.Marshal(encode(k))
+	fail := func(err error) (cell.Report, error) { return cell.Report{}, &HeartbeatError{k.Worker, err} }
+	body, err := json.Marshal(toMessage(k))
 	if err != nil {
 		return fail(err)
 	}
@@ -145,7 +145,7 @@
 		return fail(err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	switch {
 	case err != nil:
 		return fail(err)
@@ -161,20 +161,20 @@
 	return r, nil
 }
 
-func room(r core.Resources) Room { return Room{r.Cores, r.Memory, r.Accel} }
+func toRoom(r core.Resources) Room { return Room{r.Cores, r.Memory, r.Accel} }
 
 // Core returns the room in the type of the decisions.
 func (r Room) Core() core.Resources {
 	return core.Resources{Cores: r.Cores, Memory: r.Memory, Accel: r.Accel}
 }
 
-func encode(k cell.Heartbeat) Heartbeat {
+func toMessage(k cell.Heartbeat) Heartbeat {
 	out := Heartbeat{
 		Cell: k.Cell.String(), Epoch: uint64(k.Epoch), Order: k.Order, Stamp: k.Stamp,
 		TTL: k.TTL.String(), Incarnation: k.Incarnation, After: k.After, Wait: k.Wait.String(),
 	}
 	for _, s := range k.Starts {
-		out.Starts = append(out.Starts, Start{s.Task.String(), s.Run, string(s.Team), room(s.Need), s.Estimate.String(), s.Command, s.Saved.String()})
+		out.Starts = append(out.Starts, Start{s.Task.String(), s.Run, string(s.Team), toRoom(s.Need), s.Estimate.String(), s.Command, s.Saved.String()})
 	}
 	for _, s := range k.Stops {
 		out.Stops = append(out.Stops, Stop{s.Task.String(), string(s.How)})
