--- a/io/sched/journal.go
+++ b/io/sched/journal.go
@@ -20,25 +20,26 @@
 
 func journalKey(id core.CellID, n uint64) string { return fmt.Sprintf("%s%012d", journalPrefix(id), n) }
 
-// journalRow is the stored form of one batch of entries.
+// journalRow is the stored form of a batch of journal entries.
 type journalRow struct {
 	Epoch   core.Epoch
 	Entries []cell.Entry
 }
 
-// readJournal reads a cell's snapshot and the journal rows after it.
+// readJournal reads a claimed cell's snapshot and the journal rows after it.
+// Rows before the snapshot are not applied; the next snapshot deletes them.
 func (s *Sched) readJournal(c member.Claim) {
 	s.nextLoad[c.Cell] = time.Now().Add(loadTimeout)
 	s.loop.Go(func(ctx context.Context) loop.Message {
 		m := loadResult{claim: c, nextRow: c.Log}
 		if c.Snap != "" {
-			text, err := s.store.Object(ctx, c.Snap)
+			data, err := s.store.Object(ctx, c.Snap)
 			if err != nil {
 				m.err = err
 				return m
 			}
 			var snap cell.Snapshot
-			if err := json.Unmarshal(text, &snap); err != nil {
+			if err := json.Unmarshal(data, &snap); err != nil {
 				m.err = &store.FormatError{Key: c.Snap, Err: err}
 				return m
 			}
@@ -66,11 +67,13 @@
 	})
 }
 
+// handleLoad starts a cell from its snapshot and journal, if this process still
+// has the claim and knows the list of VMs and the rules.
 func (s *Sched) handleLoad(now time.Time, m loadResult) {
 	id := m.claim.Cell
 	s.nextLoad[id] = now.Add(retryDelay)
 	if m.err != nil {
-		s.log.WithError(m.err).Errorf("cell %s cannot be loaded; it is tried again", id)
+		s.log.WithError(m.err).Errorf("cell %s could not be loaded; retrying", id)
 		return
 	}
 	if !s.Agent.Listed() || s.Agent.Conf.Version() == 0 {
@@ -80,49 +83,50 @@
 	if !containsClaim(loading, m.claim) || containsClaim(owned, m.claim) {
 		return
 	}
-	book := ledger.New(ledger.Holder(id.String()))
-	t := &ownedCell{
-		claim: m.claim, ledger: book, nextRow: m.nextRow, journalKeys: m.keys, snapshot: m.claim.Snap,
+	cellLedger := ledger.New(ledger.Holder(id.String()))
+	oc := &ownedCell{
+		claim: m.claim, ledger: cellLedger, nextRow: m.nextRow, journalKeys: m.keys, snapshot: m.claim.Snap,
 		submitters: map[core.JobID][]chan<- submitReply{},
-		cell:       cell.New(id, m.claim.Epoch, book, cell.WithWorkerTTL(s.workerTTL), cell.WithPolicy(s.policy)),
+		cell:       cell.New(id, m.claim.Epoch, cellLedger, cell.WithWorkerTTL(s.workerTTL), cell.WithPolicy(s.policy)),
 	}
-	t.cell.Load(now, m.entries)
-	s.cells[id] = t
-	s.applyRules(t)
-	s.applyVMs(now, t)
-	s.Agent.AddLedger(book, "cores/")
+	oc.cell.Load(now, m.entries)
+	s.cells[id] = oc
+	s.applyRules(oc)
+	s.applyVMs(now, oc)
+	s.Agent.AddLedger(cellLedger, "cores/")
 	s.Agent.Member.Loaded(id)
 	s.log.Infof("cell %s loaded: epoch %d, %d journal entries", id, m.claim.Epoch, len(m.entries))
 }
 
+// containsClaim reports whether claims contain a claim of the same cell and epoch.
 func containsClaim(claims []member.Claim, c member.Claim) bool {
-	for _, o := range claims {
-		if o.Cell == c.Cell && o.Epoch == c.Epoch {
+	for _, other := range claims {
+		if other.Cell == c.Cell && other.Epoch == c.Epoch {
 			return true
 		}
 	}
 	return false
 }
 
-// writeJournal writes the entries that have gathered since the last write. Writes
-// are grouped by waiting for the one before, so their number grows with time
-// and not with the tasks.
-func (s *Sched) writeJournal(now time.Time, t *ownedCell) {
-	if t.writing || now.Before(t.retryAt) {
+// writeJournal stores the entries added since the last write. At most one write is
+// in flight and the next one takes all entries added meanwhile, so the number of
+// writes depends on time and not on the number of tasks.
+func (s *Sched) writeJournal(now time.Time, oc *ownedCell) {
+	if oc.writing || now.Before(oc.retryAt) {
 		return
 	}
-	if t.rowsSinceSnapshot >= rowsPerSnapshot && !t.outcomeUnknown {
-		s.writeSnapshot(t)
+	if oc.rowsSinceSnapshot >= rowsPerSnapshot && !oc.outcomeUnknown {
+		s.writeSnapshot(oc)
 		return
 	}
 	var batch []cell.Entry
-	if t.outcomeUnknown {
-		batch = t.cell.InFlight()
-	} else if batch = t.cell.Batch(); batch == nil {
+	if oc.outcomeUnknown {
+		batch = oc.cell.InFlight()
+	} else if batch = oc.cell.Batch(); batch == nil {
 		return
 	}
-	t.writing = true
-	id, epoch, key := t.claim.Cell, t.claim.Epoch, journalKey(t.claim.Cell, t.nextRow)
+	oc.writing = true
+	id, epoch, key := oc.claim.Cell, oc.claim.Epoch, journalKey(oc.claim.Cell, oc.nextRow)
 	version := s.Agent.Member.ClaimVersion(id)
 	s.loop.Go(func(ctx context.Context) loop.Message {
 		txn := store.Txn{Checks: []store.Check{{Key: agent.CellKey(id), Version: version}, {Key: key}}}
@@ -134,33 +138,34 @@
 	})
 }
 
+// handleJournal handles the result of a journal write.
 func (s *Sched) handleJournal(now time.Time, m journalResult) {
-	t := s.cells[m.cell]
-	if t == nil || t.claim.Epoch != m.epoch {
+	oc := s.cells[m.cell]
+	if oc == nil || oc.claim.Epoch != m.epoch {
 		return
 	}
-	t.writing = false
+	oc.writing = false
 	var conflict *store.ConflictError
 	switch {
 	case m.err == nil, errors.As(m.err, &conflict) && isOwnRow(conflict, m):
-		t.outcomeUnknown = false
-		t.nextRow++
-		t.rowsSinceSnapshot++
-		t.journalKeys = append(t.journalKeys, m.key)
-		s.acknowledge(t, t.cell.BatchStored(now))
+		oc.outcomeUnknown = false
+		oc.nextRow++
+		oc.rowsSinceSnapshot++
+		oc.journalKeys = append(oc.journalKeys, m.key)
+		s.acknowledge(oc, oc.cell.BatchStored(now))
 	case conflict != nil:
-		s.log.Warnf("cell %s: the journal has a newer owner", m.cell)
+		s.log.Warnf("cell %s: journal write refused, the cell is owned by a newer epoch", m.cell)
 		s.Agent.Member.Lost(m.cell)
 		s.syncOwnership(now)
 	default:
-		s.log.WithError(m.err).Debugf("cell %s: the journal was not written", m.cell)
-		t.outcomeUnknown = true
-		t.retryAt = now.Add(retryDelay)
+		s.log.WithError(m.err).Debugf("cell %s: outcome of the journal write is unknown; retrying", m.cell)
+		oc.outcomeUnknown = true
+		oc.retryAt = now.Add(retryDelay)
 	}
 }
 
-// isOwnRow reports whether a conflict is only about this owner's own row, which
-// an earlier try without a reply has written.
+// isOwnRow reports whether a write conflicts only with the row that the same owner
+// wrote in an earlier attempt whose reply was lost.
 func isOwnRow(c *store.ConflictError, m journalResult) bool {
 	if len(c.Rows) != 1 || c.Rows[0].Key != m.key {
 		return false
@@ -169,77 +174,80 @@
 	return json.Unmarshal(c.Rows[0].Val, &row) == nil && row.Epoch == m.epoch
 }
 
-// writeSnapshot writes the cell's whole recorded state and deletes the journal before
-// it.
-func (s *Sched) writeSnapshot(t *ownedCell) {
-	t.writing = true
-	id, claim := t.claim.Cell, t.claim
-	claim.Snap = fmt.Sprintf("snap/%s/%d-%d", id, claim.Epoch, t.nextRow)
-	claim.Log = t.nextRow
+// writeSnapshot stores the cell's whole recorded state and deletes the journal rows
+// and the snapshot that it replaces.
+func (s *Sched) writeSnapshot(oc *ownedCell) {
+	oc.writing = true
+	id, claim := oc.claim.Cell, oc.claim
+	claim.Snap = fmt.Sprintf("snap/%s/%d-%d", id, claim.Epoch, oc.nextRow)
+	claim.Log = oc.nextRow
 	version := s.Agent.Member.ClaimVersion(id)
-	text, err := json.Marshal(t.cell.Snapshot())
-	logs, old := t.journalKeys, t.snapshot
+	data, err := json.Marshal(oc.cell.Snapshot())
+	keys, oldSnapshot := oc.journalKeys, oc.snapshot
 	s.loop.Go(func(ctx context.Context) loop.Message {
 		m := snapshotResult{cell: id, epoch: claim.Epoch, claim: claim, err: err}
 		if m.err != nil {
 			return m
 		}
-		if m.err = s.store.PutObject(ctx, claim.Snap, text); m.err != nil {
+		if m.err = s.store.PutObject(ctx, claim.Snap, data); m.err != nil {
 			return m
 		}
-		txn := store.Txn{Checks: []store.Check{{Key: agent.CellKey(id), Version: version}}, Dels: logs}
+		txn := store.Txn{Checks: []store.Check{{Key: agent.CellKey(id), Version: version}}, Dels: keys}
 		if m.err = txn.Set(agent.CellKey(id), claim); m.err != nil {
 			return m
 		}
-		if m.version, m.err = s.store.Write(ctx, txn); m.err == nil && old != "" {
-			// A snapshot left behind costs only room.
-			_ = s.store.DeleteObject(ctx, old)
+		if m.version, m.err = s.store.Write(ctx, txn); m.err == nil && oldSnapshot != "" {
+			// A snapshot that is not deleted only takes up storage.
+			_ = s.store.DeleteObject(ctx, oldSnapshot)
 		}
 		return m
 	})
 }
 
+// handleSnapshot handles the result of a snapshot. A failed one is tried again
+// after half of the usual number of rows.
 func (s *Sched) handleSnapshot(now time.Time, m snapshotResult) {
-	t := s.cells[m.cell]
-	if t == nil || t.claim.Epoch != m.epoch {
+	oc := s.cells[m.cell]
+	if oc == nil || oc.claim.Epoch != m.epoch {
 		return
 	}
-	t.writing = false
+	oc.writing = false
 	var conflict *store.ConflictError
 	switch {
 	case m.err == nil:
-		t.claim = m.claim
-		t.journalKeys, t.snapshot, t.rowsSinceSnapshot = nil, m.claim.Snap, 0
+		oc.claim = m.claim
+		oc.journalKeys, oc.snapshot, oc.rowsSinceSnapshot = nil, m.claim.Snap, 0
 		s.Agent.Member.SetClaim(m.claim, m.version)
 	case errors.As(m.err, &conflict):
-		// Either the reply to this owner's own snapshot was lost, or there is a
-		// newer owner. Loading again settles both.
-		s.log.Warnf("cell %s: the snapshot was refused", m.cell)
+		// Either the reply to an earlier write of this snapshot was lost, or a newer
+		// epoch owns the cell. Giving the cell up and loading it again handles both.
+		s.log.Warnf("cell %s: snapshot write refused; giving the cell up", m.cell)
 		s.Agent.Member.Lost(m.cell)
 		s.syncOwnership(now)
 	default:
-		t.rowsSinceSnapshot = rowsPerSnapshot / 2
+		oc.rowsSinceSnapshot = rowsPerSnapshot / 2
 	}
 }
 
-// releaseCell writes what is pending, then hands the cell over.
-func (s *Sched) releaseCell(now time.Time, t *ownedCell) {
-	if t.writing || now.Before(t.retryAt) {
+// releaseCell writes the pending entries, then releases the claim.
+func (s *Sched) releaseCell(now time.Time, oc *ownedCell) {
+	if oc.writing || now.Before(oc.retryAt) {
 		return
 	}
-	if t.cell.Pending() > 0 {
-		s.writeJournal(now, t)
+	if oc.cell.Pending() > 0 {
+		s.writeJournal(now, oc)
 		return
 	}
-	t.retryAt = now.Add(retryDelay)
-	s.Agent.ReleaseCell(now, t.claim)
+	oc.retryAt = now.Add(retryDelay)
+	s.Agent.ReleaseCell(now, oc.claim)
 }
 
-func (s *Sched) acknowledge(t *ownedCell, ids []core.JobID) {
-	for _, id := range ids {
-		for _, c := range t.submitters[id] {
+// acknowledge replies to the submitters of jobs that are now stored.
+func (s *Sched) acknowledge(oc *ownedCell, jobs []core.JobID) {
+	for _, id := range jobs {
+		for _, c := range oc.submitters[id] {
 			c <- submitReply{}
 		}
-		delete(t.submitters, id)
+		delete(oc.submitters, id)
 	}
 }
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -1,5 +1,5 @@
-// Package sched is the process that owns cells: it records their jobs, places
-// their tasks and keeps their workers' leases.
+// Package sched implements the sched process, which owns cells: it stores their
+// jobs, places their tasks and renews the leases of their workers.
 package sched
 
 import (
@@ -19,57 +19,62 @@
 )
 
 const (
-	// tickInterval is how often leases are looked at.
+	// tickInterval is how often a cell checks leases and other deadlines.
 	tickInterval = 100 * time.Millisecond
-	// minPlanInterval is the shortest time between two placement passes.
+	// minPlanInterval is the shortest time between two placement passes of a cell.
 	minPlanInterval = 5 * time.Millisecond
-	// rowsPerSnapshot is how many journal rows are written between two snapshots.
+	// rowsPerSnapshot is how many journal rows a cell writes between two snapshots.
 	rowsPerSnapshot = 500
-	// slackDivisor divides a team's limit into the part that a cell keeps at hand.
+	// slackDivisor divides a team's limit to get the slack that a cell keeps of it.
 	slackDivisor = 16
-	// loadTimeout is how long the reading of a journal may take.
+	// loadTimeout is how long the reading of a journal may take before another
+	// read starts.
 	loadTimeout = 10 * time.Second
-	// retryDelay is how long a failed write of the journal is left alone.
+	// retryDelay is the wait before a failed read or write of a journal is retried.
 	retryDelay = 250 * time.Millisecond
 )
 
-// Store is the platform's service.
+// Store is the platform's table and object store.
 type Store interface {
 	agent.Store
 	DeleteObject(ctx context.Context, name string) error
 }
 
-// Workers calls worker VMs.
+// Workers sends heartbeats to worker VMs.
 type Workers interface {
-	Heartbeat(ctx context.Context, k cell.Heartbeat) (cell.Report, error)
+	Heartbeat(ctx context.Context, h cell.Heartbeat) (cell.Report, error)
 }
 
-// Meter takes in what the sched measures.
+// Meter records the metrics of a sched.
 type Meter interface {
 	TaskWait(queue core.Queue, team core.Team, wait time.Duration)
 	Placement(took time.Duration)
 	Counts(cell core.CellID, c cell.Counts)
 }
 
-// ownedCell is one cell while this process owns it.
+// ownedCell is the state of a cell that this process owns or is releasing.
 type ownedCell struct {
 	claim  member.Claim
 	cell   *cell.Cell
 	ledger *ledger.Ledger
-	// nextRow numbers the journal row written next.
+	// nextRow is the number of the next journal row.
 	nextRow uint64
 	// writing is set while a write of the journal or a snapshot is in flight.
 	writing bool
-	// outcomeUnknown is set after a write without a reply: it is tried again as it was,
-	// and its own row then counts as success.
+	// outcomeUnknown is set after a journal write without a reply. The same batch
+	// is then written again, and a conflict with its own row counts as success.
 	outcomeUnknown    bool
 	retryAt           time.Time
 	rowsSinceSnapshot int
-	journalKeys       []string
-	snapshot          string
-	submitters        map[core.JobID][]chan<- submitReply
-	lastPlan          time.Time
-	releasing         bool
+	// journalKeys are the keys of the journal rows that the next snapshot deletes.
+	journalKeys []string
+	// snapshot is the object name of the stored snapshot; it is empty if there is
+	// none.
+	snapshot string
+	// submitters are the callers that wait until their job is stored.
+	submitters map[core.JobID][]chan<- submitReply
+	lastPlan   time.Time
+	releasing  bool
 }
 
 // Sched is the control state of the process.
@@ -83,24 +88,26 @@
 	workerTTL time.Duration
 	policy    cell.Policy
 	cells     map[core.CellID]*ownedCell
-	// nextLoad holds until when a cell's journal is not read again.
-	nextLoad      map[core.CellID]time.Time
-	nextTick      time.Time
-	drained       chan struct{}
-	draining      bool
+	// nextLoad is the earliest time at which a cell's journal is read again.
+	nextLoad map[core.CellID]time.Time
+	nextTick time.Time
+	// drained is closed once a planned stop has deleted the session.
+	drained  chan struct{}
+	draining bool
+	// sessionEnding is set once the deletion of the session has started.
 	sessionEnding bool
 }
 
-// Option changes a sched under construction.
+// Option configures a sched in New.
 type Option func(*Sched)
 
-// WithWorkerTTL sets how long a worker goes on without contact.
+// WithWorkerTTL sets the length of a worker's lease.
 func WithWorkerTTL(ttl time.Duration) Option { return func(s *Sched) { s.workerTTL = ttl } }
 
 // WithPolicy sets the placement policy.
 func WithPolicy(p cell.Policy) Option { return func(s *Sched) { s.policy = p } }
 
-// New returns a sched that owns nothing yet.
+// New returns a sched that owns no cells yet.
 func New(l *loop.Loop, st Store, p agent.Peers, w Workers, m *member.Member, mt Meter, log *logrus.Entry, opts ...Option) *Sched {
 	s := &Sched{
 		loop: l, store: st, workers: w, meter: mt, log: log, workerTTL: cell.DefaultWorkerTTL,
@@ -114,9 +121,11 @@
 	return s
 }
 
-// Left is closed once a planned stop has handed everything over.
+// Left returns a channel that is closed once a planned stop has released every
+// cell and deleted the session.
 func (s *Sched) Left() <-chan struct{} { return s.drained }
 
+// These messages carry the results of I/O to the control goroutine.
 type (
 	heartbeatResult struct {
 		cell      core.CellID
@@ -145,6 +154,7 @@
 		version uint64
 		err     error
 	}
+	// drainRequest starts a planned stop.
 	drainRequest struct{}
 )
 
@@ -163,7 +173,7 @@
 // Message implements loop.Message.
 func (drainRequest) Message() {}
 
-// Leave begins a planned stop.
+// Leave starts a planned stop: the sched releases its cells.
 func (s *Sched) Leave() { _ = s.loop.Post(drainRequest{}) }
 
 // Handle implements loop.Handler.
@@ -181,7 +191,7 @@
 	case snapshotResult:
 		s.handleSnapshot(now, m)
 	case drainRequest:
-		s.log.Info("leaving: handing cells over")
+		s.log.Info("draining: releasing all cells")
 		s.draining = true
 		s.Agent.Member.Drain()
 	}
@@ -195,163 +205,176 @@
 	if tick {
 		s.nextTick = now.Add(tickInterval)
 	}
-	live := s.Agent.Member.SessionValid(now)
-	for _, t := range s.cells {
-		if live {
-			next = core.Earlier(next, s.advance(now, t, tick))
+	sessionValid := s.Agent.Member.SessionValid(now)
+	for _, oc := range s.cells {
+		if sessionValid {
+			next = core.Earlier(next, s.advance(now, oc, tick))
 		}
 	}
 	s.finishDrain()
 	return core.Earlier(next, s.nextTick)
 }
 
-// syncOwnership opens and closes tenures as the membership says.
+// syncOwnership reads the journals of newly claimed cells, marks the cells that
+// this process releases and closes those that it no longer owns.
 func (s *Sched) syncOwnership(now time.Time) {
 	owned, loading, releasing := s.Agent.Member.Owned()
-	keep := core.NewSet[core.CellID]()
+	kept := core.NewSet[core.CellID]()
 	for _, c := range owned {
-		keep.Add(c.Cell)
+		kept.Add(c.Cell)
 	}
 	for _, c := range releasing {
-		keep.Add(c.Cell)
-		if t := s.cells[c.Cell]; t != nil {
-			t.releasing = true
+		kept.Add(c.Cell)
+		if oc := s.cells[c.Cell]; oc != nil {
+			oc.releasing = true
 		}
 	}
 	for _, c := range loading {
-		keep.Add(c.Cell)
+		kept.Add(c.Cell)
 		if now.After(s.nextLoad[c.Cell]) {
 			s.readJournal(c)
 		}
 	}
-	for id, t := range s.cells {
-		if !keep.Has(id) {
-			s.closeCell(id, t)
+	for id, oc := range s.cells {
+		if !kept.Has(id) {
+			s.closeCell(id, oc)
 		}
 	}
 }
 
-func (s *Sched) closeCell(id core.CellID, t *ownedCell) {
-	s.log.Infof("cell %s is no longer owned here", id)
+// closeCell drops the state of a cell that this process no longer owns. Its
+// submitters learn that the outcome is unknown.
+func (s *Sched) closeCell(id core.CellID, oc *ownedCell) {
+	s.log.Infof("cell %s is no longer owned by this process", id)
 	delete(s.cells, id)
-	s.Agent.RemoveLedger(t.ledger)
-	for _, list := range t.submitters {
+	s.Agent.RemoveLedger(oc.ledger)
+	for _, list := range oc.submitters {
 		for _, c := range list {
-			c <- submitReply{err: core.RefuseUnknown(core.CodeOwner, nil, "cell %s has changed hands", id)}
+			c <- submitReply{err: core.RefuseUnknown(core.CodeOwner, nil, "cell %s changed owners before the store confirmed the job", id)}
 		}
 	}
 }
 
-// advance lets one cell decide and sends what it has decided.
-func (s *Sched) advance(now time.Time, t *ownedCell, tick bool) time.Time {
-	if t.releasing {
-		s.releaseCell(now, t)
+// advance runs the decisions of one cell that are due, sends and stores their
+// results, and returns when to run it again.
+func (s *Sched) advance(now time.Time, oc *ownedCell, tick bool) time.Time {
+	if oc.releasing {
+		s.releaseCell(now, oc)
 		return now.Add(tickInterval)
 	}
 	if tick {
-		t.cell.Tick(now)
-		s.meter.Counts(t.claim.Cell, t.cell.Counts())
+		oc.cell.Tick(now)
+		s.meter.Counts(oc.claim.Cell, oc.cell.Counts())
 	}
 	next := time.Time{}
-	if now.Sub(t.lastPlan) >= minPlanInterval {
+	if now.Sub(oc.lastPlan) >= minPlanInterval {
 		began := time.Now()
-		if t.cell.Plan(now) {
+		if oc.cell.Plan(now) {
 			next = now.Add(minPlanInterval)
 		}
 		s.meter.Placement(time.Since(began))
-		t.lastPlan = now
+		oc.lastPlan = now
 	} else {
-		next = t.lastPlan.Add(minPlanInterval)
+		next = oc.lastPlan.Add(minPlanInterval)
 	}
-	for _, k := range t.cell.Heartbeats(now) {
-		s.sendHeartbeat(t, k)
+	for _, h := range oc.cell.Heartbeats(now) {
+		s.sendHeartbeat(oc, h)
 	}
-	s.writeJournal(now, t)
-	s.reportMetrics(t)
+	s.writeJournal(now, oc)
+	s.reportMetrics(oc)
 	return next
 }
 
-func (s *Sched) reportMetrics(t *ownedCell) {
-	s.Agent.LogRefusals(t.cell.Refusals())
-	for _, w := range t.cell.Waits() {
+// reportMetrics logs refused events of a cell and records the wait times of its
+// started tasks.
+func (s *Sched) reportMetrics(oc *ownedCell) {
+	s.Agent.LogRefusals(oc.cell.Refusals())
+	for _, w := range oc.cell.Waits() {
 		s.meter.TaskWait(w.Queue, w.Team, w.Time)
 	}
 }
 
-func (s *Sched) sendHeartbeat(t *ownedCell, k cell.Heartbeat) {
-	id, epoch := t.claim.Cell, t.claim.Epoch
+// sendHeartbeat sends a heartbeat to a worker on another goroutine.
+func (s *Sched) sendHeartbeat(oc *ownedCell, h cell.Heartbeat) {
+	id, epoch := oc.claim.Cell, oc.claim.Epoch
 	s.loop.Go(func(ctx context.Context) loop.Message {
-		r, err := s.workers.Heartbeat(ctx, k)
-		return heartbeatResult{id, epoch, k, r, err}
+		r, err := s.workers.Heartbeat(ctx, h)
+		return heartbeatResult{id, epoch, h, r, err}
 	})
 }
 
+// handleHeartbeat handles the result of a heartbeat. A worker that has accepted a
+// newer epoch proves that this process has lost the cell.
 func (s *Sched) handleHeartbeat(now time.Time, m heartbeatResult) {
-	t := s.cells[m.cell]
-	if t == nil || t.claim.Epoch != m.epoch || t.releasing {
+	oc := s.cells[m.cell]
+	if oc == nil || oc.claim.Epoch != m.epoch || oc.releasing {
 		return
 	}
 	var stale *work.StaleError
 	switch {
 	case errors.As(m.err, &stale):
-		s.log.WithError(m.err).Warnf("cell %s has a newer owner", m.cell)
+		s.log.WithError(m.err).Warnf("cell %s is owned by a newer epoch", m.cell)
 		s.Agent.Member.Lost(m.cell)
 		s.syncOwnership(now)
 	case m.err != nil:
-		s.log.WithError(m.err).Debug("contact missed")
-		t.cell.HeartbeatFailed(now, m.heartbeat)
+		s.log.WithError(m.err).Debug("heartbeat failed")
+		oc.cell.HeartbeatFailed(now, m.heartbeat)
 	default:
-		t.cell.Report(now, m.heartbeat, m.report)
+		oc.cell.Report(now, m.heartbeat, m.report)
 	}
 }
 
 // ConfigChanged implements agent.Host.
 func (s *Sched) ConfigChanged(time.Time) {
-	for _, t := range s.cells {
-		s.applyRules(t)
+	for _, oc := range s.cells {
+		s.applyRules(oc)
 	}
 }
 
 // VMsChanged implements agent.Host.
 func (s *Sched) VMsChanged(now time.Time, _ []core.VM) {
-	for _, t := range s.cells {
-		s.applyVMs(now, t)
+	for _, oc := range s.cells {
+		s.applyVMs(now, oc)
 	}
 }
 
-// BookRead implements agent.Host: it tells each cell what teams use elsewhere.
+// BookRead implements agent.Host. It gives each cell the parts of the teams'
+// limits that other cells hold, and the cores of all VMs.
 func (s *Sched) BookRead(time.Time) {
-	fleet := int64(0)
+	fleetCores := int64(0)
 	for _, vm := range s.Agent.VMs() {
-		fleet += vm.Room.Cores
+		fleetCores += vm.Room.Cores
 	}
-	for _, t := range s.cells {
+	for _, oc := range s.cells {
 		for team := range s.Agent.Conf.Rules().Teams {
 			name := cell.LimitName(team)
-			t.cell.SetRemoteUse(team, t.ledger.Total(name)-t.ledger.Held(name), fleet)
+			oc.cell.SetRemoteUse(team, oc.ledger.Total(name)-oc.ledger.Held(name), fleetCores)
 		}
 	}
 }
 
-func (s *Sched) applyRules(t *ownedCell) {
+// applyRules gives a cell the rules in force and declares the teams' limits in its
+// ledger.
+func (s *Sched) applyRules(oc *ownedCell) {
 	set := s.Agent.Conf.Rules()
-	t.cell.SetRules(set)
-	rows := core.NewSet[string]()
+	oc.cell.SetRules(set)
+	limits := core.NewSet[string]()
 	for name, team := range set.Teams {
-		rows.Add(cell.LimitName(name))
-		t.ledger.Declare(cell.LimitName(name), team.Cores, team.Cores/slackDivisor)
+		limits.Add(cell.LimitName(name))
+		oc.ledger.Declare(cell.LimitName(name), team.Cores, team.Cores/slackDivisor)
 	}
-	t.ledger.ZeroTotals(rows.Has)
+	oc.ledger.ZeroTotals(limits.Has)
 }
 
-func (s *Sched) applyVMs(now time.Time, t *ownedCell) {
+// applyVMs gives a cell its workers from the list of VMs.
+func (s *Sched) applyVMs(now time.Time, oc *ownedCell) {
 	if !s.Agent.Listed() {
 		return
 	}
-	t.cell.SetWorkers(now, workersOf(s.Agent.VMs(), t.claim.Cell, s.Agent.Member.Cells()))
+	oc.cell.SetWorkers(now, workersOf(s.Agent.VMs(), oc.claim.Cell, s.Agent.Member.Cells()))
 }
 
-// workersOf returns the workers that belong to a cell.
+// workersOf returns the worker VMs that belong to a cell.
 func workersOf(vms []core.VM, id core.CellID, cells int) []core.VM {
 	var out []core.VM
 	for _, vm := range vms {
@@ -362,6 +385,8 @@
 	return out
 }
 
+// finishDrain deletes the session of a draining process that has released its
+// last cell.
 func (s *Sched) finishDrain() {
 	if !s.draining || s.sessionEnding || len(s.cells) > 0 {
 		return
--- a/io/sched/serve.go
+++ b/io/sched/serve.go
@@ -12,6 +12,8 @@
 	"chicoryturn/io/peer"
 )
 
+// These messages carry requests of traffic goroutines to the control goroutine,
+// and its replies.
 type (
 	submitReply struct {
 		repeated bool
@@ -35,7 +37,7 @@
 	}
 	listRequest struct {
 		team  core.Team
-		most  int
+		limit int
 		reply chan<- []cell.View
 	}
 	dumpRequest struct{ reply chan<- Dump }
@@ -56,14 +58,14 @@
 // Message implements loop.Message.
 func (dumpRequest) Message() {}
 
-// Dump is the whole control state for people.
+// Dump is the control state that the operators' page /dump shows.
 type Dump struct {
 	Agent   agent.Dump
 	Mailbox int
 	Cells   []CellDump
 }
 
-// CellDump is one owned cell.
+// CellDump is the state of one owned cell.
 type CellDump struct {
 	Load    cell.Load
 	Pending int
@@ -72,26 +74,27 @@
 	Jobs    []cell.View
 }
 
-// dumpJobs bounds the jobs of one cell in a dump.
+// dumpJobs is the largest number of jobs of one cell in a dump.
 const dumpJobs = 500
 
-// handleRequest answers the questions of traffic goroutines.
+// handleRequest handles the requests of traffic goroutines and reports whether the
+// message was one.
 func (s *Sched) handleRequest(now time.Time, m loop.Message) bool {
 	switch m := m.(type) {
 	case submitRequest:
 		s.submit(now, m)
 	case cancelRequest:
-		t, err := s.cellOf(now, m.id)
+		oc, err := s.cellOf(now, m.id)
 		if err == nil {
-			err = t.cell.Cancel(now, m.id)
+			err = oc.cell.Cancel(now, m.id)
 		}
 		m.reply <- err
 	case showRequest:
 		m.reply <- s.show(now, m.id)
 	case listRequest:
 		var out []cell.View
-		for _, t := range s.cells {
-			out = append(out, t.cell.List(m.team, m.most)...)
+		for _, oc := range s.cells {
+			out = append(out, oc.cell.List(m.team, m.limit)...)
 		}
 		m.reply <- out
 	case dumpRequest:
@@ -102,41 +105,43 @@
 	return true
 }
 
-// cellOf returns the tenure that a job belongs to.
+// cellOf returns the owned cell of a job.
 func (s *Sched) cellOf(now time.Time, id core.JobID) (*ownedCell, error) {
 	c, ok := id.Cell()
 	if !ok {
-		return nil, core.Refuse(core.CodeNoJob, "%q is not the name of a job", id)
+		return nil, core.Refuse(core.CodeNoJob, "%q is not a job ID", id)
 	}
-	t := s.cells[c]
-	if t == nil || t.releasing || !s.Agent.Member.SessionValid(now) {
-		r := core.Refuse(core.CodeOwner, "cell %s is not owned here", c)
+	oc := s.cells[c]
+	if oc == nil || oc.releasing || !s.Agent.Member.SessionValid(now) {
+		r := core.Refuse(core.CodeOwner, "cell %s is not owned by this process", c)
 		r.RetryAfter = time.Second
 		return nil, r
 	}
-	return t, nil
+	return oc, nil
 }
 
+// submit adds a job to its cell. It replies at once to an error or a repeated
+// submission, and otherwise once the job is stored.
 func (s *Sched) submit(now time.Time, m submitRequest) {
-	t, err := s.cellOf(now, m.spec.ID)
+	oc, err := s.cellOf(now, m.spec.ID)
 	if err != nil {
 		m.reply <- submitReply{err: err}
 		return
 	}
-	fresh, err := t.cell.Submit(now, m.spec)
-	if err != nil || (!fresh && !t.cell.Recording(m.spec.ID)) {
+	added, err := oc.cell.Submit(now, m.spec)
+	if err != nil || (!added && !oc.cell.Recording(m.spec.ID)) {
 		m.reply <- submitReply{repeated: err == nil, err: err}
 		return
 	}
-	t.submitters[m.spec.ID] = append(t.submitters[m.spec.ID], m.reply)
+	oc.submitters[m.spec.ID] = append(oc.submitters[m.spec.ID], m.reply)
 }
 
 func (s *Sched) show(now time.Time, id core.JobID) showReply {
-	t, err := s.cellOf(now, id)
+	oc, err := s.cellOf(now, id)
 	if err != nil {
 		return showReply{err: err}
 	}
-	v, ok := t.cell.Show(id)
+	v, ok := oc.cell.Show(id)
 	if !ok {
 		return showReply{err: core.Refuse(core.CodeNoJob, "no job %q", id)}
 	}
@@ -145,16 +150,16 @@
 
 func (s *Sched) dump() Dump {
 	d := Dump{Agent: s.Agent.Dump(), Mailbox: s.loop.Depth()}
-	for _, t := range s.cells {
+	for _, oc := range s.cells {
 		d.Cells = append(d.Cells, CellDump{
-			Load: t.cell.State(), Pending: t.cell.Pending(), Journal: t.nextRow,
-			Workers: t.cell.Workers(), Jobs: t.cell.List("", dumpJobs),
+			Load: oc.cell.State(), Pending: oc.cell.Pending(), Journal: oc.nextRow,
+			Workers: oc.cell.Workers(), Jobs: oc.cell.List("", dumpJobs),
 		})
 	}
 	return d
 }
 
-// Dump returns the whole control state; it is called by traffic goroutines.
+// Dump implements httpx.Process.
 func (s *Sched) Dump(ctx context.Context) (any, error) {
 	return loop.Ask(ctx, s.loop, func(c chan<- Dump) loop.Message { return dumpRequest{c} })
 }
@@ -171,18 +176,18 @@
 func (s *Sched) Submit(ctx context.Context, spec cell.JobSpec) (bool, error) {
 	r, err := loop.Ask(ctx, s.loop, func(c chan<- submitReply) loop.Message { return submitRequest{spec, c} })
 	if err != nil {
-		return false, core.RefuseUnknown(core.CodeStore, err, "the job may or may not have been recorded")
+		return false, core.RefuseUnknown(core.CodeStore, err, "the job may or may not have been stored")
 	}
 	return r.repeated, r.err
 }
 
 // Cancel implements peer.Backend.
 func (s *Sched) Cancel(ctx context.Context, id core.JobID) error {
-	refused, err := loop.Ask(ctx, s.loop, func(c chan<- error) loop.Message { return cancelRequest{id, c} })
+	cancelErr, err := loop.Ask(ctx, s.loop, func(c chan<- error) loop.Message { return cancelRequest{id, c} })
 	if err != nil {
 		return err
 	}
-	return refused
+	return cancelErr
 }
 
 // Show implements peer.Backend.
@@ -195,6 +200,6 @@
 }
 
 // List implements peer.Backend.
-func (s *Sched) List(ctx context.Context, team core.Team, most int) ([]cell.View, error) {
-	return loop.Ask(ctx, s.loop, func(c chan<- []cell.View) loop.Message { return listRequest{team, most, c} })
+func (s *Sched) List(ctx context.Context, team core.Team, limit int) ([]cell.View, error) {
+	return loop.Ask(ctx, s.loop, func(c chan<- []cell.View) loop.Message { return listRequest{team, limit, c} })
 }
