--- a/io/peer/pool.go
+++ b/io/peer/pool.go
@@ -178,14 +178,14 @@
 	return out, nil
 }
 
-// RefusedError reports that the connection to a peer could not be opened or broke.
-type RefusedError struct{ Err error }
+// ConnectionError reports that the connection to a peer could not be opened or broke.
+type ConnectionError struct{ Err error }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return "connection failed: " + e.Err.Error() }
+func (e *ConnectionError) Error() string { return "connection failed: " + e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *RefusedError) Unwrap() error { return e.Err }
+func (e *ConnectionError) Unwrap() error { return e.Err }
 
 // refusalOf converts an error of a gRPC call to a refusal. It restores the refusal
 // that the peer attached to the status.
@@ -205,7 +205,7 @@
 		}
 	}
 	if s.Code() == codes.Unavailable {
-		return core.RefuseUnknown(core.CodeOwner, &RefusedError{err}, "the peer is not available")
+		return core.RefuseUnknown(core.CodeOwner, &ConnectionError{err}, "the peer is not available")
 	}
 	return core.RefuseUnknown(core.CodeOwner, err, "the call to the peer failed")
 }
