--- a/io/check/check.go
+++ b/io/check/check.go
@@ -1,5 +1,5 @@
-// Package check reads what workers and targets have recorded and finds every
-// instant at which an invariant did not hold.
+// Package check replays the records of workers and targets after a test run and
+// reports every violation of an invariant.
 package check
 
 import (
@@ -11,35 +11,41 @@
 	"chicoryturn/io/fakes"
 )
 
-// Violation is one broken invariant.
+// Violation is a violation of an invariant at one time.
 type Violation struct {
 	Invariant string
 	What      string
 	At        time.Time
 }
 
-// String returns the fault as one line.
-func (f Violation) String() string {
-	return fmt.Sprintf("%s: %s at %s", f.Invariant, f.What, f.At.Format("15:04:05.000000"))
+// String returns the violation as one line.
+func (v Violation) String() string {
+	return fmt.Sprintf("%s: %s at %s", v.Invariant, v.What, v.At.Format("15:04:05.000000"))
 }
 
-// The names of the invariants.
+// The violated invariants.
 const (
-	Room   = "room"
-	Twice  = "running twice"
-	Limit  = "limit"
-	Lost   = "lost task"
-	Slots  = "slots"
+	// Room is the use of more than the capacity of a worker.
+	Room = "room"
+	// Twice is a task that runs on two workers at once.
+	Twice = "running twice"
+	// Limit is the use of more cores or requests than a team's limit.
+	Limit = "limit"
+	// Lost is a submitted task that never ran to its end.
+	Lost = "lost task"
+	// Slots is a target with more requests at once than slots.
+	Slots = "slots"
+	// Repeat is a request that reached targets twice but must not be retried.
 	Repeat = "request run twice"
 )
 
-// Log is all task events of a run in order of time.
+// Log holds the task events of all workers of a test run in order of time.
 type Log struct {
 	events   []fakes.TaskRecord
 	capacity map[string]core.Resources
 }
 
-// NewLog merges the records of all workers.
+// NewLog merges the records of workers.
 func NewLog(workers []fakes.WorkerRecord) *Log {
 	l := &Log{capacity: map[string]core.Resources{}}
 	for _, w := range workers {
@@ -48,7 +54,7 @@
 			l.events = append(l.events, r)
 		}
 	}
-	// Of two events at one instant, the end counts first.
+	// Of two events at the same time, the end comes before the start.
 	sort.SliceStable(l.events, func(i, j int) bool {
 		a, b := l.events[i], l.events[j]
 		if !a.At.Equal(b.At) {
@@ -59,42 +65,43 @@
 	return l
 }
 
-// Events returns the events in order of time.
+// Events returns the task events in order of time.
 func (l *Log) Events() []fakes.TaskRecord { return l.events }
 
-// Violations replays the run. Limits are in thousandths of a core.
+// Violations replays the events and returns the violations of Room, Twice and Limit.
+// Limits are the teams' limits in thousandths of a core.
 func (l *Log) Violations(limits map[core.Team]int64) []Violation {
 	var out []Violation
 	used := map[string]core.Resources{}
-	where := map[string]string{}
-	team := map[string]int64{}
+	runningOn := map[string]string{}
+	teamCores := map[string]int64{}
 	for _, e := range l.events {
 		need := e.Need.Core()
 		if e.Event != "start" {
-			if where[e.Task] == e.Worker {
-				delete(where, e.Task)
+			if runningOn[e.Task] == e.Worker {
+				delete(runningOn, e.Task)
 			}
 			used[e.Worker] = used[e.Worker].Sub(need)
-			team[e.Team] -= need.Cores
+			teamCores[e.Team] -= need.Cores
 			continue
 		}
-		if other, ok := where[e.Task]; ok {
+		if other, ok := runningOn[e.Task]; ok {
 			out = append(out, Violation{Twice, fmt.Sprintf("task %s on %s and %s", e.Task, other, e.Worker), e.At})
 		}
-		where[e.Task] = e.Worker
+		runningOn[e.Task] = e.Worker
 		used[e.Worker] = used[e.Worker].Add(need)
 		if !used[e.Worker].Fits(l.capacity[e.Worker]) {
 			out = append(out, Violation{Room, fmt.Sprintf("%s holds %+v of %+v", e.Worker, used[e.Worker], l.capacity[e.Worker]), e.At})
 		}
-		team[e.Team] += need.Cores
-		if most, ok := limits[core.Team(e.Team)]; ok && team[e.Team] > most {
-			out = append(out, Violation{Limit, fmt.Sprintf("team %s runs %d of %d", e.Team, team[e.Team], most), e.At})
+		teamCores[e.Team] += need.Cores
+		if limit, ok := limits[core.Team(e.Team)]; ok && teamCores[e.Team] > limit {
+			out = append(out, Violation{Limit, fmt.Sprintf("team %s runs %d of %d", e.Team, teamCores[e.Team], limit), e.At})
 		}
 	}
 	return out
 }
 
-// Done returns the tasks that have ended well.
+// Done returns the tasks that completed.
 func (l *Log) Done() core.Set[string] {
 	out := core.NewSet[string]()
 	for _, e := range l.events {
@@ -105,7 +112,7 @@
 	return out
 }
 
-// Starts returns when each task first started.
+// Starts returns the time at which each task first started.
 func (l *Log) Starts() map[string]time.Time {
 	out := map[string]time.Time{}
 	for _, e := range l.events {
@@ -116,20 +123,20 @@
 	return out
 }
 
-// Use returns the resource time of each team between two instants, cores in
-// thousandths of a core and seconds.
+// Use returns the resources that each team used between two times, multiplied by the
+// seconds of use. Cores and accelerators are in thousandths.
 func (l *Log) Use(from, to time.Time) map[core.Team]core.Resources {
 	out := map[core.Team]core.Resources{}
-	began := map[string]fakes.TaskRecord{}
+	started := map[string]fakes.TaskRecord{}
 	add := func(e fakes.TaskRecord, end time.Time) {
-		a, b := e.At, end
-		if a.Before(from) {
-			a = from
+		useStart, useEnd := e.At, end
+		if useStart.Before(from) {
+			useStart = from
 		}
-		if b.After(to) {
-			b = to
+		if useEnd.After(to) {
+			useEnd = to
 		}
-		if s := b.Sub(a).Seconds(); s > 0 {
+		if s := useEnd.Sub(useStart).Seconds(); s > 0 {
 			n := e.Need.Core()
 			out[core.Team(e.Team)] = out[core.Team(e.Team)].Add(core.Resources{
 				Cores: int64(float64(n.Cores) * s), Memory: int64(float64(n.Memory) * s), Accel: int64(float64(n.Accel) * s * 1000),
@@ -139,20 +146,20 @@
 	for _, e := range l.events {
 		key := e.Worker + "|" + e.Task
 		if e.Event == "start" {
-			began[key] = e
-		} else if b, ok := began[key]; ok {
-			add(b, e.At)
-			delete(began, key)
+			started[key] = e
+		} else if start, ok := started[key]; ok {
+			add(start, e.At)
+			delete(started, key)
 		}
 	}
-	for _, b := range began {
-		add(b, to)
+	for _, start := range started {
+		add(start, to)
 	}
 	return out
 }
 
-// Calls returns the instants at which a team had more requests running than
-// its limit.
+// Calls returns a violation for every request that started while its team had as many
+// requests running as its limit allows.
 func Calls(targets []fakes.TargetRecord, limits map[core.Team]int64) []Violation {
 	type edge struct {
 		at   time.Time
@@ -178,16 +185,15 @@
 	running := map[string]int64{}
 	for _, e := range edges {
 		running[e.team] += e.add
-		if most, ok := limits[core.Team(e.team)]; ok && e.add > 0 && running[e.team] > most {
-			out = append(out, Violation{Limit, fmt.Sprintf("team %s has %d requests of %d", e.team, running[e.team], most), e.at})
+		if limit, ok := limits[core.Team(e.team)]; ok && e.add > 0 && running[e.team] > limit {
+			out = append(out, Violation{Limit, fmt.Sprintf("team %s has %d requests of %d", e.team, running[e.team], limit), e.at})
 		}
 	}
 	return out
 }
 
-// Targets returns the faults that targets have recorded: more requests at once
-// than slots, and requests seen more often than once. Once holds the names of
-// the requests that must not be repeated.
+// Targets returns the violations of Slots and Repeat. The parameter once holds the IDs
+// of the requests that must not be retried.
 func Targets(targets []fakes.TargetRecord, once core.Set[string]) []Violation {
 	var out []Violation
 	seen := map[string]fakes.Hit{}
--- a/io/check/check_test.go
+++ b/io/check/check_test.go
@@ -18,8 +18,8 @@
 	return fakes.TaskRecord{Worker: worker, Task: task, Team: team, Need: work.Room{Cores: cores}, Event: event, At: startTime.Add(time.Duration(at) * time.Second)}
 }
 
-// TestViolations shows that the checker finds each broken invariant, so that a
-// proof without faults means something.
+// TestViolations checks that the replay finds each kind of violation. A replay that
+// misses one would let the tests that rely on it pass.
 func TestViolations(t *testing.T) {
 	tests := map[string]struct {
 		records []fakes.TaskRecord
@@ -43,13 +43,13 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := check.NewLog([]fakes.WorkerRecord{{Room: work.Room{Cores: 8000}, Records: tt.records}})
-			faults := l.Violations(map[core.Team]int64{"b": 5000})
+			violations := l.Violations(map[core.Team]int64{"b": 5000})
 			if tt.want == "" {
-				is.Equal(len(faults), 0)
+				is.Equal(len(violations), 0)
 				return
 			}
-			is.Equal(len(faults), 1)
-			is.Equal(faults[0].Invariant, tt.want)
+			is.Equal(len(violations), 1)
+			is.Equal(violations[0].Invariant, tt.want)
 		})
 	}
 }
@@ -60,8 +60,8 @@
 		{Slots: 8, Most: 9, Overfull: 1, Hits: []fakes.Hit{{Target: "t1", ID: "r1"}}},
 		{Slots: 8, Most: 1, Hits: []fakes.Hit{{Target: "t2", ID: "r1"}, {Target: "t2", ID: "r2"}, {Target: "t2", ID: "r2"}}},
 	}
-	faults := check.Targets(records, core.NewSet("r1"))
-	is.Equal(len(faults), 2)
-	is.Equal(faults[0].Invariant, check.Slots)
-	is.Equal(faults[1].Invariant, check.Repeat)
+	violations := check.Targets(records, core.NewSet("r1"))
+	is.Equal(len(violations), 2)
+	is.Equal(violations[0].Invariant, check.Slots)
+	is.Equal(violations[1].Invariant, check.Repeat)
 }
--- a/io/httpx/httpx.go
+++ b/io/httpx/httpx.go
@@ -1,5 +1,5 @@
-// Package httpx holds what the HTTP interfaces of all processes share: how a
-// refusal is written, and the operators' pages.
+// Package httpx holds what the HTTP interfaces of all processes share: the encoding of
+// refusals, and the operators' pages.
 package httpx
 
 import (
@@ -20,22 +20,24 @@
 )
 
 const (
-	// RunHeader says whether a request ran: yes, no or unknown.
+	// RunHeader is the response header that says whether the request was executed:
+	// yes, no or unknown.
 	RunHeader = "Run"
-	// HeaderTimeout bounds the time that a client takes to send its headers.
+	// HeaderTimeout is the time within which a client must send its headers.
 	HeaderTimeout = 10 * time.Second
-	// IdleTimeout bounds the time that a connection is kept without a request.
+	// IdleTimeout is how long a connection is kept open without a request.
 	IdleTimeout = 2 * time.Minute
-	// MaxHeader bounds the headers of one request, in bytes.
+	// MaxHeader is the largest size of the headers of one request, in bytes.
 	MaxHeader = 64 << 10
 )
 
-// Refusal is the body of every refused request.
+// Refusal is the body of the answer to a refused request.
 type Refusal struct {
-	Code   string   `json:"code"`
-	Run    string   `json:"run"`
-	Reason string   `json:"reason"`
-	Lines  []string `json:"lines,omitempty"`
+	Code   string `json:"code"`
+	Run    string `json:"run"`
+	Reason string `json:"reason"`
+	// Lines are the errors of a refused file, one per entry.
+	Lines []string `json:"lines,omitempty"`
 }
 
 var statusByCode = map[core.Code]int{
@@ -58,7 +60,7 @@
 	core.CodeTarget:   http.StatusBadGateway,
 }
 
-// Status returns the HTTP status of a code.
+// Status returns the HTTP status of a refusal code.
 func Status(c core.Code) int {
 	if s, ok := statusByCode[c]; ok {
 		return s
@@ -66,12 +68,13 @@
 	return http.StatusInternalServerError
 }
 
-// WriteError answers with a refusal.
+// WriteError answers with the refusal that an error holds. Any other error becomes a
+// refusal whose execution is unknown.
 func WriteError(w http.ResponseWriter, err error) {
 	var lines core.LineErrors
 	var r *core.RefusalError
 	if errors.As(err, &lines) {
-		body := Refusal{Code: string(core.CodeBadInput), Run: string(core.NotExecuted), Reason: "the file has faults; nothing was changed"}
+		body := Refusal{Code: string(core.CodeBadInput), Run: string(core.NotExecuted), Reason: "the file has errors; nothing was changed"}
 		for _, l := range lines {
 			body.Lines = append(body.Lines, l.Error())
 		}
@@ -98,7 +101,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// WriteJSON answers with a value.
+// WriteJSON answers with a value, encoded as JSON.
 func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -107,28 +110,28 @@
 	_ = enc.Encode(body)
 }
 
-// ReadBody reads a body of bounded size.
-func ReadBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+// ReadBody reads a body of at most limit bytes.
+func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return nil, core.Refuse(core.CodeTooLarge, "the body is larger than %d bytes", most)
+		return nil, core.Refuse(core.CodeTooLarge, "the body is larger than %d bytes", limit)
 	}
 	if err != nil {
-		return nil, core.Refuse(core.CodeBadInput, "the body was not sent in full")
+		return nil, core.Refuse(core.CodeBadInput, "the body is incomplete")
 	}
 	return body, nil
 }
 
-// Process is what the operators' pages need of a process.
+// Process is a process that has operators' pages.
 type Process interface {
-	// Dump returns the whole control state.
+	// Dump returns the control state.
 	Dump(ctx context.Context) (any, error)
-	// Ready reports whether work may be sent here.
+	// Ready reports whether the process accepts work.
 	Ready(ctx context.Context) bool
 }
 
-// Ops returns the operators' pages of a process.
+// Ops returns the handler of the operators' pages of a process.
 func Ops(p Process, a *agent.Agent) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
@@ -151,6 +154,8 @@
 	return mux
 }
 
+// respond returns a function that answers with its arguments: a refusal if err is set,
+// and the JSON form of body otherwise. It takes the results of a call directly.
 func respond(w http.ResponseWriter) func(body any, err error) {
 	return func(body any, err error) {
 		if err != nil {
@@ -161,15 +166,17 @@
 	}
 }
 
+// opsHandlers are the handlers that use the agent.
 type opsHandlers struct{ agent *agent.Agent }
 
-// operatorName names who asks, for the history.
+// operatorName returns the name that the operator gives for the history of changes.
 func operatorName(r *http.Request) string { return strings.TrimSpace(r.Header.Get("Operator")) }
 
-// Pushed is the answer to an accepted change.
+// Pushed is the answer to an accepted change of the configuration.
 type Pushed struct {
+	// Version is the version of the configuration with the change.
 	Version core.Version `json:"version"`
-	// Key is shown once, when it is granted.
+	// Key is a newly granted key. No other answer contains it.
 	Key string `json:"key,omitempty"`
 }
 
@@ -206,7 +213,7 @@
 	respond(w)(o.agent.History(r.Context()))
 }
 
-// Config is the configuration in force.
+// Config describes the configuration in force.
 type Config struct {
 	Version core.Version `json:"version"`
 	// Lowest is the lowest version in force in any live process.
@@ -218,7 +225,7 @@
 	respond(w)(Config{v.Version, v.Lowest}, err)
 }
 
-// Key is a key for display; its secret is not kept anywhere.
+// Key describes a key without its secret, which is not stored.
 type Key struct {
 	ID    string `json:"id"`
 	Team  string `json:"team"`
--- a/io/logbuf/writer.go
+++ b/io/logbuf/writer.go
@@ -1,5 +1,5 @@
-// Package logbuf writes logs without ever delaying who logs: lines beyond a
-// bounded buffer are dropped and counted.
+// Package logbuf buffers log lines so that logging never blocks. When the buffer is
+// full, lines are dropped and counted.
 package logbuf
 
 import (
@@ -11,66 +11,70 @@
 )
 
 const (
-	// maxLines bounds the lines that wait to be written.
+	// maxLines is the capacity of the buffer.
 	maxLines = 2048
-	// maxWriteBytes bounds the bytes of one write.
+	// maxWriteBytes is the size from which no more lines are added to one write.
 	maxWriteBytes = 16 << 10
 )
 
-// Writer is an io.Writer that never blocks.
+// Writer is an io.Writer that buffers lines and never blocks.
 type Writer struct {
 	out     io.Writer
 	queue   chan []byte
 	dropped atomic.Uint64
 }
 
-// New returns a spool in front of a writer; Run writes.
+// New returns a buffer for an output, to which Run writes.
 func New(out io.Writer) *Writer { return &Writer{out: out, queue: make(chan []byte, maxLines)} }
 
-// Write implements io.Writer. It always succeeds.
-func (s *Writer) Write(line []byte) (int, error) {
+// Write implements io.Writer. It never returns an error; if the buffer is full, it
+// drops the line.
+func (w *Writer) Write(line []byte) (int, error) {
 	select {
-	case s.queue <- bytes.Clone(line):
+	case w.queue <- bytes.Clone(line):
 	default:
-		s.dropped.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines have been dropped.
-func (s *Writer) Dropped() uint64 { return s.dropped.Load() }
+// Dropped returns the number of dropped lines.
+func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Run writes what is queued until the context ends, then what is left.
-func (s *Writer) Run(ctx context.Context) error {
-	told := uint64(0)
+// Run writes the buffered lines until the context ends, and then once more up to
+// maxWriteBytes of the remaining ones. After lines were dropped it adds a line with
+// their number.
+func (w *Writer) Run(ctx context.Context) error {
+	reported := uint64(0)
 	var buf bytes.Buffer
 	for {
 		select {
 		case <-ctx.Done():
-			s.flush(&buf)
+			w.flush(&buf)
 			return nil
-		case line := <-s.queue:
+		case line := <-w.queue:
 			buf.Write(line)
-			s.flush(&buf)
+			w.flush(&buf)
 		}
-		if n := s.dropped.Load(); n > told {
-			fmt.Fprintf(&buf, "{\"part\":\"log\",\"msg\":\"lines dropped\",\"count\":%d}\n", n-told)
-			told = n
+		if n := w.dropped.Load(); n > reported {
+			fmt.Fprintf(&buf, "{\"part\":\"log\",\"msg\":\"lines dropped\",\"count\":%d}\n", n-reported)
+			reported = n
 		}
 	}
 }
 
-func (s *Writer) flush(buf *bytes.Buffer) {
+// flush adds buffered lines to buf and writes it to the output.
+func (w *Writer) flush(buf *bytes.Buffer) {
 	for buf.Len() < maxWriteBytes {
 		select {
-		case line := <-s.queue:
+		case line := <-w.queue:
 			buf.Write(line)
 			continue
 		default:
 		}
 		break
 	}
-	// A log that cannot be written is not worth more than its lines.
-	_, _ = s.out.Write(buf.Bytes())
+	// There is nowhere to report that the log cannot be written.
+	_, _ = w.out.Write(buf.Bytes())
 	buf.Reset()
 }
--- a/io/logbuf/writer_test.go
+++ b/io/logbuf/writer_test.go
@@ -13,7 +13,7 @@
 	"chicoryturn/io/logbuf"
 )
 
-// pipe is a reader of logs that can stop reading.
+// pipe is a log output that blocks until stop is closed.
 type pipe struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -29,22 +29,23 @@
 	return p.text.Write(b)
 }
 
-// TestBlockedReader logs far more than a reader takes that has stopped reading:
-// nobody who logs is delayed, and what was dropped is told once it reads again.
+// TestBlockedReader logs many more lines than the buffer holds while the output blocks.
+// Logging must not be delayed, and once the output accepts writes again, the log must
+// say that lines were dropped.
 func TestBlockedReader(t *testing.T) {
 	is := is.New(t)
 	p := &pipe{stop: make(chan struct{})}
-	s := logbuf.New(p)
+	w := logbuf.New(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- s.Run(ctx) }()
+	go func() { done <- w.Run(ctx) }()
 	began := time.Now()
 	for i := range 20000 {
-		_, err := fmt.Fprintf(s, "line %d\n", i)
+		_, err := fmt.Fprintf(w, "line %d\n", i)
 		is.NoErr(err)
 	}
 	is.True(time.Since(began) < time.Second)
-	is.True(s.Dropped() > 10000)
+	is.True(w.Dropped() > 10000)
 	close(p.stop)
 	for {
 		p.mu.Lock()
@@ -53,7 +54,7 @@
 		if strings.Contains(text, "lines dropped") {
 			break
 		}
-		_, _ = s.Write([]byte("another\n"))
+		_, _ = w.Write([]byte("another\n"))
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
--- a/io/meter/meter.go
+++ b/io/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter keeps the metrics that a process shows to operators.
+// Package meter records the metrics of a process.
 package meter
 
 import (
@@ -13,43 +13,43 @@
 	"chicoryturn/io/store"
 )
 
-// Meter writes to the process's metrics.
+// Meter records metrics in the process's registry.
 type Meter struct{}
 
-// TaskWait takes in the time from a task's submission to its start.
+// TaskWait records the time from a task's submission to its start.
 func (Meter) TaskWait(queue core.Queue, team core.Team, wait time.Duration) {
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`chicoryturn_task_wait_seconds{queue=%q,team=%q}`, queue, team)).Update(wait.Seconds())
 }
 
-// Placement takes in the length of one placement pass.
+// Placement records the duration of one placement pass.
 func (Meter) Placement(took time.Duration) {
 	metrics.GetOrCreateHistogram("chicoryturn_plan_seconds").Update(took.Seconds())
 }
 
-// Counts takes in the running totals of a cell.
+// Counts sets the counters of a cell.
 func (Meter) Counts(id core.CellID, c cell.Counts) {
 	for name, n := range map[string]uint64{"starts": c.Starts, "ends": c.Ends, "lapses": c.Lapses, "yields": c.Yields} {
 		metrics.GetOrCreateCounter(fmt.Sprintf(`chicoryturn_task_%s_total{cell=%q}`, name, id)).Set(n)
 	}
 }
 
-// Request takes in one answered or refused request.
+// Request records the result and duration of one request.
 func (Meter) Request(queue core.Queue, team core.Team, result string, took time.Duration) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`chicoryturn_requests_total{queue=%q,team=%q,result=%q}`, queue, team, result)).Inc()
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`chicoryturn_request_seconds{queue=%q}`, queue)).Update(took.Seconds())
 }
 
-// RequestWait takes in the time that a request waited for its slot.
+// RequestWait records the time that a request waited for a slot.
 func (Meter) RequestWait(queue core.Queue, wait time.Duration) {
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`chicoryturn_request_wait_seconds{queue=%q}`, queue)).Update(wait.Seconds())
 }
 
-// Crossed takes in the bytes that crossed between regions.
+// Crossed counts bytes sent to another region.
 func (Meter) Crossed(queue core.Queue, bytes int) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`chicoryturn_crossed_bytes_total{queue=%q}`, queue)).Add(bytes)
 }
 
-// RegisterStore shows the calls to the platform.
+// RegisterStore registers the counters of a store client as metrics.
 func RegisterStore(c *store.Client) {
 	n := c.Counts()
 	for name, v := range map[string]*atomic.Uint64{
--- a/io/parse/rules.go
+++ b/io/parse/rules.go
@@ -1,5 +1,5 @@
-// Package parse reads the files that people write: the rules file and the
-// settings of a process. Every fault is reported with its line.
+// Package parse parses the rules file and the settings file of a process. It reports
+// every error of a file with its line.
 package parse
 
 import (
@@ -16,24 +16,26 @@
 	"chicoryturn/core/rules"
 )
 
-// MaxRules bounds the size of a rules file, in bytes.
+// MaxRules is the largest size of a rules file, in bytes.
 const MaxRules = 1 << 20
 
-// duration is a duration written like "1.5s".
+// duration is a time.Duration that is written like "1.5s".
 type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
+func (d *duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
 		return &ValueError{"time span", string(text), `a number with a unit, such as "500ms", "2s" or "4h"`}
 	}
-	*s = duration(d)
+	*d = duration(parsed)
 	return nil
 }
 
 // ValueError reports a value of the wrong form.
 type ValueError struct {
+	// Kind is the type of value, Text the value itself, and Expected the form that it
+	// should have.
 	Kind, Text, Expected string
 }
 
@@ -42,12 +44,14 @@
 	return fmt.Sprintf("%s %q is not %s", e.Kind, e.Text, e.Expected)
 }
 
+// teamRule is the TOML form of a rules.Team.
 type teamRule struct {
 	Share float64 `toml:"share"`
 	Cores float64 `toml:"cores"`
 	Slots int64   `toml:"slots"`
 }
 
+// queueRule is the TOML form of a rules.Queue.
 type queueRule struct {
 	Kind    string    `toml:"kind"`
 	Open    bool      `toml:"open"`
@@ -62,40 +66,42 @@
 	Cores   float64   `toml:"cores"`
 }
 
+// rulesFile is the TOML form of a rules file.
 type rulesFile struct {
 	Team  map[string]teamRule  `toml:"team"`
 	Queue map[string]queueRule `toml:"queue"`
 }
 
-// ruleSource is where a rule stands and who asked for it.
+// ruleSource is the line of a rule and the person who requested it.
 type ruleSource struct {
 	line        int
 	requestedBy string
 }
 
-// Rules reads a rules file. The error, if any, is core.LineErrors.
+// Rules parses and checks a rules file. The error, if any, is a core.LineErrors.
 func Rules(file string, text []byte) (*rules.Set, error) {
 	if len(text) > MaxRules {
 		return nil, core.LineErrors{{File: file, Line: 1, Reason: fmt.Sprintf("larger than %d bytes", MaxRules)}}
 	}
-	places, faults := findSources(file, text)
+	sources, errs := findSources(file, text)
 	var f rulesFile
 	if err := decode(text, &f); err != nil {
-		return nil, append(faults, lineErrors(file, err)...)
+		return nil, append(errs, lineErrors(file, err)...)
 	}
-	set := newSet(&f, places)
-	faults = append(faults, set.Check(file)...)
-	if len(faults) > 0 {
-		return nil, faults
+	set := newSet(&f, sources)
+	errs = append(errs, set.Check(file)...)
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return set, nil
 }
 
+// decode decodes TOML. Unknown names are errors.
 func decode(text []byte, into any) error {
 	return toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 }
 
-// lineErrors turns the library's errors into faults with lines.
+// lineErrors converts an error of the TOML library to errors with lines.
 func lineErrors(file string, err error) core.LineErrors {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -118,11 +124,11 @@
 	return core.LineErrors{{File: file, Line: 1, Reason: err.Error()}}
 }
 
-// findSources finds the line and comment of every rule. Each rule is one line of
-// the form name = { ... } # who asked for it.
+// findSources returns the line and comment of every rule, by table and name. Each rule
+// is one line of the form name = { ... } # who asked for it.
 func findSources(file string, text []byte) (map[string]ruleSource, core.LineErrors) {
-	places := map[string]ruleSource{}
-	var faults core.LineErrors
+	sources := map[string]ruleSource{}
+	var errs core.LineErrors
 	p := unstable.Parser{KeepComments: true}
 	p.Reset(text)
 	table := ""
@@ -134,17 +140,18 @@
 		case unstable.KeyValue:
 			line := lineOf(text, e)
 			name := keyName(e.Key())
-			at := ruleSource{line: line, requestedBy: trailingComment(e)}
+			source := ruleSource{line: line, requestedBy: trailingComment(e)}
 			if e.Value().Kind != unstable.InlineTable {
-				faults = append(faults, &core.LineError{File: file, Line: line,
+				errs = append(errs, &core.LineError{File: file, Line: line,
 					Reason: fmt.Sprintf("a rule is one line of the form %s = { ... } # who asked for it", name)})
 			}
-			places[table+"."+name] = at
+			sources[table+"."+name] = source
 		}
 	}
-	return places, faults
+	return sources, errs
 }
 
+// keyName returns a key with its parts separated by dots.
 func keyName(it unstable.Iterator) string {
 	var parts []string
 	for it.Next() {
@@ -153,7 +160,7 @@
 	return strings.Join(parts, ".")
 }
 
-// lineOf counts the lines before an expression's key.
+// lineOf returns the line number of an expression's key.
 func lineOf(text []byte, e *unstable.Node) int {
 	it := e.Key()
 	it.Next()
@@ -169,22 +176,24 @@
 	return strings.TrimSpace(strings.TrimLeft(string(next.Data), "#"))
 }
 
-func newSet(f *rulesFile, places map[string]ruleSource) *rules.Set {
+// newSet converts a decoded rules file to the type of package rules. The sources add
+// the line of every rule and the person who requested it.
+func newSet(f *rulesFile, sources map[string]ruleSource) *rules.Set {
 	set := &rules.Set{Teams: map[core.Team]rules.Team{}, Queues: map[core.Queue]rules.Queue{}}
 	for name, t := range f.Team {
-		at := places["team."+name]
+		source := sources["team."+name]
 		set.Teams[core.Team(name)] = rules.Team{
 			Name: core.Team(name), Share: t.Share, Cores: int64(t.Cores * 1000), Slots: t.Slots,
-			AskedBy: at.requestedBy, Line: at.line,
+			AskedBy: source.requestedBy, Line: source.line,
 		}
 	}
 	for name, q := range f.Queue {
-		at := places["queue."+name]
+		source := sources["queue."+name]
 		out := rules.Queue{
 			Name: core.Queue(name), Kind: rules.Kind(q.Kind), Open: q.Open, Service: core.Service(q.Service),
 			Repeat: q.Repeat, Start: time.Duration(q.Start), Due: time.Duration(q.Due), Cores: int64(q.Cores * 1000),
 			Wait: durationOr(q.Wait, rules.DefaultWait), Run: durationOr(q.Run, rules.DefaultRun), Backlog: rules.DefaultBacklog,
-			AskedBy: at.requestedBy, Line: at.line,
+			AskedBy: source.requestedBy, Line: source.line,
 		}
 		if q.Backlog != nil {
 			out.Backlog = *q.Backlog
@@ -197,9 +206,10 @@
 	return set
 }
 
-func durationOr(s *duration, or time.Duration) time.Duration {
-	if s == nil {
-		return or
+// durationOr returns a duration, or the default if it is not set.
+func durationOr(d *duration, defaultValue time.Duration) time.Duration {
+	if d == nil {
+		return defaultValue
 	}
-	return time.Duration(*s)
+	return time.Duration(*d)
 }
--- a/io/parse/rules_test.go
+++ b/io/parse/rules_test.go
@@ -13,7 +13,7 @@
 	"chicoryturn/io/parse"
 )
 
-const goodRules = `[team]
+const validRules = `[team]
 foundry = { share = 40, cores = 600, slots = 120 } # Ruth Tanner, foundry floor
 press = { share = 20, cores = 100, slots = 60 } # Ada Voss, presses
 
@@ -24,7 +24,7 @@
 
 func TestRules(t *testing.T) {
 	is := is.New(t)
-	set, err := parse.Rules("rules.toml", []byte(goodRules))
+	set, err := parse.Rules("rules.toml", []byte(validRules))
 	is.NoErr(err)
 	is.Equal(set.Teams["foundry"].Cores, int64(600000))
 	is.Equal(set.Teams["foundry"].AskedBy, "Ruth Tanner, foundry floor")
@@ -57,12 +57,12 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := parse.Rules("r", []byte(goodRules+tt.line+"\n"))
-			var faults core.LineErrors
-			is.True(errors.As(err, &faults))
+			_, err := parse.Rules("r", []byte(validRules+tt.line+"\n"))
+			var errs core.LineErrors
+			is.True(errors.As(err, &errs))
 			found := false
-			for _, f := range faults {
-				found = found || (f.Line >= tt.at && strings.Contains(f.Reason, tt.want))
+			for _, e := range errs {
+				found = found || (e.Line >= tt.at && strings.Contains(e.Reason, tt.want))
 			}
 			if !found {
 				t.Fatalf("got %v, want line %d and %q", err, tt.at, tt.want)
--- a/io/parse/settings.go
+++ b/io/parse/settings.go
@@ -14,38 +14,46 @@
 )
 
 const (
+	// minDuration and maxDuration are the limits of every time in the settings.
 	minDuration = 500 * time.Millisecond
 	maxDuration = 10 * time.Minute
-	maxCells    = 1024
+	// maxCells is the largest number of cells in a region.
+	maxCells = 1024
 )
 
-// Settings are those of one process.
+// Settings are the settings of one process.
 type Settings struct {
 	VM       string
 	Region   core.Region
 	Zone     core.Zone
 	Platform netip.AddrPort
-	// Callers is used by gates only.
+	// Callers is the address for callers. Only gates use it.
 	Callers netip.AddrPort
-	Peers   netip.AddrPort
-	Ops     netip.AddrPort
-	// Public is where other processes reach Peers, if that differs.
+	// Peers is the address for the other processes of the system.
+	Peers netip.AddrPort
+	// Ops is the address for operators.
+	Ops netip.AddrPort
+	// Public is the address at which other processes reach Peers.
 	Public netip.AddrPort
-	// Cells is the number of cells of every region; it is the same everywhere.
-	Cells   int
+	// Cells is the number of cells of every region. It is the same in all processes.
+	Cells int
+	// Session is the length of the lease of a process.
 	Session time.Duration
-	Worker  time.Duration
-	Drain   time.Duration
-	Level   string
-	Form    string
+	// Worker is the length of the lease of a worker.
+	Worker time.Duration
+	// Drain is the longest duration of a planned stop.
+	Drain time.Duration
+	// Level is the lowest level of log lines, and Form their form, text or json.
+	Level string
+	Form  string
 }
 
-// Setting describes one name of the settings file.
+// Setting describes one setting, for help.
 type Setting struct {
 	Name, Unit, Default, About string
 }
 
-// SettingTable lists every setting in the order in which help shows them.
+// SettingTable lists all settings in the order of the help text.
 var SettingTable = []Setting{
 	{"vm", "name", "", "name of this VM in the platform's list"},
 	{"region", "name", "", "region of this VM"},
@@ -53,16 +61,17 @@
 	{"platform", "IP:port", "", "address of the platform's table service, object store and list of VMs"},
 	{"callers", "IP:port", "", "address on which a gate answers callers (gates only)"},
 	{"peers", "IP:port", "", "address on which this process answers the system's other processes"},
-	{"public", "IP:port", "peers", "address at which the other processes reach this one, if it is not peers"},
+	{"public", "IP:port", "peers", "address at which the other processes reach this one, if it differs from peers"},
 	{"ops", "IP:port", "", "address on which this process answers operators"},
 	{"cells", "count", "1", "number of cells in every region; the same on all VMs"},
-	{"session", "time", member.DefaultTTL.String(), "how long a process may be silent before its cells are taken over"},
-	{"worker", "time", cell.DefaultWorkerTTL.String(), "how long a worker goes on without contact before it stops its tasks"},
-	{"drain", "time", "30s", "how long a planned stop waits for requests in flight and hand-overs"},
-	{"level", "debug, info, warn, error", "info", "least level of log lines"},
+	{"session", "time", member.DefaultTTL.String(), "lease of a process: how long it may fail to renew its session before its cells are taken over"},
+	{"worker", "time", cell.DefaultWorkerTTL.String(), "lease of a worker: how long it runs tasks without a heartbeat before it stops them"},
+	{"drain", "time", "30s", "how long a planned stop waits for requests in flight and the release of cells"},
+	{"level", "debug, info, warn, error", "info", "lowest level of log lines"},
 	{"form", "text, json", "text", "form of log lines"},
 }
 
+// settingsFile is the TOML form of Settings.
 type settingsFile struct {
 	VM       string `toml:"vm"`
 	Region   string `toml:"region"`
@@ -80,18 +89,22 @@
 	Form     string `toml:"form"`
 }
 
-// settingsChecker gathers the faults of one settings file.
+// settingsChecker parses the values of one settings file and collects the errors.
 type settingsChecker struct {
-	file  string
+	file string
+	// lines are the line numbers of the settings by name.
 	lines map[string]int
 	errs  core.LineErrors
 }
 
+// addError adds an error at the line of a setting, or at line 1 if it is not set.
 func (c *settingsChecker) addError(name, format string, args ...any) {
 	line := max(c.lines[name], 1)
 	c.errs = append(c.errs, &core.LineError{File: c.file, Line: line, Reason: name + ": " + fmt.Sprintf(format, args...)})
 }
 
+// name returns a name. Names are parts of session IDs, keys and cell IDs, in which dots
+// and slashes separate the parts.
 func (c *settingsChecker) name(name, val string) string {
 	if val == "" {
 		c.addError(name, "is missing")
@@ -102,9 +115,10 @@
 	return val
 }
 
-func (c *settingsChecker) addr(name, val string, need bool) netip.AddrPort {
+// addr parses an address.
+func (c *settingsChecker) addr(name, val string, required bool) netip.AddrPort {
 	if val == "" {
-		if need {
+		if required {
 			c.addError(name, "is missing")
 		}
 		return netip.AddrPort{}
@@ -116,6 +130,7 @@
 	return a
 }
 
+// duration parses a time and checks its limits.
 func (c *settingsChecker) duration(name, val string) time.Duration {
 	d, err := time.ParseDuration(val)
 	if err != nil {
@@ -126,9 +141,10 @@
 	return d
 }
 
+// oneOf checks that a value is in a list, whose values are separated by commas.
 func (c *settingsChecker) oneOf(name, val, list string) string {
-	for _, ok := range strings.Split(list, ", ") {
-		if val == ok {
+	for _, allowed := range strings.Split(list, ", ") {
+		if val == allowed {
 			return val
 		}
 	}
@@ -136,8 +152,9 @@
 	return val
 }
 
-// ReadSettings reads the settings of a process; gates need one address more.
-// The error, if any, is core.LineErrors with every fault of the file.
+// ReadSettings parses and checks the settings file of a process. The address for
+// callers is required only for gates. The error, if any, is a core.LineErrors with
+// all errors of the file.
 func ReadSettings(file string, text []byte, role core.Role) (Settings, error) {
 	f := settingsFile{
 		Cells: 1, Session: member.DefaultTTL.String(), Worker: cell.DefaultWorkerTTL.String(),
@@ -170,7 +187,7 @@
 	return s, nil
 }
 
-// settingLines finds the line of every name.
+// settingLines returns the line numbers of the settings by name.
 func settingLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	p := unstable.Parser{}
--- a/io/parse/settings_test.go
+++ b/io/parse/settings_test.go
@@ -11,7 +11,7 @@
 	"chicoryturn/io/parse"
 )
 
-const goodSettings = `vm = "entry1"
+const validSettings = `vm = "entry1"
 region = "hobart"
 zone = "hobart-a"
 platform = "10.0.0.5:7000"
@@ -23,7 +23,7 @@
 
 func TestSettings(t *testing.T) {
 	is := is.New(t)
-	s, err := parse.ReadSettings("s", []byte(goodSettings), core.RoleGate)
+	s, err := parse.ReadSettings("s", []byte(validSettings), core.RoleGate)
 	is.NoErr(err)
 	is.Equal(s.Session, 3*time.Second)
 	is.Equal(s.Public, s.Peers)
@@ -32,8 +32,8 @@
 
 func TestSettingsErrors(t *testing.T) {
 	is := is.New(t)
-	bad := strings.NewReplacer(`"3s"`, `"3"`, `peers = "10.0.1.1:7101"`, `peers = "here:7101"`, `region = "hobart"`, "regoin = \"hobart\"").Replace(goodSettings)
-	_, err := parse.ReadSettings("s", []byte(bad+"cells = 0\n"), core.RoleGate)
+	invalid := strings.NewReplacer(`"3s"`, `"3"`, `peers = "10.0.1.1:7101"`, `peers = "here:7101"`, `region = "hobart"`, "regoin = \"hobart\"").Replace(validSettings)
+	_, err := parse.ReadSettings("s", []byte(invalid+"cells = 0\n"), core.RoleGate)
 	is.True(err != nil)
 	for _, want := range []string{
 		`s:2: unknown name "regoin"`, `s:6: peers: "here:7101" is not an IP address with a port`,
@@ -45,22 +45,22 @@
 	}
 }
 
-// FuzzRules feeds malformed files to the reader: it must refuse with lines.
+// FuzzRules passes malformed files to Rules, which must return either rules or errors.
 func FuzzRules(f *testing.F) {
-	f.Add([]byte(goodRules))
+	f.Add([]byte(validRules))
 	f.Add([]byte("[team]\na = { share = 1e400 } # x"))
 	f.Add([]byte("[[team]]\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		set, err := parse.Rules("r", text)
 		if (set == nil) == (err == nil) {
-			t.Error("neither a set nor faults")
+			t.Error("got neither or both of rules and errors")
 		}
 	})
 }
 
-// FuzzSettings feeds malformed files to the settings reader.
+// FuzzSettings passes malformed files to ReadSettings, which must not panic.
 func FuzzSettings(f *testing.F) {
-	f.Add([]byte(goodSettings))
+	f.Add([]byte(validSettings))
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		_, _ = parse.ReadSettings("s", text, core.RoleSched)
 	})
