--- a/io/check/check_test.go
+++ b/io/check/check_test.go
@@ -12,44 +12,44 @@
 	"chicoryturn/io/work"
 )
 
-var zero = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 4, 0, 0, 0, 0, time.UTC)
 
-func record(worker, task, team, event string, cores int64, at int) fakes.TaskRecord {
-	return fakes.TaskRecord{Worker: worker, Task: task, Team: team, Need: work.Room{Cores: cores}, Event: event, At: zero.Add(time.Duration(at) * time.Second)}
+func taskRecord(worker, task, team, event string, cores int64, at int) fakes.TaskRecord {
+	return fakes.TaskRecord{Worker: worker, Task: task, Team: team, Need: work.Room{Cores: cores}, Event: event, At: startTime.Add(time.Duration(at) * time.Second)}
 }
 
-// TestFaults shows that the checker finds each broken invariant, so that a
-// proof without faults means something.
-func TestFaults(t *testing.T) {
+// TestViolations checks that the replay finds each kind of violation. A replay that
+// misses one would let the tests that rely on it pass.
+func TestViolations(t *testing.T) {
 	tests := map[string]struct {
 		records []fakes.TaskRecord
 		want    string
 	}{
 		"clean": {[]fakes.TaskRecord{
-			record("w1", "j.0", "a", "start", 4000, 0), record("w1", "j.0", "a", "stopped", 4000, 1),
-			record("w2", "j.0", "a", "start", 4000, 1), record("w2", "j.0", "a", "done", 4000, 2),
+			taskRecord("w1", "j.0", "a", "start", 4000, 0), taskRecord("w1", "j.0", "a", "stopped", 4000, 1),
+			taskRecord("w2", "j.0", "a", "start", 4000, 1), taskRecord("w2", "j.0", "a", "done", 4000, 2),
 		}, ""},
 		"twice": {[]fakes.TaskRecord{
-			record("w1", "j.0", "a", "start", 1000, 0), record("w2", "j.0", "a", "start", 1000, 1),
+			taskRecord("w1", "j.0", "a", "start", 1000, 0), taskRecord("w2", "j.0", "a", "start", 1000, 1),
 		}, check.Twice},
 		"overfull": {[]fakes.TaskRecord{
-			record("w1", "j.0", "a", "start", 5000, 0), record("w1", "j.1", "a", "start", 4000, 1),
+			taskRecord("w1", "j.0", "a", "start", 5000, 0), taskRecord("w1", "j.1", "a", "start", 4000, 1),
 		}, check.Room},
 		"over the limit": {[]fakes.TaskRecord{
-			record("w1", "j.0", "b", "start", 3000, 0), record("w2", "j.1", "b", "start", 3000, 1),
+			taskRecord("w1", "j.0", "b", "start", 3000, 0), taskRecord("w2", "j.1", "b", "start", 3000, 1),
 		}, check.Limit},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := check.NewLog([]fakes.WorkerRecord{{Room: work.Room{Cores: 8000}, Records: tt.records}})
-			faults := l.Violations(map[core.Team]int64{"b": 5000})
+			violations := l.Violations(map[core.Team]int64{"b": 5000})
 			if tt.want == "" {
-				is.Equal(len(faults), 0)
+				is.Equal(len(violations), 0)
 				return
 			}
-			is.Equal(len(faults), 1)
-			is.Equal(faults[0].Invariant, tt.want)
+			is.Equal(len(violations), 1)
+			is.Equal(violations[0].Invariant, tt.want)
 		})
 	}
 }
@@ -60,8 +60,8 @@
 		{Slots: 8, Most: 9, Overfull: 1, Hits: []fakes.Hit{{Target: "t1", ID: "r1"}}},
 		{Slots: 8, Most: 1, Hits: []fakes.Hit{{Target: "t2", ID: "r1"}, {Target: "t2", ID: "r2"}, {Target: "t2", ID: "r2"}}},
 	}
-	faults := check.Targets(records, core.NewSet("r1"))
-	is.Equal(len(faults), 2)
-	is.Equal(faults[0].Invariant, check.Slots)
-	is.Equal(faults[1].Invariant, check.Repeat)
+	violations := check.Targets(records, core.NewSet("r1"))
+	is.Equal(len(violations), 2)
+	is.Equal(violations[0].Invariant, check.Slots)
+	is.Equal(violations[1].Invariant, check.Repeat)
 }
--- a/io/parse/settings.go
+++ b/io/parse/settings.go
@@ -14,38 +14,46 @@
 )
 
 const (
-	minLease = 500 * time.Millisecond
-	maxLease = 10 * time.Minute
+	// minDuration and maxDuration are the limits of every time in the settings.
+	minDuration = 500 * time.Millisecond
+	maxDuration = 10 * time.Minute
+	// maxCells is the largest number of cells in a region.
 	maxCells = 1024
 )
 
-// Settings are those of one process.
+// Settings are the settings of one process.
 type Settings struct {
 	VM       string
 	Region   core.Region
 	Zone     core.Zone
 	Platform netip.AddrPort
-	// Callers is used by gates only.
+	// Callers is the address for callers. Only gates use it.
 	Callers netip.AddrPort
-	Peers   netip.AddrPort
-	Ops     netip.AddrPort
-	// Public is where other processes reach Peers, if that differs.
+	// Peers is the address for the other processes of the system.
+	Peers netip.AddrPort
+	// Ops is the address for operators.
+	Ops netip.AddrPort
+	// Public is the address at which other processes reach Peers.
 	Public netip.AddrPort
-	// Cells is the number of cells of every region; it is the same everywhere.
-	Cells   int
+	// Cells is the number of cells of every region. It is the same in all processes.
+	Cells int
+	// Session is the length of the lease of a process.
 	Session time.Duration
-	Worker  time.Duration
-	Drain   time.Duration
-	Level   string
-	Form    string
+	// Worker is the length of the lease of a worker.
+	Worker time.Duration
+	// Drain is the longest duration of a planned stop.
+	Drain time.Duration
+	// Level is the lowest level of log lines, and Form their form, text or json.
+	Level string
+	Form  string
 }
 
-// Setting describes one name of the settings file.
+// Setting describes one setting, for help.
 type Setting struct {
 	Name, Unit, Default, About string
 }
 
-// SettingTable lists every setting in the order in which help shows them.
+// SettingTable lists all settings in the order of the help text.
 var SettingTable = []Setting{
 	{"vm", "name", "", "name of this VM in the platform's list"},
 	{"region", "name", "", "region of this VM"},
@@ -53,16 +61,17 @@
 	{"platform", "IP:port", "", "address of the platform's table service, object store and list of VMs"},
 	{"callers", "IP:port", "", "address on which a gate answers callers (gates only)"},
 	{"peers", "IP:port", "", "address on which this process answers the system's other processes"},
-	{"public", "IP:port", "peers", "address at which the other processes reach this one, if it is not peers"},
+	{"public", "IP:port", "peers", "address at which the other processes reach this one, if it differs from peers"},
 	{"ops", "IP:port", "", "address on which this process answers operators"},
 	{"cells", "count", "1", "number of cells in every region; the same on all VMs"},
-	{"session", "time", member.DefaultTTL.String(), "how long a process may be silent before its cells are taken over"},
-	{"worker", "time", cell.DefaultWorkerTTL.String(), "how long a worker goes on without contact before it stops its tasks"},
-	{"drain", "time", "30s", "how long a planned stop waits for requests in flight and hand-overs"},
-	{"level", "debug, info, warn, error", "info", "least level of log lines"},
+	{"session", "time", member.DefaultTTL.String(), "lease of a process: how long it may fail to renew its session before its cells are taken over"},
+	{"worker", "time", cell.DefaultWorkerTTL.String(), "lease of a worker: how long it runs tasks without a heartbeat before it stops them"},
+	{"drain", "time", "30s", "how long a planned stop waits for requests in flight and the release of cells"},
+	{"level", "debug, info, warn, error", "info", "lowest level of log lines"},
 	{"form", "text, json", "text", "form of log lines"},
 }
 
+// settingsFile is the TOML form of Settings.
 type settingsFile struct {
 	VM       string `toml:"vm"`
 	Region   string `toml:"region"`
@@ -80,97 +89,105 @@
 	Form     string `toml:"form"`
 }
 
-// check gathers the faults of one settings file.
-type check struct {
-	file   string
-	lines  map[string]int
-	faults core.LineErrors
+// settingsChecker parses the values of one settings file and collects the errors.
+type settingsChecker struct {
+	file string
+	// lines are the line numbers of the settings by name.
+	lines map[string]int
+	errs  core.LineErrors
 }
 
-func (c *check) bad(name, format string, args ...any) {
+// addError adds an error at the line of a setting, or at line 1 if it is not set.
+func (c *settingsChecker) addError(name, format string, args ...any) {
 	line := max(c.lines[name], 1)
-	c.faults = append(c.faults, &core.LineError{File: c.file, Line: line, Reason: name + ": " + fmt.Sprintf(format, args...)})
+	c.errs = append(c.errs, &core.LineError{File: c.file, Line: line, Reason: name + ": " + fmt.Sprintf(format, args...)})
 }
 
-func (c *check) name(name, val string) string {
+// name returns a name. Names are parts of session IDs, keys and cell IDs, in which dots
+// and slashes separate the parts.
+func (c *settingsChecker) name(name, val string) string {
 	if val == "" {
-		c.bad(name, "is missing")
+		c.addError(name, "is missing")
 	}
 	if strings.ContainsAny(val, ". /") {
-		c.bad(name, "%q must not contain a dot, slash or space", val)
+		c.addError(name, "%q must not contain a dot, slash or space", val)
 	}
 	return val
 }
 
-func (c *check) addr(name, val string, need bool) netip.AddrPort {
+// addr parses an address.
+func (c *settingsChecker) addr(name, val string, required bool) netip.AddrPort {
 	if val == "" {
-		if need {
-			c.bad(name, "is missing")
+		if required {
+			c.addError(name, "is missing")
 		}
 		return netip.AddrPort{}
 	}
 	a, err := netip.ParseAddrPort(val)
 	if err != nil {
-		c.bad(name, "%q is not an IP address with a port", val)
+		c.addError(name, "%q is not an IP address with a port", val)
 	}
 	return a
 }
 
-func (c *check) lease(name, val string) time.Duration {
+// duration parses a time and checks its limits.
+func (c *settingsChecker) duration(name, val string) time.Duration {
 	d, err := time.ParseDuration(val)
 	if err != nil {
-		c.bad(name, "%q is not a time with a unit, such as \"3s\"", val)
-	} else if d < minLease || d > maxLease {
-		c.bad(name, "%s is outside %s to %s", d, minLease, maxLease)
+		c.addError(name, "%q is not a time with a unit, such as \"3s\"", val)
+	} else if d < minDuration || d > maxDuration {
+		c.addError(name, "%s is outside %s to %s", d, minDuration, maxDuration)
 	}
 	return d
 }
 
-func (c *check) oneOf(name, val, list string) string {
-	for _, ok := range strings.Split(list, ", ") {
-		if val == ok {
+// oneOf checks that a value is in a list, whose values are separated by commas.
+func (c *settingsChecker) oneOf(name, val, list string) string {
+	for _, allowed := range strings.Split(list, ", ") {
+		if val == allowed {
 			return val
 		}
 	}
-	c.bad(name, "%q is none of %s", val, list)
+	c.addError(name, "%q is none of %s", val, list)
 	return val
 }
 
-// ReadSettings reads the settings of a process; gates need one address more.
-// The error, if any, is core.LineErrors with every fault of the file.
+// ReadSettings parses and checks the settings file of a process. The address for
+// callers is required only for gates. The error, if any, is a core.LineErrors with
+// all errors of the file.
 func ReadSettings(file string, text []byte, role core.Role) (Settings, error) {
 	f := settingsFile{
 		Cells: 1, Session: member.DefaultTTL.String(), Worker: cell.DefaultWorkerTTL.String(),
 		Drain: "30s", Level: "info", Form: "text",
 	}
-	c := &check{file: file, lines: settingLines(text)}
+	c := &settingsChecker{file: file, lines: settingLines(text)}
 	if err := decode(text, &f); err != nil {
-		c.faults = append(c.faults, lineErrors(file, err)...)
+		c.errs = append(c.errs, lineErrors(file, err)...)
 	}
 	s := Settings{
 		VM: c.name("vm", f.VM), Region: core.Region(c.name("region", f.Region)), Zone: core.Zone(c.name("zone", f.Zone)),
 		Platform: c.addr("platform", f.Platform, true), Callers: c.addr("callers", f.Callers, role == core.RoleGate),
 		Peers: c.addr("peers", f.Peers, true), Ops: c.addr("ops", f.Ops, true),
-		Cells: f.Cells, Session: c.lease("session", f.Session), Worker: c.lease("worker", f.Worker),
-		Drain: c.lease("drain", f.Drain), Level: c.oneOf("level", f.Level, "debug, info, warn, error"),
+		Cells: f.Cells, Session: c.duration("session", f.Session), Worker: c.duration("worker", f.Worker),
+		Drain: c.duration("drain", f.Drain), Level: c.oneOf("level", f.Level, "debug, info, warn, error"),
 		Form: c.oneOf("form", f.Form, "text, json"),
 	}
 	if s.Public = c.addr("public", f.Public, false); !s.Public.IsValid() {
 		s.Public = s.Peers
 	}
 	if f.Cells < 1 || f.Cells > maxCells {
-		c.bad("cells", "%d is outside 1 to %d", f.Cells, maxCells)
+		c.addError("cells", "%d is outside 1 to %d", f.Cells, maxCells)
 	}
 	if s.Peers.IsValid() && (s.Peers == s.Ops || s.Peers == s.Callers) {
-		c.bad("peers", "is the same address as another one")
+		c.addError("peers", "is the same address as another one")
 	}
-	if len(c.faults) > 0 {
-		return Settings{}, c.faults
+	if len(c.errs) > 0 {
+		return Settings{}, c.errs
 	}
 	return s, nil
 }
 
-// settingLines finds the line of every name.
+// settingLines returns the line numbers of the settings by name.
 func settingLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	p := unstable.Parser{}
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -15,14 +15,14 @@
 	"chicoryturn/io/wire"
 )
 
-// Backend answers the calls of peers.
+// Backend handles the calls of peers.
 type Backend interface {
 	Alive(ctx context.Context) (Alive, error)
 	Hold(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error)
 	Submit(ctx context.Context, spec cell.JobSpec) (repeated bool, err error)
 	Cancel(ctx context.Context, id core.JobID) error
 	Show(ctx context.Context, id core.JobID) (cell.View, error)
-	List(ctx context.Context, team core.Team, most int) ([]cell.View, error)
+	List(ctx context.Context, team core.Team, limit int) ([]cell.View, error)
 }
 
 type server struct {
@@ -30,34 +30,34 @@
 	backend Backend
 }
 
-// NewServer returns a grpc server of a backend.
+// NewServer returns a gRPC server that passes calls to a backend.
 func NewServer(b Backend) *grpc.Server {
 	s := grpc.NewServer()
 	wire.RegisterPeerServer(s, &server{backend: b})
 	return s
 }
 
-// fail turns an error into a grpc status that carries the refusal.
-func fail(err error) error {
+// statusOf converts an error to a gRPC status. A refusal is attached to the status.
+func statusOf(err error) error {
 	var r *core.RefusalError
 	if !errors.As(err, &r) {
 		return status.Error(codes.Unknown, err.Error())
 	}
 	s := status.New(codes.FailedPrecondition, r.Reason)
-	with, derr := s.WithDetails(&wire.Refusal{
+	withRefusal, detailsErr := s.WithDetails(&wire.Refusal{
 		Code: string(r.Code), Run: string(r.Execution), Reason: r.Reason, RetryAfter: durationpb.New(r.RetryAfter),
 	})
-	if derr != nil {
+	if detailsErr != nil {
 		return s.Err()
 	}
-	return with.Err()
+	return withRefusal.Err()
 }
 
 // Alive implements wire.PeerServer.
 func (s *server) Alive(ctx context.Context, _ *wire.AliveRequest) (*wire.AliveReply, error) {
 	a, err := s.backend.Alive(ctx)
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	return &wire.AliveReply{
 		Session: string(a.Session), Stored: a.Stored, Config: uint64(a.Config), Confirmed: durationpb.New(a.Confirmed),
@@ -68,11 +68,11 @@
 func (s *server) Hold(ctx context.Context, r *wire.HoldRequest) (*wire.HoldReply, error) {
 	p, err := toProcess(r.Process)
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	a, err := s.backend.Hold(ctx, member.Session{Process: p, Beat: r.Beat, Config: core.Version(r.Config)}, r.Version, r.Resign)
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	out := &wire.HoldReply{Renewed: a.Renewed, Version: a.Version, Promised: a.Promised}
 	for _, p := range a.Scheds {
@@ -85,7 +85,7 @@
 func (s *server) Submit(ctx context.Context, r *wire.SubmitRequest) (*wire.SubmitReply, error) {
 	repeated, err := s.backend.Submit(ctx, toSpec(r))
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	return &wire.SubmitReply{RepeatedSubmit: repeated}, nil
 }
@@ -93,7 +93,7 @@
 // Cancel implements wire.PeerServer.
 func (s *server) Cancel(ctx context.Context, r *wire.CancelRequest) (*wire.CancelReply, error) {
 	if err := s.backend.Cancel(ctx, core.JobID(r.Id)); err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	return &wire.CancelReply{}, nil
 }
@@ -102,7 +102,7 @@
 func (s *server) Show(ctx context.Context, r *wire.ShowRequest) (*wire.JobView, error) {
 	v, err := s.backend.Show(ctx, core.JobID(r.Id))
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	return fromView(v), nil
 }
@@ -111,7 +111,7 @@
 func (s *server) List(ctx context.Context, r *wire.ListRequest) (*wire.ListReply, error) {
 	views, err := s.backend.List(ctx, core.Team(r.Team), int(r.Most))
 	if err != nil {
-		return nil, fail(err)
+		return nil, statusOf(err)
 	}
 	out := &wire.ListReply{}
 	for _, v := range views {
--- a/io/sched/journal.go
+++ b/io/sched/journal.go
@@ -16,230 +16,238 @@
 	"chicoryturn/io/store"
 )
 
-func logPrefix(id core.CellID) string { return "log/" + id.String() + "/" }
+func journalPrefix(id core.CellID) string { return "log/" + id.String() + "/" }
 
-func logKey(id core.CellID, n uint64) string { return fmt.Sprintf("%s%012d", logPrefix(id), n) }
+func journalKey(id core.CellID, n uint64) string { return fmt.Sprintf("%s%012d", journalPrefix(id), n) }
 
-// logRow is the stored form of one batch of entries.
-type logRow struct {
+// journalRow is the stored form of a batch of journal entries.
+type journalRow struct {
 	Epoch   core.Epoch
 	Entries []cell.Entry
 }
 
-// load reads a cell's snapshot and the journal rows after it.
-func (s *Sched) load(c member.Claim) {
-	s.loading[c.Cell] = time.Now().Add(loadTimeout)
+// readJournal reads a claimed cell's snapshot and the journal rows after it.
+// Rows before the snapshot are not applied; the next snapshot deletes them.
+func (s *Sched) readJournal(c member.Claim) {
+	s.nextLoad[c.Cell] = time.Now().Add(loadTimeout)
 	s.loop.Go(func(ctx context.Context) loop.Message {
-		m := loaded{claim: c, next: c.Log}
+		m := loadResult{claim: c, nextRow: c.Log}
 		if c.Snap != "" {
-			text, err := s.store.Object(ctx, c.Snap)
+			data, err := s.store.Object(ctx, c.Snap)
 			if err != nil {
 				m.err = err
 				return m
 			}
 			var snap cell.Snapshot
-			if err := json.Unmarshal(text, &snap); err != nil {
+			if err := json.Unmarshal(data, &snap); err != nil {
 				m.err = &store.FormatError{Key: c.Snap, Err: err}
 				return m
 			}
 			m.entries = snap.Entries
 		}
-		rows, err := s.store.Scan(ctx, logPrefix(c.Cell), "")
+		rows, err := s.store.Scan(ctx, journalPrefix(c.Cell), "")
 		if err != nil {
 			m.err = err
 			return m
 		}
 		for _, r := range rows {
-			m.logs = append(m.logs, r.Key)
-			if r.Key < logKey(c.Cell, c.Log) {
+			m.keys = append(m.keys, r.Key)
+			if r.Key < journalKey(c.Cell, c.Log) {
 				continue
 			}
-			var row logRow
+			var row journalRow
 			if err := json.Unmarshal(r.Val, &row); err != nil {
 				m.err = &store.FormatError{Key: r.Key, Err: err}
 				return m
 			}
 			m.entries = append(m.entries, row.Entries...)
-			m.next++
+			m.nextRow++
 		}
 		return m
 	})
 }
 
-func (s *Sched) loaded(now time.Time, m loaded) {
+// handleLoad starts a cell from its snapshot and journal, if this process still
+// has the claim and knows the list of VMs and the rules.
+func (s *Sched) handleLoad(now time.Time, m loadResult) {
 	id := m.claim.Cell
-	s.loading[id] = now.Add(recordPause)
+	s.nextLoad[id] = now.Add(retryDelay)
 	if m.err != nil {
-		s.log.WithError(m.err).Errorf("cell %s cannot be loaded; it is tried again", id)
+		s.log.WithError(m.err).Errorf("cell %s could not be loaded; retrying", id)
 		return
 	}
 	if !s.Agent.Listed() || s.Agent.Conf.Version() == 0 {
 		return
 	}
 	owned, loading, _ := s.Agent.Member.Owned()
-	if !has(loading, m.claim) || has(owned, m.claim) {
+	if !containsClaim(loading, m.claim) || containsClaim(owned, m.claim) {
 		return
 	}
-	book := ledger.New(ledger.Holder(id.String()))
-	t := &tenure{
-		claim: m.claim, book: book, next: m.next, oldLogs: m.logs, oldSnap: m.claim.Snap,
-		waiting: map[core.JobID][]chan<- submitted{},
-		cell:    cell.New(id, m.claim.Epoch, book, cell.WithWorkerTTL(s.workerTTL), cell.WithPolicy(s.policy)),
-	}
-	t.cell.Load(now, m.entries)
-	s.tenures[id] = t
-	s.applyRules(t)
-	s.applyVMs(now, t)
-	s.Agent.AddLedger(book, "cores/")
+	cellLedger := ledger.New(ledger.Holder(id.String()))
+	oc := &ownedCell{
+		claim: m.claim, ledger: cellLedger, nextRow: m.nextRow, journalKeys: m.keys, snapshot: m.claim.Snap,
+		submitters: map[core.JobID][]chan<- submitReply{},
+		cell:       cell.New(id, m.claim.Epoch, cellLedger, cell.WithWorkerTTL(s.workerTTL), cell.WithPolicy(s.policy)),
+	}
+	oc.cell.Load(now, m.entries)
+	s.cells[id] = oc
+	s.applyRules(oc)
+	s.applyVMs(now, oc)
+	s.Agent.AddLedger(cellLedger, "cores/")
 	s.Agent.Member.Loaded(id)
 	s.log.Infof("cell %s loaded: epoch %d, %d journal entries", id, m.claim.Epoch, len(m.entries))
 }
 
-func has(claims []member.Claim, c member.Claim) bool {
-	for _, o := range claims {
-		if o.Cell == c.Cell && o.Epoch == c.Epoch {
+// containsClaim reports whether claims contain a claim of the same cell and epoch.
+func containsClaim(claims []member.Claim, c member.Claim) bool {
+	for _, other := range claims {
+		if other.Cell == c.Cell && other.Epoch == c.Epoch {
 			return true
 		}
 	}
 	return false
 }
 
-// record writes the entries that have gathered since the last write. Writes
-// are grouped by waiting for the one before, so their number grows with time
-// and not with the tasks.
-func (s *Sched) record(now time.Time, t *tenure) {
-	if t.recording || now.Before(t.pauseTill) {
+// writeJournal stores the entries added since the last write. At most one write is
+// in flight and the next one takes all entries added meanwhile, so the number of
+// writes depends on time and not on the number of tasks.
+func (s *Sched) writeJournal(now time.Time, oc *ownedCell) {
+	if oc.writing || now.Before(oc.retryAt) {
 		return
 	}
-	if t.sinceSnap >= snapEvery && !t.doubt {
-		s.snap(t)
+	if oc.rowsSinceSnapshot >= rowsPerSnapshot && !oc.outcomeUnknown {
+		s.writeSnapshot(oc)
 		return
 	}
 	var batch []cell.Entry
-	if t.doubt {
-		batch = t.cell.InFlight()
-	} else if batch = t.cell.Batch(); batch == nil {
+	if oc.outcomeUnknown {
+		batch = oc.cell.InFlight()
+	} else if batch = oc.cell.Batch(); batch == nil {
 		return
 	}
-	t.recording = true
-	id, epoch, key := t.claim.Cell, t.claim.Epoch, logKey(t.claim.Cell, t.next)
+	oc.writing = true
+	id, epoch, key := oc.claim.Cell, oc.claim.Epoch, journalKey(oc.claim.Cell, oc.nextRow)
 	version := s.Agent.Member.ClaimVersion(id)
 	s.loop.Go(func(ctx context.Context) loop.Message {
 		txn := store.Txn{Checks: []store.Check{{Key: agent.CellKey(id), Version: version}, {Key: key}}}
-		if err := txn.Set(key, logRow{epoch, batch}); err != nil {
-			return recorded{id, epoch, key, err}
+		if err := txn.Set(key, journalRow{epoch, batch}); err != nil {
+			return journalResult{id, epoch, key, err}
 		}
 		_, err := s.store.Write(ctx, txn)
-		return recorded{id, epoch, key, err}
+		return journalResult{id, epoch, key, err}
 	})
 }
 
-func (s *Sched) recorded(now time.Time, m recorded) {
-	t := s.tenures[m.cell]
-	if t == nil || t.claim.Epoch != m.epoch {
+// handleJournal handles the result of a journal write.
+func (s *Sched) handleJournal(now time.Time, m journalResult) {
+	oc := s.cells[m.cell]
+	if oc == nil || oc.claim.Epoch != m.epoch {
 		return
 	}
-	t.recording = false
+	oc.writing = false
 	var conflict *store.ConflictError
 	switch {
-	case m.err == nil, errors.As(m.err, &conflict) && ownRow(conflict, m):
-		t.doubt = false
-		t.next++
-		t.sinceSnap++
-		t.oldLogs = append(t.oldLogs, m.key)
-		s.accept(t, t.cell.BatchStored(now))
+	case m.err == nil, errors.As(m.err, &conflict) && isOwnRow(conflict, m):
+		oc.outcomeUnknown = false
+		oc.nextRow++
+		oc.rowsSinceSnapshot++
+		oc.journalKeys = append(oc.journalKeys, m.key)
+		s.acknowledge(oc, oc.cell.BatchStored(now))
 	case conflict != nil:
-		s.log.Warnf("cell %s: the journal has a newer owner", m.cell)
+		s.log.Warnf("cell %s: journal write refused, the cell is owned by a newer epoch", m.cell)
 		s.Agent.Member.Lost(m.cell)
-		s.follow(now)
+		s.syncOwnership(now)
 	default:
-		s.log.WithError(m.err).Debugf("cell %s: the journal was not written", m.cell)
-		t.doubt = true
-		t.pauseTill = now.Add(recordPause)
+		s.log.WithError(m.err).Debugf("cell %s: outcome of the journal write is unknown; retrying", m.cell)
+		oc.outcomeUnknown = true
+		oc.retryAt = now.Add(retryDelay)
 	}
 }
 
-// ownRow reports whether a conflict is only about this owner's own row, which
-// an earlier try without a reply has written.
-func ownRow(c *store.ConflictError, m recorded) bool {
+// isOwnRow reports whether a write conflicts only with the row that the same owner
+// wrote in an earlier attempt whose reply was lost.
+func isOwnRow(c *store.ConflictError, m journalResult) bool {
 	if len(c.Rows) != 1 || c.Rows[0].Key != m.key {
 		return false
 	}
-	var row logRow
+	var row journalRow
 	return json.Unmarshal(c.Rows[0].Val, &row) == nil && row.Epoch == m.epoch
 }
 
-// snap writes the cell's whole recorded state and deletes the journal before
-// it.
-func (s *Sched) snap(t *tenure) {
-	t.recording = true
-	id, claim := t.claim.Cell, t.claim
-	claim.Snap = fmt.Sprintf("snap/%s/%d-%d", id, claim.Epoch, t.next)
-	claim.Log = t.next
+// writeSnapshot stores the cell's whole recorded state and deletes the journal rows
+// and the snapshot that it replaces.
+func (s *Sched) writeSnapshot(oc *ownedCell) {
+	oc.writing = true
+	id, claim := oc.claim.Cell, oc.claim
+	claim.Snap = fmt.Sprintf("snap/%s/%d-%d", id, claim.Epoch, oc.nextRow)
+	claim.Log = oc.nextRow
 	version := s.Agent.Member.ClaimVersion(id)
-	text, err := json.Marshal(t.cell.Snapshot())
-	logs, old := t.oldLogs, t.oldSnap
+	data, err := json.Marshal(oc.cell.Snapshot())
+	keys, oldSnapshot := oc.journalKeys, oc.snapshot
 	s.loop.Go(func(ctx context.Context) loop.Message {
-		m := snapped{cell: id, epoch: claim.Epoch, claim: claim, err: err}
+		m := snapshotResult{cell: id, epoch: claim.Epoch, claim: claim, err: err}
 		if m.err != nil {
 			return m
 		}
-		if m.err = s.store.PutObject(ctx, claim.Snap, text); m.err != nil {
+		if m.err = s.store.PutObject(ctx, claim.Snap, data); m.err != nil {
 			return m
 		}
-		txn := store.Txn{Checks: []store.Check{{Key: agent.CellKey(id), Version: version}}, Dels: logs}
+		txn := store.Txn{Checks: []store.Check{{Key: agent.CellKey(id), Version: version}}, Dels: keys}
 		if m.err = txn.Set(agent.CellKey(id), claim); m.err != nil {
 			return m
 		}
-		if m.version, m.err = s.store.Write(ctx, txn); m.err == nil && old != "" {
-			// A snapshot left behind costs only room.
-			_ = s.store.DeleteObject(ctx, old)
+		if m.version, m.err = s.store.Write(ctx, txn); m.err == nil && oldSnapshot != "" {
+			// A snapshot that is not deleted only takes up storage.
+			_ = s.store.DeleteObject(ctx, oldSnapshot)
 		}
 		return m
 	})
 }
 
-func (s *Sched) snapped(now time.Time, m snapped) {
-	t := s.tenures[m.cell]
-	if t == nil || t.claim.Epoch != m.epoch {
+// handleSnapshot handles the result of a snapshot. A failed one is tried again
+// after half of the usual number of rows.
+func (s *Sched) handleSnapshot(now time.Time, m snapshotResult) {
+	oc := s.cells[m.cell]
+	if oc == nil || oc.claim.Epoch != m.epoch {
 		return
 	}
-	t.recording = false
+	oc.writing = false
 	var conflict *store.ConflictError
 	switch {
 	case m.err == nil:
-		t.claim = m.claim
-		t.oldLogs, t.oldSnap, t.sinceSnap = nil, m.claim.Snap, 0
+		oc.claim = m.claim
+		oc.journalKeys, oc.snapshot, oc.rowsSinceSnapshot = nil, m.claim.Snap, 0
 		s.Agent.Member.SetClaim(m.claim, m.version)
 	case errors.As(m.err, &conflict):
-		// Either the reply to this owner's own snapshot was lost, or there is a
-		// newer owner. Loading again settles both.
-		s.log.Warnf("cell %s: the snapshot was refused", m.cell)
+		// Either the reply to an earlier write of this snapshot was lost, or a newer
+		// epoch owns the cell. Giving the cell up and loading it again handles both.
+		s.log.Warnf("cell %s: snapshot write refused; giving the cell up", m.cell)
 		s.Agent.Member.Lost(m.cell)
-		s.follow(now)
+		s.syncOwnership(now)
 	default:
-		t.sinceSnap = snapEvery / 2
+		oc.rowsSinceSnapshot = rowsPerSnapshot / 2
 	}
 }
 
-// release writes what is pending, then hands the cell over.
-func (s *Sched) release(now time.Time, t *tenure) {
-	if t.recording || now.Before(t.pauseTill) {
+// releaseCell writes the pending entries, then releases the claim.
+func (s *Sched) releaseCell(now time.Time, oc *ownedCell) {
+	if oc.writing || now.Before(oc.retryAt) {
 		return
 	}
-	if t.cell.Pending() > 0 {
-		s.record(now, t)
+	if oc.cell.Pending() > 0 {
+		s.writeJournal(now, oc)
 		return
 	}
-	t.pauseTill = now.Add(recordPause)
-	s.Agent.ReleaseCell(now, t.claim)
+	oc.retryAt = now.Add(retryDelay)
+	s.Agent.ReleaseCell(now, oc.claim)
 }
 
-func (s *Sched) accept(t *tenure, ids []core.JobID) {
-	for _, id := range ids {
-		for _, c := range t.waiting[id] {
-			c <- submitted{}
+// acknowledge replies to the submitters of jobs that are now stored.
+func (s *Sched) acknowledge(oc *ownedCell, jobs []core.JobID) {
+	for _, id := range jobs {
+		for _, c := range oc.submitters[id] {
+			c <- submitReply{}
 		}
-		delete(t.waiting, id)
+		delete(oc.submitters, id)
 	}
 }
