--- a/cmd/chicoryturn/client.go
+++ b/cmd/chicoryturn/client.go
@@ -21,26 +21,26 @@
 
 // client calls a process's HTTP interface.
 type client struct {
-	ops  string
-	addr string
-	key  string
-	by   string
-	json bool
+	opsAddr   string
+	gateAddr  string
+	key       string
+	operator  string
+	printJSON bool
 }
 
 func (c *client) opsFlags(s *flaggy.Subcommand) {
-	s.String(&c.ops, "o", "ops", "operators' address of any process, IP:port")
-	s.Bool(&c.json, "json", "json", "print JSON for scripts")
+	s.String(&c.opsAddr, "o", "ops", "operators' address of any process, IP:port")
+	s.Bool(&c.printJSON, "json", "json", "print JSON for scripts")
 }
 
 func (c *client) byFlag(s *flaggy.Subcommand) {
-	s.String(&c.by, "b", "by", "your name, for the history")
+	s.String(&c.operator, "b", "by", "your name, for the history")
 }
 
 func (c *client) callerFlags(s *flaggy.Subcommand) {
-	s.String(&c.addr, "a", "addr", "callers' address of any gate, IP:port")
+	s.String(&c.gateAddr, "a", "addr", "callers' address of any gate, IP:port")
 	s.String(&c.key, "k", "key", "key of your team")
-	s.Bool(&c.json, "json", "json", "print JSON for scripts")
+	s.Bool(&c.printJSON, "json", "json", "print JSON for scripts")
 }
 
 // call sends one request and reads its answer into out, if out is not nil.
@@ -57,7 +57,7 @@
 	if c.key != "" {
 		req.Header.Set("Authorization", "Bearer "+c.key)
 	}
-	req.Header.Set("Operator", c.by)
+	req.Header.Set("Operator", c.operator)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("calling %s: %w", addr, err)
@@ -68,7 +68,7 @@
 		return nil, fmt.Errorf("reading the answer of %s: %w", addr, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return nil, refusalOf(resp.StatusCode, text)
+		return nil, parseRefusal(resp.StatusCode, text)
 	}
 	if out != nil {
 		if err := json.Unmarshal(text, out); err != nil {
@@ -78,7 +78,7 @@
 	return text, nil
 }
 
-func refusalOf(status int, text []byte) error {
+func parseRefusal(status int, text []byte) error {
 	var r httpx.Refusal
 	if json.Unmarshal(text, &r) != nil || r.Code == "" {
 		return core.RefuseUnknown(core.CodeOwner, nil, "status %d: %s", status, strings.TrimSpace(string(text)))
@@ -90,9 +90,9 @@
 	return &core.RefusalError{Code: core.Code(r.Code), Execution: core.Execution(r.Run), Reason: reason}
 }
 
-// show prints an answer as JSON or by a function of its own.
-func (c *client) show(text []byte, human func()) {
-	if c.json {
+// print prints an answer as JSON or by a function of its own.
+func (c *client) print(text []byte, human func()) {
+	if c.printJSON {
 		fmt.Print(string(text))
 		return
 	}
--- a/cmd/chicoryturn/demo.go
+++ b/cmd/chicoryturn/demo.go
@@ -12,8 +12,8 @@
 	"chicoryturn/io/deploy"
 )
 
-// demoFor is how long each deployment is offered work.
-const demoFor = 5 * time.Second
+// demoDuration is how long each deployment is offered work.
+const demoDuration = 5 * time.Second
 
 func demoCommand() *command {
 	seed, name := 1, ""
@@ -32,8 +32,8 @@
 				if name != "" && name != n {
 					continue
 				}
-				l := demoLoad(n)
-				l.Duration, l.Seed = demoFor, uint64(seed)
+				l := demoWorkload(n)
+				l.Duration, l.Seed = demoDuration, uint64(seed)
 				if err := demo.Show(ctx, os.Stdout, plans[n], l); err != nil {
 					return err
 				}
@@ -43,7 +43,7 @@
 	}
 }
 
-func demoLoad(name string) demo.Workload {
+func demoWorkload(name string) demo.Workload {
 	const ms = time.Millisecond
 	if name == "bagmati" {
 		return demo.Workload{
--- a/cmd/chicoryturn/jobs.go
+++ b/cmd/chicoryturn/jobs.go
@@ -13,12 +13,12 @@
 )
 
 func jobCommand() *command {
-	return &command{name: "job", about: "Submits, shows, lists and cancels jobs.", subs: []*command{
-		jobSubmit(), jobShow(), jobList(), jobCancel(),
+	return &command{name: "job", about: "Submits, shows, lists and cancels jobs.", subcommands: []*command{
+		jobSubmitCommand(), jobShowCommand(), jobListCommand(), jobCancelCommand(),
 	}}
 }
 
-func jobSubmit() *command {
+func jobSubmitCommand() *command {
 	c, file := &client{}, ""
 	return &command{
 		name: "submit", about: "Submits a job from a JSON file. Example: chicoryturn job submit job.json -a 10.0.0.1:7100 -k KEY",
@@ -32,9 +32,9 @@
 				return &InputError{err.Error()}
 			}
 			var sub gate.Submitted
-			answer, err := c.call(ctx, http.MethodPost, c.addr, "/jobs", text, &sub)
+			answer, err := c.call(ctx, http.MethodPost, c.gateAddr, "/jobs", text, &sub)
 			if err == nil {
-				c.show(answer, func() { fmt.Println(sub.ID) })
+				c.print(answer, func() { fmt.Println(sub.ID) })
 			}
 			return err
 		},
@@ -55,7 +55,7 @@
 	fmt.Println()
 }
 
-func jobByID(name, about, method string) *command {
+func jobIDCommand(name, about, method string) *command {
 	c, id := &client{}, ""
 	return &command{
 		name: name, about: about,
@@ -65,11 +65,11 @@
 		},
 		run: func(ctx context.Context) error {
 			var v gate.JobView
-			text, err := c.call(ctx, method, c.addr, "/jobs/"+id, nil, &v)
+			text, err := c.call(ctx, method, c.gateAddr, "/jobs/"+id, nil, &v)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() {
+			c.print(text, func() {
 				if method == http.MethodDelete {
 					fmt.Println("cancellation accepted")
 					return
@@ -81,11 +81,11 @@
 	}
 }
 
-func jobShow() *command { return jobByID("show", "Shows a job.", http.MethodGet) }
+func jobShowCommand() *command { return jobIDCommand("show", "Shows a job.", http.MethodGet) }
 
-func jobCancel() *command { return jobByID("cancel", "Cancels a job.", http.MethodDelete) }
+func jobCancelCommand() *command { return jobIDCommand("cancel", "Cancels a job.", http.MethodDelete) }
 
-func jobList() *command {
+func jobListCommand() *command {
 	c, most := &client{}, 100
 	return &command{
 		name: "list", about: "Lists your team's newest jobs.",
@@ -95,11 +95,11 @@
 		},
 		run: func(ctx context.Context) error {
 			var list []gate.JobView
-			text, err := c.call(ctx, http.MethodGet, c.addr, fmt.Sprintf("/jobs?most=%d", most), nil, &list)
+			text, err := c.call(ctx, http.MethodGet, c.gateAddr, fmt.Sprintf("/jobs?most=%d", most), nil, &list)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() {
+			c.print(text, func() {
 				for _, v := range list {
 					printJob(v)
 				}
--- a/cmd/chicoryturn/main.go
+++ b/cmd/chicoryturn/main.go
@@ -40,10 +40,10 @@
 	name  string
 	about string
 	// flags attaches the subcommand's flags and positions.
-	flags func(c *flaggy.Subcommand)
-	run   func(ctx context.Context) error
-	subs  []*command
-	used  *flaggy.Subcommand
+	flags       func(c *flaggy.Subcommand)
+	run         func(ctx context.Context) error
+	subcommands []*command
+	parsed      *flaggy.Subcommand
 }
 
 // InputError reports input that cannot be used.
@@ -84,7 +84,7 @@
 	p.ShowHelpOnUnexpected = true
 	cmds := []*command{
 		gateCommand(), schedCommand(), nodeCommand(), demoCommand(), rulesCommand(), keyCommand(), jobCommand(),
-		statusCommand(), dumpCommand(), whyCommand(), settingsCommand(), chartCommand(), helpCommand(), versionCommand(),
+		statusCommand(), dumpCommand(), whyCommand(), checkCommand(), chartCommand(), helpCommand(), versionCommand(),
 	}
 	for _, c := range cmds {
 		attach(c, func(s *flaggy.Subcommand) { p.AttachSubcommand(s, 1) })
@@ -96,24 +96,24 @@
 }
 
 func attach(c *command, to func(*flaggy.Subcommand)) {
-	c.used = flaggy.NewSubcommand(c.name)
-	c.used.Description = c.about
+	c.parsed = flaggy.NewSubcommand(c.name)
+	c.parsed.Description = c.about
 	if c.flags != nil {
-		c.flags(c.used)
+		c.flags(c.parsed)
 	}
-	for _, sub := range c.subs {
-		attach(sub, func(s *flaggy.Subcommand) { c.used.AttachSubcommand(s, 1) })
+	for _, sub := range c.subcommands {
+		attach(sub, func(s *flaggy.Subcommand) { c.parsed.AttachSubcommand(s, 1) })
 	}
-	to(c.used)
+	to(c.parsed)
 }
 
 func dispatch(ctx context.Context, cmds []*command, help func()) error {
 	for _, c := range cmds {
-		if !c.used.Used {
+		if !c.parsed.Used {
 			continue
 		}
-		if len(c.subs) > 0 {
-			return dispatch(ctx, c.subs, help)
+		if len(c.subcommands) > 0 {
+			return dispatch(ctx, c.subcommands, help)
 		}
 		return c.run(ctx)
 	}
--- a/cmd/chicoryturn/node.go
+++ b/cmd/chicoryturn/node.go
@@ -29,7 +29,7 @@
 				return &InputError{err.Error()}
 			}
 			store := platform.NewStore(local.Store)
-			showCalls(store)
+			registerStoreMetrics(store)
 			hup := make(chan os.Signal, 1)
 			signal.Notify(hup, syscall.SIGHUP)
 			// A signal begins a planned stop; the process ends once nothing is
@@ -51,15 +51,15 @@
 	}
 }
 
-// showCalls shows the calls to the platform's table among the metrics.
-func showCalls(s *platform.Store) {
+// registerStoreMetrics shows the calls to the platform's table among the metrics.
+func registerStoreMetrics(s *platform.Store) {
 	for name, n := range map[string]*atomic.Uint64{"writes": &s.Writes, "reads": &s.Reads, "failures": &s.Failures} {
 		metrics.NewGauge(fmt.Sprintf("chicoryturn_store_%s_total", name), func() float64 { return float64(n.Load()) })
 	}
 }
 
-// settingsCommand checks the platform's settings file as a whole.
-func settingsCommand() *command {
+// checkCommand checks the platform's settings file as a whole.
+func checkCommand() *command {
 	file := ""
 	return &command{
 		name:  "check",
--- a/cmd/chicoryturn/rules.go
+++ b/cmd/chicoryturn/rules.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// forceWait is how long a push waits for the change to be in force.
-	forceWait  = 10 * time.Second
-	forcePause = 100 * time.Millisecond
+	// inForceTimeout is how long a push waits for the change to be in force.
+	inForceTimeout      = 10 * time.Second
+	inForcePollInterval = 100 * time.Millisecond
 )
 
 func rulesCommand() *command {
-	return &command{name: "rules", about: "Checks, pushes and shows the rules file.", subs: []*command{
-		rulesCheck(), rulesPush(), rulesShow(), rulesHistory(),
+	return &command{name: "rules", about: "Checks, pushes and shows the rules file.", subcommands: []*command{
+		rulesCheckCommand(), rulesPushCommand(), rulesShowCommand(), rulesHistoryCommand(),
 	}}
 }
 
@@ -35,7 +35,7 @@
 	return text, err
 }
 
-func rulesCheck() *command {
+func rulesCheckCommand() *command {
 	file := ""
 	return &command{
 		name: "check", about: "Checks a rules file and changes nothing. Example: chicoryturn rules check rules.toml",
@@ -50,7 +50,7 @@
 	}
 }
 
-func rulesPush() *command {
+func rulesPushCommand() *command {
 	c, file, base := &client{}, "", 0
 	return &command{
 		name: "push", about: "Puts a rules file in force. Example: chicoryturn rules push rules.toml -o 10.0.0.1:7102 -b Mia",
@@ -66,31 +66,31 @@
 				return err
 			}
 			var p httpx.Pushed
-			answer, err := c.call(ctx, http.MethodPost, c.ops, fmt.Sprintf("/rules?base=%d", base), text, &p)
+			answer, err := c.call(ctx, http.MethodPost, c.opsAddr, fmt.Sprintf("/rules?base=%d", base), text, &p)
 			if err != nil {
 				return err
 			}
-			c.show(answer, func() { fmt.Printf("accepted as version %d\n", p.Version) })
-			return c.awaitForce(ctx, p)
+			c.print(answer, func() { fmt.Printf("accepted as version %d\n", p.Version) })
+			return c.awaitInForce(ctx, p)
 		},
 	}
 }
 
-// awaitForce waits until a change is in force in every live process.
-func (c *client) awaitForce(ctx context.Context, p httpx.Pushed) error {
+// awaitInForce waits until a change is in force in every live process.
+func (c *client) awaitInForce(ctx context.Context, p httpx.Pushed) error {
 	began := time.Now()
-	for time.Since(began) < forceWait {
+	for time.Since(began) < inForceTimeout {
 		var conf httpx.Config
-		if _, err := c.call(ctx, http.MethodGet, c.ops, "/config", nil, &conf); err != nil {
+		if _, err := c.call(ctx, http.MethodGet, c.opsAddr, "/config", nil, &conf); err != nil {
 			return err
 		}
 		if conf.Lowest >= p.Version {
-			if !c.json {
+			if !c.printJSON {
 				fmt.Printf("in force everywhere after %s\n", time.Since(began).Round(time.Millisecond))
 			}
 			return nil
 		}
-		t := time.NewTimer(forcePause)
+		t := time.NewTimer(inForcePollInterval)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -101,12 +101,12 @@
 	return nil
 }
 
-func rulesShow() *command {
+func rulesShowCommand() *command {
 	c := &client{}
 	return &command{
 		name: "show", about: "Prints the rules in force.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
-			text, err := c.call(ctx, http.MethodGet, c.ops, "/rules", nil, nil)
+			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/rules", nil, nil)
 			if err == nil {
 				fmt.Print(string(text))
 			}
@@ -115,17 +115,17 @@
 	}
 }
 
-func rulesHistory() *command {
+func rulesHistoryCommand() *command {
 	c := &client{}
 	return &command{
 		name: "history", about: "Lists every accepted change.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
 			var list []agent.History
-			text, err := c.call(ctx, http.MethodGet, c.ops, "/rules/history", nil, &list)
+			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/rules/history", nil, &list)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() {
+			c.print(text, func() {
 				for _, h := range list {
 					fmt.Printf("%6d  %s  %-9s %-20s %s\n", h.Version, h.At.Format(time.RFC3339), h.Kind, h.By, h.What)
 				}
@@ -136,10 +136,10 @@
 }
 
 func keyCommand() *command {
-	return &command{name: "key", about: "Grants, withdraws and lists keys.", subs: []*command{keyGrant(), keyWithdraw(), keyList()}}
+	return &command{name: "key", about: "Grants, withdraws and lists keys.", subcommands: []*command{keyGrantCommand(), keyWithdrawCommand(), keyListCommand()}}
 }
 
-func keyGrant() *command {
+func keyGrantCommand() *command {
 	c, team := &client{}, ""
 	return &command{
 		name: "grant", about: "Creates a key for a team and shows it once. Example: chicoryturn key grant press -o 10.0.0.1:7102",
@@ -150,17 +150,17 @@
 		},
 		run: func(ctx context.Context) error {
 			var p httpx.Pushed
-			text, err := c.call(ctx, http.MethodPost, c.ops, "/keys?team="+team, nil, &p)
+			text, err := c.call(ctx, http.MethodPost, c.opsAddr, "/keys?team="+team, nil, &p)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() { fmt.Printf("%s\n", p.Key) })
-			return c.awaitForce(ctx, p)
+			c.print(text, func() { fmt.Printf("%s\n", p.Key) })
+			return c.awaitInForce(ctx, p)
 		},
 	}
 }
 
-func keyWithdraw() *command {
+func keyWithdrawCommand() *command {
 	c, id := &client{}, ""
 	return &command{
 		name: "withdraw", about: "Ends a key. Example: chicoryturn key withdraw 1f2e3d4c -o 10.0.0.1:7102",
@@ -171,27 +171,27 @@
 		},
 		run: func(ctx context.Context) error {
 			var p httpx.Pushed
-			text, err := c.call(ctx, http.MethodDelete, c.ops, "/keys/"+id, nil, &p)
+			text, err := c.call(ctx, http.MethodDelete, c.opsAddr, "/keys/"+id, nil, &p)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() { fmt.Printf("withdrawn as version %d\n", p.Version) })
-			return c.awaitForce(ctx, p)
+			c.print(text, func() { fmt.Printf("withdrawn as version %d\n", p.Version) })
+			return c.awaitInForce(ctx, p)
 		},
 	}
 }
 
-func keyList() *command {
+func keyListCommand() *command {
 	c := &client{}
 	return &command{
 		name: "list", about: "Lists keys without their secrets.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
 			var keys []httpx.Key
-			text, err := c.call(ctx, http.MethodGet, c.ops, "/keys", nil, &keys)
+			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/keys", nil, &keys)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() {
+			c.print(text, func() {
 				for _, k := range keys {
 					fmt.Printf("%-18s %-16s %s\n", k.ID, k.Team, k.State)
 				}
--- a/cmd/chicoryturn/status.go
+++ b/cmd/chicoryturn/status.go
@@ -17,8 +17,8 @@
 	"chicoryturn/io/sched"
 )
 
-// statusPage is the part of any process's dump that status prints.
-type statusPage struct {
+// statusDump is the part of any process's dump that status prints.
+type statusDump struct {
 	Agent            agent.Dump
 	Waiting, Sending int
 	Targets          []admit.TargetView
@@ -31,17 +31,17 @@
 		name: "status", about: "Shows one process: its session, cells, targets and limits. Example: chicoryturn status -o 10.0.0.1:7102",
 		flags: c.opsFlags,
 		run: func(ctx context.Context) error {
-			var p statusPage
-			text, err := c.call(ctx, http.MethodGet, c.ops, "/dump", nil, &p)
+			var p statusDump
+			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/dump", nil, &p)
 			if err == nil {
-				c.show(text, func() { printStatus(&p) })
+				c.print(text, func() { printStatus(&p) })
 			}
 			return err
 		},
 	}
 }
 
-func printStatus(p *statusPage) {
+func printStatus(p *statusDump) {
 	fmt.Printf("session %s: %s, configuration %d, %d peers, %d VMs listed\n",
 		p.Agent.Session, p.Agent.State, p.Agent.Config, len(p.Agent.Peers), p.Agent.VMs)
 	for id, owner := range p.Agent.Owners {
@@ -72,9 +72,11 @@
 	c := &client{}
 	return &command{
 		name: "dump", about: "Prints the whole control state of one process as JSON.",
-		flags: func(s *flaggy.Subcommand) { s.String(&c.ops, "o", "ops", "operators' address of the process, IP:port") },
+		flags: func(s *flaggy.Subcommand) {
+			s.String(&c.opsAddr, "o", "ops", "operators' address of the process, IP:port")
+		},
 		run: func(ctx context.Context) error {
-			text, err := c.call(ctx, http.MethodGet, c.ops, "/dump", nil, nil)
+			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/dump", nil, nil)
 			if err == nil {
 				fmt.Print(string(text))
 			}
--- a/cmd/chicoryturn/why.go
+++ b/cmd/chicoryturn/why.go
@@ -22,11 +22,11 @@
 			c.AddPositionalValue(&job, "job", 1, true, "name of the job")
 			c.String(&file, "f", "file", "log file; standard input if left out")
 		},
-		run: func(context.Context) error { return printTrail(os.Stdout, job, file) },
+		run: func(context.Context) error { return printTrace(os.Stdout, job, file) },
 	}
 }
 
-func printTrail(out io.Writer, job, file string) error {
+func printTrace(out io.Writer, job, file string) error {
 	in := io.Reader(os.Stdin)
 	if file != "" {
 		f, err := os.Open(file)
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -25,8 +25,8 @@
 // SetDemand implements cell.Limits.
 func (unlimited) SetDemand(string, int64) {}
 
-// bench is a cell whose workers answer at once, without messages.
-type bench struct {
+// cellBench is a cell whose workers answer at once, without messages.
+type cellBench struct {
 	cell  *cell.Cell
 	now   time.Time
 	seq   uint64
@@ -35,45 +35,45 @@
 	tasks map[core.WorkerID][]cell.TaskReport
 }
 
-var room = core.Resources{Cores: 64000, Memory: 262144, Accel: 2}
+var workerRoom = core.Resources{Cores: 64000, Memory: 262144, Accel: 2}
 
-func newBench(workers, teams int) *bench {
-	b := &bench{now: time.Now(), teams: teams, tasks: map[core.WorkerID][]cell.TaskReport{}}
+func newCellBench(workers, teams int) *cellBench {
+	b := &cellBench{now: time.Now(), teams: teams, tasks: map[core.WorkerID][]cell.TaskReport{}}
 	b.cell = cell.New(core.CellID{Region: "r"}, 1, unlimited{})
 	set := &rules.Set{Teams: map[core.Team]rules.Team{}}
 	for i := range teams {
-		set.Teams[team(i)] = rules.Team{Name: team(i), Share: 100 / float64(teams), Cores: 1 << 40}
+		set.Teams[teamName(i)] = rules.Team{Name: teamName(i), Share: 100 / float64(teams), Cores: 1 << 40}
 	}
 	b.cell.SetRules(set)
 	var vms []core.VM
 	addr := netip.MustParseAddrPort("127.0.0.1:1")
 	for i := range workers {
-		r := room
+		r := workerRoom
 		if i%2 == 1 {
 			r.Accel = 0
 		}
 		vms = append(vms, core.VM{Name: fmt.Sprintf("worker%05d", i), Kind: "worker", Addr: addr, Region: "r", Room: r})
 	}
 	b.cell.SetWorkers(b.now, vms)
-	b.record()
-	b.answer()
+	b.storeBatches()
+	b.answerHeartbeats()
 	return b
 }
 
-func team(i int) core.Team { return core.Team(fmt.Sprintf("team%02d", i)) }
+func teamName(i int) core.Team { return core.Team(fmt.Sprintf("team%02d", i)) }
 
-func (b *bench) record() {
+func (b *cellBench) storeBatches() {
 	for b.cell.Batch() != nil {
 		b.cell.BatchStored(b.now)
 	}
 }
 
 // submit adds jobs of some tasks each.
-func (b *bench) submit(jobs, tasks int, need core.Resources) error {
+func (b *cellBench) submit(jobs, tasks int, need core.Resources) error {
 	for range jobs {
 		b.jobs++
 		spec := cell.JobSpec{
-			ID: core.NewJobID(core.CellID{Region: "r"}, fmt.Sprintf("job%07d", b.jobs)), Team: team(b.jobs % b.teams),
+			ID: core.NewJobID(core.CellID{Region: "r"}, fmt.Sprintf("job%07d", b.jobs)), Team: teamName(b.jobs % b.teams),
 			Queue: "sweep", Kind: rules.Batch, Submitted: b.now,
 		}
 		for range tasks {
@@ -83,27 +83,27 @@
 			return err
 		}
 	}
-	b.record()
+	b.storeBatches()
 	return nil
 }
 
 // place runs placement until nothing more can be placed.
-func (b *bench) place() time.Duration {
+func (b *cellBench) place() time.Duration {
 	began := time.Now()
 	for b.cell.Plan(b.now) {
 	}
 	return time.Since(began)
 }
 
-// answer lets every contacted worker report what it was told to run.
-func (b *bench) answer() int {
+// answerHeartbeats lets every contacted worker report what it was told to run.
+func (b *cellBench) answerHeartbeats() int {
 	contacts := b.cell.Heartbeats(b.now)
 	for _, k := range contacts {
 		for _, s := range k.Starts {
 			b.tasks[k.Worker] = append(b.tasks[k.Worker], cell.TaskReport{Task: s.Task, Run: s.Run, State: cell.TaskRunning, Team: s.Team, Need: s.Need})
 		}
 		b.seq++
-		b.cell.Report(b.now, k, cell.Report{Stamp: "s", Incarnation: "b", Seq: b.seq, Full: true, Room: room, Tasks: b.tasks[k.Worker]})
+		b.cell.Report(b.now, k, cell.Report{Stamp: "s", Incarnation: "b", Seq: b.seq, Full: true, Room: workerRoom, Tasks: b.tasks[k.Worker]})
 	}
 	return len(contacts)
 }
--- a/cmd/measure/idle.go
+++ b/cmd/measure/idle.go
@@ -27,14 +27,14 @@
 		if _, err := demo.Open(ctx, s, s.Addresses, p); err != nil {
 			return err
 		}
-		before, used := s.Platform.Counts(), processorTime()
+		before, used := s.Platform.Counts(), cpuTime()
 		timer := time.NewTimer(span)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		after, load := s.Platform.Counts(), processorTime()-used
+		after, load := s.Platform.Counts(), cpuTime()-used
 		per := func(a, b uint64) float64 { return float64(b-a) / span.Seconds() }
 		procs := float64(6 * n.each)
 		w, r := per(before.Writes, after.Writes), per(before.Reads, after.Reads)
@@ -52,10 +52,10 @@
 		}
 	}
 	_ = t.Flush()
-	w, _ := slope(writes)
-	r, _ := slope(reads)
-	b, _ := slope(bytes)
-	c, _ := slope(cpu)
+	w, _ := fitLine(writes)
+	r, _ := fitLine(reads)
+	b, _ := fitLine(bytes)
+	c, _ := fitLine(cpu)
 	fmt.Printf("per process: %.2f store writes/s, %.2f reads/s; per pair of processes: %.1f B/s read\n", w, r, b*1000)
 	fmt.Printf("per worker, sched and stand-in together: %.3f %% of a core\n", c)
 	return nil
--- a/cmd/measure/path.go
+++ b/cmd/measure/path.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	pathCallers = 64
-	histMax     = int64(time.Minute / time.Microsecond)
+	pathCallers      = 64
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
 )
 
-func coreQueue(s string) core.Queue { return core.Queue(s) }
-func coreTeam(s string) core.Team   { return core.Team(s) }
+func toQueue(s string) core.Queue { return core.Queue(s) }
+func toTeam(s string) core.Team   { return core.Team(s) }
 
 // measurePath compares requests through gates with direct calls to the target.
 func measurePath(ctx context.Context, span time.Duration) error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "way\trequests\tfailed\trequests/s\tp50\tp99\tCPU µs/request\t")
 	for _, direct := range []bool{true, false} {
-		if err := pathOnce(ctx, t, direct, span); err != nil {
+		if err := measureRoute(ctx, t, direct, span); err != nil {
 			return err
 		}
 	}
 	return t.Flush()
 }
 
-// pathOnce loads a fresh deployment. Direct calls know no slots, so that the
+// measureRoute loads a fresh deployment. Direct calls know no slots, so that the
 // targets are given enough of them.
-func pathOnce(ctx context.Context, t *tabwriter.Writer, direct bool, span time.Duration) error {
+func measureRoute(ctx context.Context, t *tabwriter.Writer, direct bool, span time.Duration) error {
 	p := deploy.Glaze()
 	p.Workers = 3
 	if direct {
@@ -62,15 +62,15 @@
 			}
 		}
 	}
-	onePath(ctx, t, name, r.Caller("pewter"), at, span)
+	measureRequests(ctx, t, name, r.Caller("pewter"), at, span)
 	return s.Stop()
 }
 
-func onePath(ctx context.Context, t *tabwriter.Writer, name string, c *demo.Caller, at []netip.AddrPort, span time.Duration) {
-	hist := hdrhistogram.New(1, histMax, 3)
+func measureRequests(ctx context.Context, t *tabwriter.Writer, name string, c *demo.Caller, at []netip.AddrPort, span time.Duration) {
+	hist := hdrhistogram.New(1, maxLatencyMicros, 3)
 	var mu sync.Mutex
 	failed := 0
-	began, before := time.Now(), processorTime()
+	began, before := time.Now(), cpuTime()
 	group, ctx := errgroup.WithContext(ctx)
 	for i := range pathCallers {
 		group.Go(func() error {
@@ -80,7 +80,7 @@
 				if res.Err != nil || res.Status != 200 {
 					failed++
 				} else {
-					_ = hist.RecordValue(min(int64(res.Took/time.Microsecond), histMax))
+					_ = hist.RecordValue(min(int64(res.Took/time.Microsecond), maxLatencyMicros))
 				}
 				mu.Unlock()
 			}
@@ -88,7 +88,7 @@
 		})
 	}
 	_ = group.Wait()
-	took, used := time.Since(began), processorTime()-before
+	took, used := time.Since(began), cpuTime()-before
 	n := hist.TotalCount()
 	fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%s\t%s\t%.0f\t\n", name, n, failed, float64(n)/took.Seconds(),
 		time.Duration(hist.ValueAtQuantile(50))*time.Microsecond, time.Duration(hist.ValueAtQuantile(99))*time.Microsecond,
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -16,17 +16,17 @@
 
 const (
 	ms = time.Millisecond
-	// nearWindow is the window over which nearness to share is taken.
-	nearWindow = 10 * time.Second
+	// nearnessWindow is the window over which nearness to share is taken.
+	nearnessWindow = 10 * time.Second
 )
 
-// named is a policy under a name.
-type named struct {
+// namedPolicy is a policy under a name.
+type namedPolicy struct {
 	name   string
 	policy cell.Policy
 }
 
-func policies() []named {
+func policies() []namedPolicy {
 	base := cell.DefaultPolicy()
 	fifo := cell.Policy{Order: cell.ByArrival, Weight: cell.ByShare}
 	equal, demand, first, bare := base, base, base, base
@@ -34,16 +34,16 @@
 	demand.Weight = cell.ByDemand
 	first.BestFit = false
 	bare.Backfill = false
-	return []named{
+	return []namedPolicy{
 		{"fifo, first fit", fifo}, {"equal shares", equal}, {"demand weights", demand},
 		{"first fit", first}, {"no backfill", bare}, {"default", base},
 	}
 }
 
-// mix returns streams of jobs that ask for a part of a fleet's cores. A few
+// jobStreams returns streams of jobs that ask for a part of a fleet's cores. A few
 // teams are large; sizes and run times differ, declared times are off by up
 // to ten times.
-func mix(p deploy.Plan, part float64) []demo.JobStream {
+func jobStreams(p deploy.Plan, part float64) []demo.JobStream {
 	const every = 200 * ms
 	cores := float64(p.Total().Cores) / 1000 * part
 	unit := float64(p.Room.Cores) / 16000
@@ -78,15 +78,15 @@
 		count = max(count, 1)
 		gap = time.Duration(float64(count) / perSecond * float64(time.Second))
 		out = append(out, demo.JobStream{
-			Queue: coreQueue(s.queue), Team: coreTeam(s.team), Every: gap, Count: count, Cores: size,
+			Queue: toQueue(s.queue), Team: toTeam(s.team), Every: gap, Count: count, Cores: size,
 			Memory: int64(s.memory * unit), Run: s.run, EstimateError: 10,
 		})
 	}
 	return out
 }
 
-// processorTime returns what this process has used.
-func processorTime() time.Duration {
+// cpuTime returns what this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -106,7 +106,7 @@
 				if kind != "" && kind != n.name {
 					continue
 				}
-				if err := onePolicy(ctx, t, p, n, load, span, seed); err != nil {
+				if err := measureOnePolicy(ctx, t, p, n, load, span, seed); err != nil {
 					return err
 				}
 				_ = t.Flush()
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func onePolicy(ctx context.Context, t *tabwriter.Writer, p deploy.Plan, n named, load float64, span time.Duration, seed uint64) error {
+func measureOnePolicy(ctx context.Context, t *tabwriter.Writer, p deploy.Plan, n namedPolicy, load float64, span time.Duration, seed uint64) error {
 	p.Options = append(p.Options, sched.WithPolicy(n.policy))
 	s, err := deploy.Start(ctx, p)
 	if err != nil {
@@ -126,19 +126,19 @@
 	if err != nil {
 		return err
 	}
-	before := processorTime()
-	if err := r.RunWorkload(ctx, demo.Workload{Duration: span, Seed: seed, Jobs: mix(p, load)}); err != nil {
+	before := cpuTime()
+	if err := r.RunWorkload(ctx, demo.Workload{Duration: span, Seed: seed, Jobs: jobStreams(p, load)}); err != nil {
 		return err
 	}
-	used := processorTime() - before
-	sum, near, faults := r.Summary(), r.Nearness(nearWindow), r.Violations()
+	used := cpuTime() - before
+	sum, near, faults := r.Summary(), r.Nearness(nearnessWindow), r.Violations()
 	urgent, batch, gang := "urgent", "cure", "mould"
 	if p.Name == "bagmati" {
 		batch, gang = "label", "plate"
 	}
-	u50, u99 := sum.Waits(coreQueue(urgent), 50, 99)
-	b50, b99 := sum.Waits(coreQueue(batch), 50, 99)
-	g50, g99 := sum.Waits(coreQueue(gang), 50, 99)
+	u50, u99 := sum.Waits(toQueue(urgent), 50, 99)
+	b50, b99 := sum.Waits(toQueue(batch), 50, 99)
+	g50, g99 := sum.Waits(toQueue(gang), 50, 99)
 	fmt.Fprintf(t, "%s\t%.0f%%\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f%%\t%.1f%%\t%.1f%% %s\t%.2f\t%d\t\n", p.Name, load*100, n.name, sum.Tasks,
 		u50.Round(ms), u99.Round(ms), b50.Round(ms), b99.Round(ms), g50.Round(ms), g99.Round(ms), sum.PackCores*100,
 		near.Mean*100, near.Largest*100, near.Team, float64(used.Microseconds())/1000/float64(max(sum.Tasks, 1)), len(faults))
--- a/cmd/measure/size.go
+++ b/cmd/measure/size.go
@@ -21,8 +21,8 @@
 // point is one measured size.
 type point struct{ size, value float64 }
 
-// slope fits a line by least squares.
-func slope(ps []point) (per, base float64) {
+// fitLine fits a line by least squares.
+func fitLine(ps []point) (per, base float64) {
 	n, sx, sy, sxx, sxy := float64(len(ps)), 0.0, 0.0, 0.0, 0.0
 	for _, p := range ps {
 		sx, sy, sxx, sxy = sx+p.size, sy+p.value, sxx+p.size*p.size, sxy+p.size*p.value
@@ -31,7 +31,7 @@
 	return per, (sy - per*sx) / n
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -39,20 +39,20 @@
 	return float64(m.HeapAlloc)
 }
 
-// grown measures the memory of what build returns at several sizes.
-func grown(sizes []int, build func(n int) any) []point {
+// measureHeap measures the memory of what build returns at several sizes.
+func measureHeap(sizes []int, build func(n int) any) []point {
 	var out []point
 	for _, n := range sizes {
-		before := heap()
+		before := heapBytes()
 		kept := build(n)
-		out = append(out, point{float64(n), heap() - before})
+		out = append(out, point{float64(n), heapBytes() - before})
 		runtime.KeepAlive(kept)
 	}
 	return out
 }
 
-// timed measures the microseconds of one call at several sizes.
-func timed(sizes []int, build func(n int) func()) []point {
+// measureTime measures the microseconds of one call at several sizes.
+func measureTime(sizes []int, build func(n int) func()) []point {
 	const rounds = 20
 	var out []point
 	for _, n := range sizes {
@@ -66,64 +66,64 @@
 	return out
 }
 
-type line struct {
-	what, unit string
-	points     []point
-	at         float64
+type sizeMetric struct {
+	name, unit    string
+	points        []point
+	projectedSize float64
 }
 
 func measureSize(context.Context) error {
-	lines := []line{
-		{"memory per worker", "B", grown([]int{50, 200, 800, 3200}, func(n int) any { return newBench(n, 77) }), 13000},
-		{"memory per running task", "B", grown([]int{1000, 4000, 16000}, tasks), 310000},
-		{"memory per waiting job of 10 tasks", "B", grown([]int{200, 800, 3200}, waiting), 25000},
-		{"memory per team and rule", "B", grown([]int{77, 308, 1232}, func(n int) any { return teamsOf(n) }), 77},
-		{"memory per key", "B", grown([]int{100, 400, 1600}, func(n int) any { return keysOf(n) }), 1000},
-		{"memory per peer", "B", grown([]int{50, 200, 800}, func(n int) any { return memberOf(n) }), 120},
-		{"time of one lease look, per worker", "µs", timed([]int{50, 200, 800, 3200}, func(n int) func() {
-			b := newBench(n, 77)
+	lines := []sizeMetric{
+		{"memory per worker", "B", measureHeap([]int{50, 200, 800, 3200}, func(n int) any { return newCellBench(n, 77) }), 13000},
+		{"memory per running task", "B", measureHeap([]int{1000, 4000, 16000}, runningTasks), 310000},
+		{"memory per waiting job of 10 tasks", "B", measureHeap([]int{200, 800, 3200}, queuedJobs), 25000},
+		{"memory per team and rule", "B", measureHeap([]int{77, 308, 1232}, func(n int) any { return configWithTeams(n) }), 77},
+		{"memory per key", "B", measureHeap([]int{100, 400, 1600}, func(n int) any { return configWithKeys(n) }), 1000},
+		{"memory per peer", "B", measureHeap([]int{50, 200, 800}, func(n int) any { return memberWithPeers(n) }), 120},
+		{"time of one lease look, per worker", "µs", measureTime([]int{50, 200, 800, 3200}, func(n int) func() {
+			b := newCellBench(n, 77)
 			return func() { b.cell.Tick(b.now) }
 		}), 13000},
-		{"time of one scan, per peer", "µs", timed([]int{50, 200, 800}, func(n int) func() {
-			m, rows := memberOf(n), sessions(n)
+		{"time of one scan, per peer", "µs", measureTime([]int{50, 200, 800}, func(n int) func() {
+			m, rows := memberWithPeers(n), sessionRows(n)
 			return func() { m.Scanned(time.Now(), time.Now(), rows, nil) }
 		}), 120},
-		{"time of one limit pass, per row", "µs", timed([]int{77, 308, 1232}, func(n int) func() {
-			b := bookOf(n)
+		{"time of one limit pass, per row", "µs", measureTime([]int{77, 308, 1232}, func(n int) func() {
+			b := ledgerWithRows(n)
 			return func() { b.Applied(b.Plan(), nil, false) }
 		}), 154},
-		{"bytes of one contact, per task on the worker", "B", contactBytes([]int{0, 24, 96}), 24},
-		{"bytes of one session row read, per peer", "B", scanBytes([]int{50, 200, 800}), 120},
+		{"bytes of one contact, per task on the worker", "B", heartbeatBytes([]int{0, 24, 96}), 24},
+		{"bytes of one session row read, per peer", "B", sessionRowBytes([]int{50, 200, 800}), 120},
 	}
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "slope\tmeasured at\tper one\tfixed\tat the letter's size\t")
 	for _, l := range lines {
-		per, base := slope(l.points)
+		per, base := fitLine(l.points)
 		sizes := ""
 		for _, p := range l.points {
 			sizes += fmt.Sprintf(" %.0f", p.size)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.4g %s\t%.4g %s\t%.0f: %.4g %s\t\n", l.what, sizes, per, l.unit, base, l.unit, l.at, base+per*l.at, l.unit)
+		fmt.Fprintf(t, "%s\t%s\t%.4g %s\t%.4g %s\t%.0f: %.4g %s\t\n", l.name, sizes, per, l.unit, base, l.unit, l.projectedSize, base+per*l.projectedSize, l.unit)
 	}
 	_ = t.Flush()
-	return decisions()
+	return measurePlacement()
 }
 
-func tasks(n int) any {
-	b := newBench(800, 77)
+func runningTasks(n int) any {
+	b := newCellBench(800, 77)
 	_ = b.submit(n/10, 10, core.Resources{Cores: 500, Memory: 512})
 	b.place()
-	b.answer()
+	b.answerHeartbeats()
 	return b
 }
 
-func waiting(n int) any {
-	b := newBench(1, 77)
+func queuedJobs(n int) any {
+	b := newCellBench(1, 77)
 	_ = b.submit(n, 10, core.Resources{Cores: 64000, Memory: 512})
 	return b
 }
 
-func teamsOf(n int) *conf.Config {
+func configWithTeams(n int) *conf.Config {
 	set := &rules.Set{Teams: map[core.Team]rules.Team{}, Queues: map[core.Queue]rules.Queue{}}
 	for i := range n {
 		name := fmt.Sprintf("team%05d", i)
@@ -135,7 +135,7 @@
 	return b
 }
 
-func keysOf(n int) *conf.Config {
+func configWithKeys(n int) *conf.Config {
 	b := conf.New()
 	for i := range n {
 		_ = b.Apply(conf.Change{Version: core.Version(i + 1), Kind: conf.GrantKey, Key: &conf.Key{
@@ -145,28 +145,28 @@
 	return b
 }
 
-func process(i int) core.Process {
+func newProcess(i int) core.Process {
 	return core.Process{
 		ID: core.SessionID(fmt.Sprintf("entry%05d/sched/0123456789ab", i)), VM: fmt.Sprintf("entry%05d", i), Role: core.RoleSched,
 		Region: "hobart", Zone: "hobart-a", Peer: netip.MustParseAddrPort("10.0.0.1:7101"),
 	}
 }
 
-func sessions(n int) []core.Row[member.Session] {
+func sessionRows(n int) []core.Row[member.Session] {
 	var out []core.Row[member.Session]
 	for i := range n {
-		out = append(out, core.Row[member.Session]{Val: member.Session{Process: process(i + 1), Beat: 7, Config: 9}, Version: uint64(i + 1)})
+		out = append(out, core.Row[member.Session]{Val: member.Session{Process: newProcess(i + 1), Beat: 7, Config: 9}, Version: uint64(i + 1)})
 	}
 	return out
 }
 
-func memberOf(n int) *member.Member {
-	m := member.New(process(0), member.WithCells(16))
-	m.Scanned(time.Now(), time.Now(), sessions(n), nil)
+func memberWithPeers(n int) *member.Member {
+	m := member.New(newProcess(0), member.WithCells(16))
+	m.Scanned(time.Now(), time.Now(), sessionRows(n), nil)
 	return m
 }
 
-func bookOf(n int) *ledger.Ledger {
+func ledgerWithRows(n int) *ledger.Ledger {
 	b := ledger.New("hobart/0")
 	for i := range n {
 		name := fmt.Sprintf("cores/team%05d", i)
@@ -176,7 +176,7 @@
 	return b
 }
 
-func contactBytes(sizes []int) []point {
+func heartbeatBytes(sizes []int) []point {
 	var out []point
 	for _, n := range sizes {
 		r := work.Report{Stamp: "1796378400000000000/3600000000000", Seq: 1e6, Room: work.Room{Cores: 64000, Memory: 262144}}
@@ -190,20 +190,20 @@
 		a, errA := json.Marshal(r)
 		b, errB := json.Marshal(k)
 		if errA == nil && errB == nil {
-			out = append(out, point{float64(n), float64(len(a) + len(b) + httpBytes)})
+			out = append(out, point{float64(n), float64(len(a) + len(b) + httpHeaderBytes)})
 		}
 	}
 	return out
 }
 
-// httpBytes is what the headers of one call and its answer take.
-const httpBytes = 300
+// httpHeaderBytes is what the headers of one call and its answer take.
+const httpHeaderBytes = 300
 
-func scanBytes(sizes []int) []point {
+func sessionRowBytes(sizes []int) []point {
 	var out []point
 	for _, n := range sizes {
-		total := httpBytes
-		for _, s := range sessions(n) {
+		total := httpHeaderBytes
+		for _, s := range sessionRows(n) {
 			text, err := json.Marshal(s.Val)
 			if err == nil {
 				total += len(text) + len(`{"key":"m/session/","val":,"version":123456},`) + len(s.Val.Process.ID)
@@ -214,12 +214,12 @@
 	return out
 }
 
-// decisions measures placement with few and with many workers.
-func decisions() error {
+// measurePlacement measures placement with few and with many workers.
+func measurePlacement() error {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "workers\ttasks placed\tdecisions/s\tµs/decision\t")
 	for _, n := range []int{50, 200, 800, 3200, 13000} {
-		b := newBench(n, 77)
+		b := newCellBench(n, 77)
 		count := min(n*24, 40000)
 		if err := b.submit(count/10, 10, core.Resources{Cores: 2000, Memory: 4096}); err != nil {
 			return err
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -21,9 +21,9 @@
 )
 
 type flags struct {
-	addr, admin, to, name string
-	slots                 int
-	cores, memory, accel  int64
+	addr, admin, proxyTo, name string
+	slots                      int
+	cores, memory, accel       int64
 }
 
 func main() {
@@ -40,7 +40,7 @@
 	flaggy.SetName("standin")
 	flaggy.SetDescription("Runs a stand-in for something that surrounds chicoryturn.")
 	kinds := map[string]func(context.Context, *errgroup.Group, flags) error{
-		"platform": platform, "worker": worker, "target": target, "proxy": proxy,
+		"platform": startPlatform, "worker": startWorker, "target": startTarget, "proxy": startProxy,
 	}
 	cmds := map[string]*flaggy.Subcommand{}
 	for _, name := range []string{"platform", "worker", "target", "proxy"} {
@@ -52,7 +52,7 @@
 		c.Int64(&f.cores, "c", "cores", "room of a worker in thousandths of a core")
 		c.Int64(&f.memory, "m", "memory", "room of a worker in MiB")
 		c.Int64(&f.accel, "x", "accel", "accelerators of a worker")
-		c.String(&f.to, "t", "to", "address that a proxy passes on to, IP:port")
+		c.String(&f.proxyTo, "t", "to", "address that a proxy passes on to, IP:port")
 		c.String(&f.admin, "d", "admin", "address on which a proxy takes orders, IP:port")
 		flaggy.AttachSubcommand(c, 1)
 		cmds[name] = c
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// address reads an address given as a flag.
-func address(text string) (netip.AddrPort, error) {
+// parseAddr reads an address given as a flag.
+func parseAddr(text string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return a, fmt.Errorf("address %q: %w", text, err)
@@ -81,7 +81,7 @@
 }
 
 func listen(text string) (net.Listener, error) {
-	a, err := address(text)
+	a, err := parseAddr(text)
 	if err != nil {
 		return nil, err
 	}
@@ -97,26 +97,26 @@
 	return nil
 }
 
-func platform(ctx context.Context, group *errgroup.Group, f flags) error {
+func startPlatform(ctx context.Context, group *errgroup.Group, f flags) error {
 	p := fakes.NewPlatform(ctx)
 	group.Go(p.Run)
 	return serve(ctx, group, f.addr, p.Handler())
 }
 
-func worker(ctx context.Context, group *errgroup.Group, f flags) error {
+func startWorker(ctx context.Context, group *errgroup.Group, f flags) error {
 	w := fakes.NewWorker(ctx, f.name, work.Room{Cores: f.cores, Memory: f.memory, Accel: f.accel})
 	group.Go(w.Run)
 	return serve(ctx, group, f.addr, w.Handler())
 }
 
-func target(ctx context.Context, group *errgroup.Group, f flags) error {
+func startTarget(ctx context.Context, group *errgroup.Group, f flags) error {
 	t := fakes.NewTarget(ctx, f.name, f.slots)
 	group.Go(t.Run)
 	return serve(ctx, group, f.addr, t.Handler())
 }
 
-func proxy(ctx context.Context, group *errgroup.Group, f flags) error {
-	to, err := address(f.to)
+func startProxy(ctx context.Context, group *errgroup.Group, f flags) error {
+	to, err := parseAddr(f.proxyTo)
 	if err != nil {
 		return err
 	}
