--- a/proof/call_test.go
+++ b/proof/call_test.go
@@ -19,8 +19,8 @@
 	"chicoryturn/io/fakes"
 )
 
-// requests offers both kinds of requests for a time.
-func requests(d time.Duration) demo.Workload {
+// requestLoad offers both kinds of requests for a time.
+func requestLoad(d time.Duration) demo.Workload {
 	return demo.Workload{Duration: d, Seed: 11, Calls: []demo.RequestStream{
 		{Queue: "fit", Team: "pewter", Every: 10 * ms, Work: 20 * ms},
 		{Queue: "angle", Team: "press", Every: 10 * ms, Work: 20 * ms},
@@ -33,8 +33,8 @@
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	r := f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	r := f.openRun()
 	ctx := context.Background()
 	stop := make(chan struct{})
 	var load sync.WaitGroup
@@ -48,7 +48,7 @@
 					return
 				default:
 				}
-				g := f.ready(i + n)
+				g := f.gateInRotation(i + n)
 				if g == nil {
 					continue
 				}
@@ -66,27 +66,27 @@
 			}
 		})
 	}
-	wait(500 * ms)
+	sleep(500 * ms)
 	for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
 		// The balancer takes a gate out before its planned stop.
-		f.balance(e, false)
-		wait(100 * ms)
-		e.leave()
-		e.run()
-		f.eventually(e.name+" is ready again", func() error { return isReady(e.ops) })
-		f.balance(e, true)
+		f.setInRotation(e, false)
+		sleep(100 * ms)
+		e.drain()
+		e.start()
+		f.eventually(e.name+" is ready again", func() error { return checkReady(e.ops) })
+		f.setInRotation(e, true)
 	}
-	is.NoErr(r.RunWorkload(ctx, steady(time.Second)))
+	is.NoErr(r.RunWorkload(ctx, batchLoad(time.Second)))
 	close(stop)
 	load.Wait()
 	for what, n := range refused {
 		t.Errorf("%d times: %s", n, what)
 	}
-	f.check(r)
+	f.checkInvariants(r)
 }
 
-func isReady(at netip.AddrPort) error {
-	resp, err := client.Get("http://" + at.String() + "/ready")
+func checkReady(at netip.AddrPort) error {
+	resp, err := httpClient.Get("http://" + at.String() + "/ready")
 	if err != nil {
 		return err
 	}
@@ -97,15 +97,15 @@
 	return nil
 }
 
-var balancer sync.Map
+var inRotation sync.Map
 
-func (f *fleet) balance(e *entry, in bool) { balancer.Store(e, in) }
+func (f *fleet) setInRotation(e *entry, in bool) { inRotation.Store(e, in) }
 
-// ready returns a gate to which the balancer sends requests.
-func (f *fleet) ready(n int) *entry {
+// gateInRotation returns a gate to which the balancer sends requests.
+func (f *fleet) gateInRotation(n int) *entry {
 	for i := range f.gates {
 		g := f.gates[(n+i)%len(f.gates)]
-		if in, ok := balancer.Load(g); !ok || in.(bool) {
+		if in, ok := inRotation.Load(g); !ok || in.(bool) {
 			return g
 		}
 	}
@@ -116,8 +116,8 @@
 // that must not be repeated is sent twice, and that "not run" is true.
 func TestTargetFaults(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(deploy.Glaze()))
-	r := f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	r := f.openRun()
 	ctx := context.Background()
 	n := 0
 	for _, queue := range []core.Queue{"fit", "angle"} {
@@ -135,17 +135,17 @@
 					}
 					res := r.Caller(team).Call(ctx, f.gates[i%3].callers, queue, fmt.Sprintf("r%d", n), ms, h)
 					r.AddResult(res)
-					f.judge(res, how)
+					f.checkAnswer(res, how)
 				}
 			}
 		}
 	}
-	f.check(r)
-	f.truth(r)
+	f.checkInvariants(r)
+	f.checkNotExecuted(r)
 }
 
-// judge checks one answer against what the target was told to do.
-func (f *fleet) judge(res demo.Result, how string) {
+// checkAnswer checks one answer against what the target was told to do.
+func (f *fleet) checkAnswer(res demo.Result, how string) {
 	f.t.Helper()
 	whole := res.Err == nil && res.Status == http.StatusOK
 	if whole && !strings.HasSuffix(res.Body, "ask "+res.ID+"\n") {
@@ -159,8 +159,8 @@
 	}
 }
 
-// truth fails the test if a request that was reported as not run was run.
-func (f *fleet) truth(r *demo.Run) {
+// checkNotExecuted fails the test if a request that was reported as not run was run.
+func (f *fleet) checkNotExecuted(r *demo.Run) {
 	f.t.Helper()
 	seen := core.NewSet[string]()
 	for _, t := range f.TargetRecords() {
@@ -181,17 +181,17 @@
 func TestReusedConnection(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	p := small(deploy.Glaze())
+	p := smallPlan(deploy.Glaze())
 	f := newFleet(t, p)
 	got := make(chan string, 100)
-	at := closing(t, got)
+	at := startClosingTarget(t, got)
 	for i := range f.vms {
 		if f.vms[i].Kind == "target" && f.vms[i].Service == "angle" {
 			f.vms[i].Addr = at.String()
 		}
 	}
 	is.NoErr(f.setVMs())
-	r := f.open()
+	r := f.openRun()
 	key := r.Caller("press").Key
 	for i, method := range []string{http.MethodGet, http.MethodPost, http.MethodGet, http.MethodPost} {
 		req, err := http.NewRequest(method, fmt.Sprintf("http://%s/call/angle/x", f.gates[0].callers), nil)
@@ -199,7 +199,7 @@
 		req.Header.Set("Authorization", "Bearer "+key)
 		req.Header.Set("Idempotency-Key", fmt.Sprintf("once-%d", i))
 		req.Header.Set("X-Idempotency-Key", fmt.Sprintf("once-%d", i))
-		resp, err := client.Do(req)
+		resp, err := httpClient.Do(req)
 		is.NoErr(err)
 		_ = resp.Body.Close()
 		if i%2 == 1 {
@@ -218,9 +218,9 @@
 	}
 }
 
-// closing is a target that answers the first request of each connection and
+// startClosingTarget is a target that answers the first request of each connection and
 // closes the connection after reading the second.
-func closing(t *testing.T, got chan<- string) netip.AddrPort {
+func startClosingTarget(t *testing.T, got chan<- string) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -261,8 +261,8 @@
 func TestKeyedRetry(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	r := f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	r := f.openRun()
 	ctx := context.Background()
 	h := http.Header{"Idempotency-Key": {"angle-7"}}
 	c := r.Caller("press")
@@ -283,47 +283,47 @@
 	is.Equal(res.Code, core.CodeRepeat)
 	is.Equal(res.Run, core.ExecutionUnknown)
 	// Without the store no intent can be recorded: refused, and truly not run.
-	is.NoErr(f.faults(fakes.PlatformFaults{Down: true}))
+	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
 	res = c.Call(ctx, f.gates[1].callers, "angle", "two", ms, http.Header{"Idempotency-Key": {"angle-8"}})
 	is.Equal(res.Run, core.NotExecuted)
-	is.NoErr(f.faults(fakes.PlatformFaults{}))
+	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
 	r.AddResult(res)
-	f.truth(r)
-	f.check(r)
+	f.checkNotExecuted(r)
+	f.checkInvariants(r)
 }
 
 // TestGateKilled proves that slots and limits hold while gates die: a dead
 // gate's slots are not granted anew before its requests have surely ended.
 func TestGateKilled(t *testing.T) {
 	t.Parallel()
-	for _, opts := range [][]option{{}, {direct}} {
+	for _, opts := range [][]option{{}, {directPeers}} {
 		t.Run(fmt.Sprintf("direct %t", len(opts) > 0), func(t *testing.T) {
-			f := newFleet(t, small(deploy.Glaze()), opts...)
+			f := newFleet(t, smallPlan(deploy.Glaze()), opts...)
 			l := demo.Workload{Duration: 6 * time.Second, Seed: 2, Calls: []demo.RequestStream{
 				{Queue: "fit", Team: "pewter", Every: 8 * ms, Work: 300 * ms},
 				{Queue: "angle", Team: "press", Every: 8 * ms, Work: 200 * ms},
 			}}
-			r := f.during(l, func() {
+			r := f.runWithFaults(l, func() {
 				f.gates[0].kill()
-				wait(time.Second)
-				f.gates[0].run()
-				wait(time.Second)
+				sleep(time.Second)
+				f.gates[0].start()
+				sleep(time.Second)
 				f.gates[1].pause()
-				wait(3 * time.Second)
+				sleep(3 * time.Second)
 				f.gates[1].resume()
 			})
-			f.truth(r)
+			f.checkNotExecuted(r)
 		})
 	}
 }
 
-// TestLeavingTarget proves that a leaving target gets no new request after 3 s.
-func TestLeavingTarget(t *testing.T) {
+// TestDrainingTarget proves that a leaving target gets no new request after 3 s.
+func TestDrainingTarget(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
+	f := newFleet(t, smallPlan(deploy.Glaze()))
 	var left time.Time
-	f.during(requests(6*time.Second), func() {
+	f.runWithFaults(requestLoad(6*time.Second), func() {
 		for i := range f.vms {
 			f.vms[i].Leaving = f.vms[i].Leaving || f.vms[i].Name == "target0"
 		}
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -18,9 +18,9 @@
 	"chicoryturn/io/httpx"
 )
 
-// push sends a rules file to a process and returns the status.
-func push(e *entry, rules []byte, base core.Version) int {
-	resp, err := client.Post(fmt.Sprintf("http://%s/rules?base=%d", e.ops, base), "", bytes.NewReader(rules))
+// pushRules sends a rules file to a process and returns the status.
+func pushRules(e *entry, rules []byte, base core.Version) int {
+	resp, err := httpClient.Post(fmt.Sprintf("http://%s/rules?base=%d", e.ops, base), "", bytes.NewReader(rules))
 	if err != nil {
 		return 0
 	}
@@ -28,28 +28,28 @@
 	return resp.StatusCode
 }
 
-func (f *fleet) versions() []core.Version {
+func (f *fleet) configVersions() []core.Version {
 	var out []core.Version
 	for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
 		var c httpx.Config
-		if get(e.ops, "/config", &c) == nil {
+		if getJSON(e.ops, "/config", &c) == nil {
 			out = append(out, c.Version)
 		}
 	}
 	return out
 }
 
-// TestOperatorsRace proves that of operators who start from one version,
+// TestConcurrentPushes proves that of operators who start from one version,
 // exactly one wins and the others are told so.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentPushes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	f.openRun()
 	var conf httpx.Config
-	is.NoErr(get(f.gates[0].ops, "/config", &conf))
+	is.NoErr(getJSON(f.gates[0].ops, "/config", &conf))
 	f.eventually("all run the same version", func() error {
-		for _, v := range f.versions() {
+		for _, v := range f.configVersions() {
 			if v != conf.Version {
 				return fmt.Errorf("version %d", v)
 			}
@@ -59,7 +59,7 @@
 	statuses := make(chan int, 6)
 	var wg sync.WaitGroup
 	for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
-		wg.Go(func() { statuses <- push(e, f.plan.Rules(), conf.Version) })
+		wg.Go(func() { statuses <- pushRules(e, f.plan.Rules(), conf.Version) })
 	}
 	wg.Wait()
 	close(statuses)
@@ -76,37 +76,37 @@
 func TestLostReply(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	f.openRun()
 	for range 3 {
-		is.NoErr(f.faults(fakes.PlatformFaults{Lose: 3}))
-		resp, err := client.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
+		is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Lose: 3}))
+		resp, err := httpClient.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
 		is.NoErr(err)
 		_ = resp.Body.Close()
 	}
-	is.NoErr(f.faults(fakes.PlatformFaults{}))
+	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
 	var list []agent.History
-	is.NoErr(get(f.gates[0].ops, "/rules/history", &list))
+	is.NoErr(getJSON(f.gates[0].ops, "/rules/history", &list))
 	for i, h := range list {
 		is.Equal(h.Version, core.Version(i+1)) // no version is skipped or doubled
 	}
 }
 
-// TestInForce proves that an accepted configuration is in force in every
+// TestChangeReachesAllProcesses proves that an accepted configuration is in force in every
 // process within 5 s and that no process ever runs an older one again.
-func TestInForce(t *testing.T) {
+func TestChangeReachesAllProcesses(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	f.openRun()
 	var before httpx.Config
-	is.NoErr(get(f.gates[0].ops, "/config", &before))
+	is.NoErr(getJSON(f.gates[0].ops, "/config", &before))
 	began := time.Now()
-	is.Equal(push(f.scheds[0], f.plan.Rules(), 0), http.StatusOK)
+	is.Equal(pushRules(f.scheds[0], f.plan.Rules(), 0), http.StatusOK)
 	high := map[int]core.Version{}
 	f.eventually("the push is in force", func() error {
 		low := before.Version + 1
-		for i, v := range f.versions() {
+		for i, v := range f.configVersions() {
 			if v < high[i] {
 				t.Errorf("process %d went back from version %d to %d", i, high[i], v)
 			}
@@ -129,32 +129,32 @@
 func TestWithdrawnKey(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	r := f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	r := f.openRun()
 	ctx := context.Background()
 	c := r.Caller("pewter")
 	id := c.Key[:16]
 	// Down for all: nothing can have been withdrawn.
-	is.NoErr(f.faults(fakes.PlatformFaults{Down: true}))
-	wait(7 * time.Second)
+	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
+	sleep(7 * time.Second)
 	for i, g := range f.gates {
 		res := c.Call(ctx, g.callers, "fit", fmt.Sprintf("outage%d", i), ms, nil)
 		is.NoErr(res.Err)
 		is.Equal(res.Status, http.StatusOK)
 	}
-	is.NoErr(f.faults(fakes.PlatformFaults{}))
-	f.eventually("the store is reached again", func() error { return isReady(f.gates[1].ops) })
-	wait(time.Second)
+	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
+	f.eventually("the store is reached again", func() error { return checkReady(f.gates[1].ops) })
+	sleep(time.Second)
 	// One gate is cut off while the key is withdrawn.
-	is.NoErr(f.gates[0].toStore.Set(fakes.LinkFaults{Cut: true}))
+	is.NoErr(f.gates[0].storeProxy.Set(fakes.LinkFaults{Cut: true}))
 	req, err := http.NewRequest(http.MethodDelete, "http://"+f.gates[1].ops.String()+"/keys/"+id, nil)
 	is.NoErr(err)
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	is.NoErr(err)
 	_ = resp.Body.Close()
 	is.Equal(resp.StatusCode, http.StatusOK)
 	began := time.Now()
-	wait(5 * time.Second)
+	sleep(5 * time.Second)
 	for i, g := range f.gates {
 		res := c.Call(ctx, g.callers, "fit", fmt.Sprintf("late%d", i), ms, nil)
 		is.NoErr(res.Err)
@@ -170,17 +170,17 @@
 func TestCompaction(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	r := f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	r := f.openRun()
 	for range 530 {
-		resp, err := client.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
+		resp, err := httpClient.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
 		is.NoErr(err)
 		is.Equal(resp.StatusCode, http.StatusOK)
 		_ = resp.Body.Close()
 	}
 	f.eventually("old changes are deleted", func() error {
 		var list []agent.History
-		if err := get(f.gates[0].ops, "/rules/history", &list); err != nil {
+		if err := getJSON(f.gates[0].ops, "/rules/history", &list); err != nil {
 			return err
 		}
 		if list[0].Version == 1 {
@@ -189,19 +189,19 @@
 		return nil
 	})
 	f.gates[2].kill()
-	f.gates[2].run()
+	f.gates[2].start()
 	f.eventually("the new process runs the newest version", func() error {
 		var a, b httpx.Config
-		if err := get(f.gates[0].ops, "/config", &a); err != nil {
+		if err := getJSON(f.gates[0].ops, "/config", &a); err != nil {
 			return err
 		}
-		if err := get(f.gates[2].ops, "/config", &b); err != nil {
+		if err := getJSON(f.gates[2].ops, "/config", &b); err != nil {
 			return err
 		}
 		if a.Version != b.Version {
 			return fmt.Errorf("version %d, not %d", b.Version, a.Version)
 		}
-		return isReady(f.gates[2].ops)
+		return checkReady(f.gates[2].ops)
 	})
 	res := r.Caller("pewter").Call(context.Background(), f.gates[2].callers, "fit", "after", ms, nil)
 	is.NoErr(res.Err)
--- a/proof/path_test.go
+++ b/proof/deployment_test.go
@@ -13,8 +13,8 @@
 
 const ms = time.Millisecond
 
-// bothLoads is some of every kind of work of a deployment.
-func bothLoads(name string) demo.Workload {
+// mixedLoad is some of every kind of work of a deployment.
+func mixedLoad(name string) demo.Workload {
 	if name == "glaze" {
 		return demo.Workload{
 			Duration: 2 * time.Second, Seed: 1,
@@ -41,15 +41,15 @@
 	}
 }
 
-// TestWholePath runs both deployments' work through separate processes.
-func TestWholePath(t *testing.T) {
+// TestBothDeployments runs both deployments' work through separate processes.
+func TestBothDeployments(t *testing.T) {
 	for _, p := range []deploy.Plan{deploy.Glaze(), deploy.Bagmati()} {
 		t.Run(p.Name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFleet(t, small(p))
-			r := f.open()
-			is.NoErr(r.RunWorkload(context.Background(), bothLoads(p.Name)))
-			f.check(r)
+			f := newFleet(t, smallPlan(p))
+			r := f.openRun()
+			is.NoErr(r.RunWorkload(context.Background(), mixedLoad(p.Name)))
+			f.checkInvariants(r)
 			for q, n := range r.Refused() {
 				t.Errorf("queue %s: %d refused", q, n)
 			}
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -28,10 +28,10 @@
 	"chicoryturn/io/work"
 )
 
-// generous bounds every wait on a condition; it only ends a test that hangs.
-const generous = 60 * time.Second
+// conditionTimeout bounds every wait on a condition; it only ends a test that hangs.
+const conditionTimeout = 60 * time.Second
 
-var build = sync.OnceValues(func() (string, error) {
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "chicoryturn")
 	if err != nil {
 		return "", err
@@ -46,7 +46,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if dir, err := build(); err == nil {
+	if dir, err := buildPrograms(); err == nil {
 		_ = os.RemoveAll(dir)
 	}
 	os.Exit(code)
@@ -60,22 +60,22 @@
 	cmd  *exec.Cmd
 	log  *bytes.Buffer
 	done chan struct{}
-	// ending is set once the test has asked the process to end.
-	ending bool
+	// expectExit is set once the test has asked the process to end.
+	expectExit bool
 }
 
-func start(t *testing.T, name, program string, args ...string) *process {
+func startProcess(t *testing.T, name, program string, args ...string) *process {
 	t.Helper()
-	dir, err := build()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &process{t: t, name: name, args: append([]string{filepath.Join(dir, program)}, args...)}
-	p.run()
+	p.start()
 	t.Cleanup(func() {
 		select {
 		case <-p.done:
-			if !p.ending {
+			if !p.expectExit {
 				t.Errorf("%s has ended by itself:\n%s", p.name, p.log)
 			}
 		default:
@@ -88,8 +88,8 @@
 	return p
 }
 
-func (p *process) run() {
-	p.log, p.done, p.ending = &bytes.Buffer{}, make(chan struct{}), false
+func (p *process) start() {
+	p.log, p.done, p.expectExit = &bytes.Buffer{}, make(chan struct{}), false
 	p.cmd = exec.Command(p.args[0], p.args[1:]...)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
 	if err := p.cmd.Start(); err != nil {
@@ -102,7 +102,7 @@
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
 func (p *process) kill() {
-	p.ending = true
+	p.expectExit = true
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
@@ -110,14 +110,14 @@
 func (p *process) pause()  { p.signal(syscall.SIGSTOP) }
 func (p *process) resume() { p.signal(syscall.SIGCONT) }
 
-// leave asks for a planned stop and waits for its end.
-func (p *process) leave() {
+// drain asks for a planned stop and waits for its end.
+func (p *process) drain() {
 	p.t.Helper()
-	p.ending = true
+	p.expectExit = true
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(generous):
+	case <-time.After(conditionTimeout):
 		p.t.Fatalf("%s did not end its planned stop:\n%s", p.name, p.log)
 	}
 }
@@ -128,35 +128,35 @@
 	role         core.Role
 	region       string
 	callers, ops netip.AddrPort
-	// toStore and toPeers are the links to the platform and from other
+	// storeProxy and toPeers are the links to the platform and from other
 	// processes.
-	toStore, toPeers *fakes.Proxy
+	storeProxy, peerProxy *fakes.Proxy
 }
 
 // fleet is a deployment of real processes.
 type fleet struct {
-	t        *testing.T
-	plan     deploy.Plan
-	platform netip.AddrPort
-	gates    []*entry
-	scheds   []*entry
-	workers  []*process
-	targets  []*process
-	vms      []store.VM
-	links    map[string]*fakes.Proxy
-	dir      string
-	session  string
-	worker   string
-	cells    int
-	// direct lets processes reach each other without a proxy, so that a killed
+	t          *testing.T
+	plan       deploy.Plan
+	platform   netip.AddrPort
+	gates      []*entry
+	scheds     []*entry
+	workers    []*process
+	targets    []*process
+	vms        []store.VM
+	proxies    map[string]*fakes.Proxy
+	dir        string
+	sessionTTL string
+	workerTTL  string
+	cells      int
+	// directPeers lets processes reach each other without a proxy, so that a killed
 	// one refuses connections as on a real VM.
-	direct bool
-	// forgetful is set when a worker has been killed: its records are lost with
+	directPeers bool
+	// recordsLost is set when a worker has been killed: its records are lost with
 	// it, so that only the job's own end shows that no task was lost.
-	forgetful bool
+	recordsLost bool
 }
 
-func free(t *testing.T) netip.AddrPort {
+func freeAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	a, err := deploy.FreeAddr()
 	if err != nil {
@@ -165,8 +165,8 @@
 	return a
 }
 
-// link starts a proxy to an address and returns it with its own address.
-func link(t *testing.T, to netip.AddrPort) (*fakes.Proxy, netip.AddrPort) {
+// startProxy starts a proxy to an address and returns it with its own address.
+func startProxy(t *testing.T, to netip.AddrPort) (*fakes.Proxy, netip.AddrPort) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -182,19 +182,19 @@
 
 type option func(f *fleet)
 
-// longLeases lets workers go on for long without an owner.
-func longLeases(f *fleet) { f.worker = "10s" }
+// longWorkerLeases lets workers go on for long without an owner.
+func longWorkerLeases(f *fleet) { f.workerTTL = "10s" }
 
-func direct(f *fleet) { f.direct = true }
+func directPeers(f *fleet) { f.directPeers = true }
 
 // newFleet starts a platform, workers and targets; gates and scheds follow.
 func newFleet(t *testing.T, p deploy.Plan, opts ...option) *fleet {
 	t.Helper()
-	f := &fleet{t: t, plan: p, platform: free(t), links: map[string]*fakes.Proxy{}, dir: t.TempDir(), session: "1500ms", worker: "3s", cells: 1}
+	f := &fleet{t: t, plan: p, platform: freeAddr(t), proxies: map[string]*fakes.Proxy{}, dir: t.TempDir(), sessionTTL: "1500ms", workerTTL: "3s", cells: 1}
 	for _, o := range opts {
 		o(f)
 	}
-	start(t, "platform", "standin", "platform", "-a", f.platform.String())
+	startProcess(t, "platform", "standin", "platform", "-a", f.platform.String())
 	for i := range p.Workers {
 		f.addWorker(i)
 	}
@@ -214,57 +214,57 @@
 func (f *fleet) region(i int) string { return f.plan.Regions[i%len(f.plan.Regions)] }
 
 func (f *fleet) addWorker(i int) {
-	addr := free(f.t)
+	addr := freeAddr(f.t)
 	name := fmt.Sprintf("worker%d", i)
-	f.workers = append(f.workers, start(f.t, name, "standin", "worker", "-a", addr.String(), "-n", name,
+	f.workers = append(f.workers, startProcess(f.t, name, "standin", "worker", "-a", addr.String(), "-n", name,
 		"-c", fmt.Sprint(f.plan.Room.Cores), "-m", fmt.Sprint(f.plan.Room.Memory)))
-	p, at := link(f.t, addr)
-	f.links[name] = p
+	p, at := startProxy(f.t, addr)
+	f.proxies[name] = p
 	f.vms = append(f.vms, store.VM{Name: name, Kind: "worker", Addr: at.String(), Region: f.region(i), Zone: f.region(i) + "-a",
 		Cores: f.plan.Room.Cores, Memory: f.plan.Room.Memory})
 }
 
 func (f *fleet) addTarget(i int) {
-	addr := free(f.t)
+	addr := freeAddr(f.t)
 	name := fmt.Sprintf("target%d", i)
-	f.targets = append(f.targets, start(f.t, name, "standin", "target", "-a", addr.String(), "-n", name, "-s", fmt.Sprint(f.plan.Slots)))
-	p, at := link(f.t, addr)
-	f.links[name] = p
+	f.targets = append(f.targets, startProcess(f.t, name, "standin", "target", "-a", addr.String(), "-n", name, "-s", fmt.Sprint(f.plan.Slots)))
+	p, at := startProxy(f.t, addr)
+	f.proxies[name] = p
 	f.vms = append(f.vms, store.VM{Name: name, Kind: "target", Addr: at.String(), Region: f.region(i), Zone: f.region(i) + "-a",
 		Service: f.plan.Services[i/len(f.plan.Regions)%len(f.plan.Services)], Slots: int64(f.plan.Slots)})
 }
 
 func (f *fleet) addEntry(role core.Role, i int) *entry {
-	e := &entry{role: role, region: f.region(i), callers: free(f.t), ops: free(f.t)}
-	peers := free(f.t)
+	e := &entry{role: role, region: f.region(i), callers: freeAddr(f.t), ops: freeAddr(f.t)}
+	peers := freeAddr(f.t)
 	var toStore, public netip.AddrPort
-	e.toStore, toStore = link(f.t, f.platform)
-	if e.toPeers, public = link(f.t, peers); f.direct {
+	e.storeProxy, toStore = startProxy(f.t, f.platform)
+	if e.peerProxy, public = startProxy(f.t, peers); f.directPeers {
 		public = peers
 	}
 	vm := fmt.Sprintf("entry-%s-%d", role, len(f.vms))
 	file := filepath.Join(f.dir, vm+".toml")
 	text := fmt.Sprintf("vm = %q\nregion = %q\nzone = %q\nplatform = %q\npeers = %q\npublic = %q\nops = %q\nsession = %q\nworker = %q\ndrain = \"20s\"\nlevel = \"info\"\ncells = %d\n",
-		vm, e.region, e.region+"-a", toStore, peers, public, e.ops, f.session, f.worker, f.cells)
+		vm, e.region, e.region+"-a", toStore, peers, public, e.ops, f.sessionTTL, f.workerTTL, f.cells)
 	if role == core.RoleGate {
 		text += fmt.Sprintf("callers = %q\n", e.callers)
 	}
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	e.process = start(f.t, vm, "chicoryturn", string(role), "-s", file)
+	e.process = startProcess(f.t, vm, "chicoryturn", string(role), "-s", file)
 	f.vms = append(f.vms, store.VM{Name: vm, Kind: "entry", Addr: public.String(), Region: e.region, Zone: e.region + "-a"})
 	return e
 }
 
-// client asks stand-ins and operators' pages; a paused process does not answer.
-var client = &http.Client{Timeout: 2 * time.Second}
+// httpClient asks stand-ins and operators' pages; a paused process does not answer.
+var httpClient = &http.Client{Timeout: 2 * time.Second}
 
-// quick asks processes that may be paused, where the time of the answer counts.
-var quick = &http.Client{Timeout: 250 * time.Millisecond}
+// shortTimeoutClient asks processes that may be paused, where the time of the answer counts.
+var shortTimeoutClient = &http.Client{Timeout: 250 * time.Millisecond}
 
-// put sends an order to a stand-in.
-func put(at netip.AddrPort, path string, val any) error {
+// putJSON sends an order to a stand-in.
+func putJSON(at netip.AddrPort, path string, val any) error {
 	body, err := json.Marshal(val)
 	if err != nil {
 		return err
@@ -273,16 +273,18 @@
 	if err != nil {
 		return err
 	}
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return err
 	}
 	return resp.Body.Close()
 }
 
-func get(at netip.AddrPort, path string, out any) error { return getBy(client, at, path, out) }
+func getJSON(at netip.AddrPort, path string, out any) error {
+	return getJSONWith(httpClient, at, path, out)
+}
 
-func getBy(c *http.Client, at netip.AddrPort, path string, out any) error {
+func getJSONWith(c *http.Client, at netip.AddrPort, path string, out any) error {
 	resp, err := c.Get("http://" + at.String() + path)
 	if err != nil {
 		return err
@@ -295,13 +297,15 @@
 	return json.Unmarshal(text, out)
 }
 
-func (f *fleet) setVMs() error                       { return put(f.platform, "/stand/vms", f.vms) }
-func (f *fleet) faults(v fakes.PlatformFaults) error { return put(f.platform, "/stand/faults", v) }
+func (f *fleet) setVMs() error { return putJSON(f.platform, "/stand/vms", f.vms) }
+func (f *fleet) setPlatformFaults(v fakes.PlatformFaults) error {
+	return putJSON(f.platform, "/stand/faults", v)
+}
 
 // eventually waits for a condition, within a generous bound.
 func (f *fleet) eventually(what string, cond func() error) {
 	f.t.Helper()
-	err := demo.Until(context.Background(), generous, what, func(context.Context) error { return cond() })
+	err := demo.Until(context.Background(), conditionTimeout, what, func(context.Context) error { return cond() })
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -322,7 +326,7 @@
 	var out []fakes.WorkerRecord
 	for _, w := range f.workers {
 		var r fakes.WorkerRecord
-		if err := get(f.addrOf(w), "/stand/record", &r); err != nil {
+		if err := getJSON(f.addrOf(w), "/stand/record", &r); err != nil {
 			f.t.Fatal(err)
 		}
 		out = append(out, r)
@@ -335,7 +339,7 @@
 	var out []fakes.TargetRecord
 	for _, w := range f.targets {
 		var r fakes.TargetRecord
-		if err := get(f.addrOf(w), "/stand/record", &r); err != nil {
+		if err := getJSON(f.addrOf(w), "/stand/record", &r); err != nil {
 			f.t.Fatal(err)
 		}
 		out = append(out, r)
@@ -343,7 +347,7 @@
 	return out
 }
 
-func (f *fleet) doors() deploy.Addresses {
+func (f *fleet) addresses() deploy.Addresses {
 	var d deploy.Addresses
 	for _, g := range f.gates {
 		d.Callers = append(d.Callers, g.callers)
@@ -355,29 +359,29 @@
 	return d
 }
 
-// open pushes the plan's rules and grants keys.
-func (f *fleet) open() *demo.Run {
+// openRun pushes the plan's rules and grants keys.
+func (f *fleet) openRun() *demo.Run {
 	f.t.Helper()
-	r, err := demo.Open(context.Background(), f, f.doors(), f.plan)
+	r, err := demo.Open(context.Background(), f, f.addresses(), f.plan)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	return r
 }
 
-// check fails the test on every broken invariant.
-func (f *fleet) check(r *demo.Run) {
+// checkInvariants fails the test on every broken invariant.
+func (f *fleet) checkInvariants(r *demo.Run) {
 	f.t.Helper()
 	for _, x := range r.Violations() {
-		if x.Invariant == check.Lost && f.forgetful {
+		if x.Invariant == check.Lost && f.recordsLost {
 			continue
 		}
 		f.t.Error(x)
 	}
 }
 
-// small returns a deployment that fits a test.
-func small(p deploy.Plan) deploy.Plan {
+// smallPlan returns a deployment that fits a test.
+func smallPlan(p deploy.Plan) deploy.Plan {
 	p.Regions = p.Regions[:1]
 	p.Gates, p.Scheds, p.Workers, p.Targets = 3, 3, 6, 4
 	p.Room = work.Room{Cores: 16000, Memory: 32768}
--- a/proof/input_test.go
+++ b/proof/input_test.go
@@ -17,27 +17,27 @@
 	"chicoryturn/io/store"
 )
 
-// TestBadRows proves that rows that do not parse are passed over and that work
+// TestMalformedRows proves that rows that do not parse are passed over and that work
 // goes on beside them.
-func TestBadRows(t *testing.T) {
+func TestMalformedRows(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
+	f := newFleet(t, smallPlan(deploy.Glaze()))
 	var txn store.Txn
 	for _, key := range []string{"member/session/x", "member/cell/hobart/zero", "limit/slots/hobart/target0", "limit/cores/office", "once/call/x"} {
 		is.NoErr(txn.Set(key, "no such thing"))
 	}
 	body, err := json.Marshal(txn)
 	is.NoErr(err)
-	resp, err := client.Post("http://"+f.platform.String()+"/txn", "", bytes.NewReader(body))
+	resp, err := httpClient.Post("http://"+f.platform.String()+"/txn", "", bytes.NewReader(body))
 	is.NoErr(err)
 	_ = resp.Body.Close()
-	r := f.open()
+	r := f.openRun()
 	res := r.Caller("pewter").Call(context.Background(), f.gates[0].callers, "fit", "one", ms, nil)
 	is.NoErr(res.Err)
 	is.Equal(res.Status, http.StatusOK)
-	is.NoErr(r.RunWorkload(context.Background(), steady(500*ms)))
-	f.check(r)
+	is.NoErr(r.RunWorkload(context.Background(), batchLoad(500*ms)))
+	f.checkInvariants(r)
 }
 
 // TestBadInput shows the typed refusal of each kind of bad input at a gate's
@@ -45,8 +45,8 @@
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	key := f.open().Caller("foundry").Key
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	key := f.openRun().Caller("foundry").Key
 	at := f.gates[0].callers.String()
 	tests := map[string]struct {
 		method, path, key, body string
@@ -76,7 +76,7 @@
 		if tt.key != "" {
 			req.Header.Set("Authorization", "Bearer "+tt.key)
 		}
-		resp, err := client.Do(req)
+		resp, err := httpClient.Do(req)
 		is.NoErr(err)
 		var refusal httpx.Refusal
 		err = json.NewDecoder(resp.Body).Decode(&refusal)
--- a/proof/owner_test.go
+++ b/proof/owner_test.go
@@ -14,36 +14,36 @@
 	"chicoryturn/io/sched"
 )
 
-// owned is a sched that owns a cell, with the cell's epoch.
-type owned struct {
+// ownedCell is a sched that owns a cell, with the cell's epoch.
+type ownedCell struct {
 	entry *entry
 	epoch uint64
 }
 
-// owner returns the sched that owns the region's only cell.
-func (f *fleet) owner() (owned, error) {
-	var found []owned
+// cellOwner returns the sched that owns the region's only cell.
+func (f *fleet) cellOwner() (ownedCell, error) {
+	var found []ownedCell
 	for _, s := range f.scheds {
 		var d sched.Dump
-		if err := getBy(quick, s.ops, "/dump", &d); err != nil {
+		if err := getJSONWith(shortTimeoutClient, s.ops, "/dump", &d); err != nil {
 			continue
 		}
 		for _, c := range d.Cells {
-			found = append(found, owned{s, uint64(c.Load.Epoch)})
+			found = append(found, ownedCell{s, uint64(c.Load.Epoch)})
 		}
 	}
 	if len(found) != 1 {
-		return owned{}, fmt.Errorf("%d owners", len(found))
+		return ownedCell{}, fmt.Errorf("%d owners", len(found))
 	}
 	return found[0], nil
 }
 
-func (f *fleet) awaitOwner(after uint64) owned {
+func (f *fleet) awaitOwner(after uint64) ownedCell {
 	f.t.Helper()
-	var o owned
+	var o ownedCell
 	f.eventually(fmt.Sprintf("a cell has an owner after epoch %d", after), func() error {
 		var err error
-		if o, err = f.owner(); err == nil && o.epoch <= after {
+		if o, err = f.cellOwner(); err == nil && o.epoch <= after {
 			err = fmt.Errorf("still epoch %d", o.epoch)
 		}
 		return err
@@ -51,31 +51,31 @@
 	return o
 }
 
-// steady offers batch work for a time.
-func steady(d time.Duration) demo.Workload {
+// batchLoad offers batch work for a time.
+func batchLoad(d time.Duration) demo.Workload {
 	return demo.Workload{Duration: d, Seed: 7, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Every: 250 * ms, Count: 8, Cores: 4, Memory: 2048, Run: 600 * ms, EstimateError: 4},
 		{Queue: "sweep", Team: "pewter", Every: 250 * ms, Count: 8, Cores: 2, Memory: 1024, Run: 300 * ms, EstimateError: 4},
 	}}
 }
 
-// during drives a load while faults are made, then checks every invariant.
-func (f *fleet) during(l demo.Workload, faults func()) *demo.Run {
+// runWithFaults drives a load while faults are made, then checks every invariant.
+func (f *fleet) runWithFaults(l demo.Workload, faults func()) *demo.Run {
 	f.t.Helper()
-	r := f.open()
+	r := f.openRun()
 	done := make(chan error, 1)
 	go func() { done <- r.RunWorkload(context.Background(), l) }()
-	wait(500 * ms)
+	sleep(500 * ms)
 	faults()
 	if err := <-done; err != nil {
 		f.t.Error(err)
 	}
-	f.check(r)
+	f.checkInvariants(r)
 	return r
 }
 
-// wait lets a fault last; no verdict depends on it.
-func wait(d time.Duration) { <-time.After(d) }
+// sleep lets a fault last; no verdict depends on it.
+func sleep(d time.Duration) { <-time.After(d) }
 
 // TestTakeover proves that a cell finds a new owner and that no task is lost
 // or doubled, whatever has become of the old one.
@@ -85,32 +85,32 @@
 		// stays is set when the owner is expected to keep the cell.
 		stays bool
 	}{
-		"killed": {fail: func(o *entry) { o.kill() }, mend: func(o *entry) { o.run() }},
+		"killed": {fail: func(o *entry) { o.kill() }, mend: func(o *entry) { o.start() }},
 		"paused": {fail: func(o *entry) { o.pause() }, mend: func(o *entry) { o.resume() }},
 		"cut from the store": {
-			fail: func(o *entry) { _ = o.toStore.Set(fakes.LinkFaults{Cut: true}) },
-			mend: func(o *entry) { _ = o.toStore.Set(fakes.LinkFaults{}) },
+			fail: func(o *entry) { _ = o.storeProxy.Set(fakes.LinkFaults{Cut: true}) },
+			mend: func(o *entry) { _ = o.storeProxy.Set(fakes.LinkFaults{}) },
 		},
 		"no replies from the store": {
-			fail: func(o *entry) { _ = o.toStore.Set(fakes.LinkFaults{Down: true}) },
-			mend: func(o *entry) { _ = o.toStore.Set(fakes.LinkFaults{}) },
+			fail: func(o *entry) { _ = o.storeProxy.Set(fakes.LinkFaults{Down: true}) },
+			mend: func(o *entry) { _ = o.storeProxy.Set(fakes.LinkFaults{}) },
 		},
 		"cut from store and peers": {
 			fail: func(o *entry) {
-				_ = o.toStore.Set(fakes.LinkFaults{Cut: true})
-				_ = o.toPeers.Set(fakes.LinkFaults{Cut: true})
+				_ = o.storeProxy.Set(fakes.LinkFaults{Cut: true})
+				_ = o.peerProxy.Set(fakes.LinkFaults{Cut: true})
 			},
 			mend: func(o *entry) {
-				_ = o.toStore.Set(fakes.LinkFaults{})
-				_ = o.toPeers.Set(fakes.LinkFaults{})
+				_ = o.storeProxy.Set(fakes.LinkFaults{})
+				_ = o.peerProxy.Set(fakes.LinkFaults{})
 			},
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, small(deploy.Glaze()))
-			f.during(steady(8*time.Second), func() {
+			f := newFleet(t, smallPlan(deploy.Glaze()))
+			f.runWithFaults(batchLoad(8*time.Second), func() {
 				o := f.awaitOwner(0)
 				began := time.Now()
 				tt.fail(o.entry)
@@ -119,7 +119,7 @@
 				if next.entry == o.entry {
 					t.Error("the failed owner has the cell again")
 				}
-				wait(time.Second)
+				sleep(time.Second)
 				tt.mend(o.entry)
 			})
 		})
@@ -135,8 +135,8 @@
 		outage = 10 * time.Second
 	}
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()), direct)
-	r := f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()), directPeers)
+	r := f.openRun()
 	ctx := context.Background()
 	o := f.awaitOwner(0)
 	// Killed before: its session has not lapsed when the outage begins.
@@ -150,27 +150,27 @@
 	}}
 	is.NoErr(r.Submit(ctx, long))
 	bystander.kill()
-	is.NoErr(f.faults(fakes.PlatformFaults{Down: true}))
-	before := starts(f)
-	wait(outage / 2)
-	middle := starts(f)
+	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
+	before := countStarts(f)
+	sleep(outage / 2)
+	middle := countStarts(f)
 	f.gates[2].kill()
-	wait(outage / 2)
-	after := starts(f)
-	is.NoErr(f.faults(fakes.PlatformFaults{}))
+	sleep(outage / 2)
+	after := countStarts(f)
+	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
 	t.Logf("starts: %d before, %d in the first half, %d in the second", before, middle-before, after-middle)
 	is.True(middle > before) // tasks start while the store is down
 	is.True(after > middle)  // and go on starting
-	now, err := f.owner()
+	now, err := f.cellOwner()
 	is.NoErr(err)
 	is.Equal(now.entry, o.entry) // the owner kept its cell
 	o.entry.kill()
 	f.awaitOwner(o.epoch)
 	is.NoErr(r.WaitJobs(ctx))
-	f.check(r)
+	f.checkInvariants(r)
 }
 
-func starts(f *fleet) int {
+func countStarts(f *fleet) int {
 	n := 0
 	for _, w := range f.WorkerRecords() {
 		for _, e := range w.Records {
@@ -182,25 +182,25 @@
 	return n
 }
 
-// TestTakeoverPastSilentWorker proves that a new owner starts no task again
+// TestTakeoverWithUnreachableWorker proves that a new owner starts no task again
 // that may still run on a worker that is cut off.
-func TestTakeoverPastSilentWorker(t *testing.T) {
+func TestTakeoverWithUnreachableWorker(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(deploy.Glaze()), longLeases)
+	f := newFleet(t, smallPlan(deploy.Glaze()), longWorkerLeases)
 	l := demo.Workload{Duration: 3 * time.Second, Seed: 4, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Every: 800 * ms, Count: 10, Cores: 2, Memory: 256, Run: 8 * time.Second},
 	}}
-	f.during(l, func() {
+	f.runWithFaults(l, func() {
 		o := f.awaitOwner(0)
-		wait(500 * ms)
+		sleep(500 * ms)
 		for _, w := range []string{"worker0", "worker1"} {
-			_ = f.links[w].Set(fakes.LinkFaults{Cut: true})
+			_ = f.proxies[w].Set(fakes.LinkFaults{Cut: true})
 		}
 		o.entry.kill()
 		f.awaitOwner(o.epoch)
-		wait(8 * time.Second)
+		sleep(8 * time.Second)
 		for _, w := range []string{"worker0", "worker1"} {
-			_ = f.links[w].Set(fakes.LinkFaults{})
+			_ = f.proxies[w].Set(fakes.LinkFaults{})
 		}
 	})
 }
--- a/proof/region_test.go
+++ b/proof/region_test.go
@@ -12,25 +12,25 @@
 	"chicoryturn/io/sched"
 )
 
-// holdings returns how many cells each live sched owns.
-func (f *fleet) holdings() map[*entry]int {
+// cellCounts returns how many cells each live sched owns.
+func (f *fleet) cellCounts() map[*entry]int {
 	out := map[*entry]int{}
 	for _, s := range f.scheds {
 		var d sched.Dump
-		if get(s.ops, "/dump", &d) == nil {
+		if getJSON(s.ops, "/dump", &d) == nil {
 			out[s] = len(d.Cells)
 		}
 	}
 	return out
 }
 
-// spread waits until all cells are owned and none of the live scheds has more
+// awaitSpread waits until all cells are owned and none of the live scheds has more
 // than its part.
-func (f *fleet) spread(cells, most int) {
+func (f *fleet) awaitSpread(cells, most int) {
 	f.t.Helper()
 	f.eventually("all cells are owned and spread", func() error {
 		sum := 0
-		for _, n := range f.holdings() {
+		for _, n := range f.cellCounts() {
 			sum += n
 			if n > most {
 				return fmt.Errorf("one sched owns %d", n)
@@ -43,18 +43,18 @@
 	})
 }
 
-// TestCells proves that several cells of a region are spread over its scheds,
+// TestCellDistribution proves that several cells of a region are spread over its scheds,
 // taken over when one dies and handed back when it returns.
-func TestCells(t *testing.T) {
+func TestCellDistribution(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(deploy.Glaze()), func(f *fleet) { f.cells = 4 })
-	f.during(steady(9*time.Second), func() {
-		f.spread(4, 2)
+	f := newFleet(t, smallPlan(deploy.Glaze()), func(f *fleet) { f.cells = 4 })
+	f.runWithFaults(batchLoad(9*time.Second), func() {
+		f.awaitSpread(4, 2)
 		f.scheds[0].kill()
-		f.spread(4, 2)
-		f.scheds[0].run()
+		f.awaitSpread(4, 2)
+		f.scheds[0].start()
 		f.eventually("the new sched owns a cell", func() error {
-			if n := f.holdings()[f.scheds[0]]; n == 0 {
+			if n := f.cellCounts()[f.scheds[0]]; n == 0 {
 				return fmt.Errorf("it owns none")
 			}
 			return nil
@@ -62,11 +62,11 @@
 	})
 }
 
-// TestRegionCut proves that a region cut off from the store and from the other
+// TestIsolatedRegion proves that a region cut off from the store and from the other
 // region keeps running and placing its accepted work, and that limits hold.
-func TestRegionCut(t *testing.T) {
+func TestIsolatedRegion(t *testing.T) {
 	t.Parallel()
-	p := small(deploy.Glaze())
+	p := smallPlan(deploy.Glaze())
 	p.Regions = []string{"hobart", "burnie"}
 	p.Gates, p.Scheds, p.Workers, p.Targets = 2, 4, 6, 4
 	f := newFleet(t, p)
@@ -77,24 +77,24 @@
 	cut := func(on bool) {
 		for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
 			if e.region == "burnie" {
-				_ = e.toStore.Set(fakes.LinkFaults{Cut: on})
+				_ = e.storeProxy.Set(fakes.LinkFaults{Cut: on})
 			}
 		}
 	}
-	f.during(l, func() {
-		wait(1500 * ms)
+	f.runWithFaults(l, func() {
+		sleep(1500 * ms)
 		cut(true)
-		before := f.startsIn("burnie")
-		wait(8 * time.Second)
-		if after := f.startsIn("burnie"); after <= before {
+		before := f.countStartsIn("burnie")
+		sleep(8 * time.Second)
+		if after := f.countStartsIn("burnie"); after <= before {
 			t.Errorf("the region that was cut off has started nothing: %d, then %d", before, after)
 		}
 		cut(false)
 	})
 }
 
-// startsIn counts the tasks started in a region.
-func (f *fleet) startsIn(region string) int {
+// countStartsIn counts the tasks started in a region.
+func (f *fleet) countStartsIn(region string) int {
 	n := 0
 	for i, w := range f.WorkerRecords() {
 		if f.region(i) != region {
--- a/proof/far_test.go
+++ b/proof/remote_test.go
@@ -13,18 +13,18 @@
 	"chicoryturn/io/deploy"
 )
 
-// TestFarTargets proves that requests find targets in another region when
+// TestRemoteTargets proves that requests find targets in another region when
 // their own has none or too few, and stay at home otherwise.
-func TestFarTargets(t *testing.T) {
+func TestRemoteTargets(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	p := small(deploy.Glaze())
+	p := smallPlan(deploy.Glaze())
 	p.Regions = []string{"hobart", "burnie"}
 	p.Gates, p.Scheds, p.Workers, p.Targets = 2, 2, 2, 4
 	f := newFleet(t, p)
 	hobart, burnie := f.gates[0], f.gates[1]
 	is.Equal(hobart.region, "hobart")
-	r := f.open()
+	r := f.openRun()
 	ctx := context.Background()
 	call := func(e *entry, n int, work time.Duration) demo.Result {
 		res := r.Caller("pewter").Call(ctx, e.callers, "fit", fmt.Sprintf("far%d", n), work, nil)
@@ -52,6 +52,6 @@
 		}
 		return fmt.Errorf("answered at home")
 	})
-	f.check(r)
-	f.truth(r)
+	f.checkInvariants(r)
+	f.checkNotExecuted(r)
 }
--- a/proof/task_test.go
+++ b/proof/task_test.go
@@ -19,50 +19,50 @@
 	"chicoryturn/io/work"
 )
 
-// TestWorkers proves that no task is lost, doubled or put on a full VM when
+// TestWorkerFaults proves that no task is lost, doubled or put on a full VM when
 // workers freeze, fail everything, lose their link or misstate their size.
-func TestWorkers(t *testing.T) {
+func TestWorkerFaults(t *testing.T) {
 	tests := map[string]struct{ fail, mend func(f *fleet) error }{
 		"frozen": {
-			func(f *fleet) error { return f.habit(0, fakes.WorkerFaults{Frozen: true}) },
-			func(f *fleet) error { return f.habit(0, fakes.WorkerFaults{}) },
+			func(f *fleet) error { return f.setWorkerFaults(0, fakes.WorkerFaults{Frozen: true}) },
+			func(f *fleet) error { return f.setWorkerFaults(0, fakes.WorkerFaults{}) },
 		},
 		"paused": {
 			func(f *fleet) error { f.workers[1].pause(); return nil },
 			func(f *fleet) error { f.workers[1].resume(); return nil },
 		},
 		"killed and started again": {
-			func(f *fleet) error { f.forgetful = true; f.workers[1].kill(); return nil },
-			func(f *fleet) error { f.workers[1].run(); return nil },
+			func(f *fleet) error { f.recordsLost = true; f.workers[1].kill(); return nil },
+			func(f *fleet) error { f.workers[1].start(); return nil },
 		},
 		"cut": {
-			func(f *fleet) error { return f.links["worker2"].Set(fakes.LinkFaults{Cut: true}) },
-			func(f *fleet) error { return f.links["worker2"].Set(fakes.LinkFaults{}) },
+			func(f *fleet) error { return f.proxies["worker2"].Set(fakes.LinkFaults{Cut: true}) },
+			func(f *fleet) error { return f.proxies["worker2"].Set(fakes.LinkFaults{}) },
 		},
 		"no replies": {
-			func(f *fleet) error { return f.links["worker3"].Set(fakes.LinkFaults{Down: true}) },
-			func(f *fleet) error { return f.links["worker3"].Set(fakes.LinkFaults{}) },
+			func(f *fleet) error { return f.proxies["worker3"].Set(fakes.LinkFaults{Down: true}) },
+			func(f *fleet) error { return f.proxies["worker3"].Set(fakes.LinkFaults{}) },
 		},
 		"fails everything": {
-			func(f *fleet) error { return f.habit(4, fakes.WorkerFaults{FailAll: true}) },
-			func(f *fleet) error { return f.habit(4, fakes.WorkerFaults{}) },
+			func(f *fleet) error { return f.setWorkerFaults(4, fakes.WorkerFaults{FailAll: true}) },
+			func(f *fleet) error { return f.setWorkerFaults(4, fakes.WorkerFaults{}) },
 		},
 		"claims to be larger": {
 			func(f *fleet) error {
-				return f.habit(5, fakes.WorkerFaults{Room: &work.Room{Cores: 99000, Memory: 999999}})
+				return f.setWorkerFaults(5, fakes.WorkerFaults{Room: &work.Room{Cores: 99000, Memory: 999999}})
 			},
-			func(f *fleet) error { return f.habit(5, fakes.WorkerFaults{}) },
+			func(f *fleet) error { return f.setWorkerFaults(5, fakes.WorkerFaults{}) },
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, small(deploy.Glaze()))
-			f.during(steady(7*time.Second), func() {
+			f := newFleet(t, smallPlan(deploy.Glaze()))
+			f.runWithFaults(batchLoad(7*time.Second), func() {
 				if err := tt.fail(f); err != nil {
 					t.Error(err)
 				}
-				wait(5 * time.Second)
+				sleep(5 * time.Second)
 				if err := tt.mend(f); err != nil {
 					t.Error(err)
 				}
@@ -71,8 +71,8 @@
 	}
 }
 
-func (f *fleet) habit(worker int, h fakes.WorkerFaults) error {
-	return put(f.addrOf(f.workers[worker]), "/stand/habits", h)
+func (f *fleet) setWorkerFaults(worker int, h fakes.WorkerFaults) error {
+	return putJSON(f.addrOf(f.workers[worker]), "/stand/habits", h)
 }
 
 // cellDumps returns the dumps of all owned cells.
@@ -80,20 +80,20 @@
 	var out []sched.CellDump
 	for _, s := range f.scheds {
 		var d sched.Dump
-		if get(s.ops, "/dump", &d) == nil {
+		if getJSON(s.ops, "/dump", &d) == nil {
 			out = append(out, d.Cells...)
 		}
 	}
 	return out
 }
 
-// TestFailingWorkerIsSetAside proves that a worker that fails all it starts
+// TestFailingWorkerIsExcluded proves that a worker that fails all it starts
 // soon gets nothing more, and that it is let back after it has recovered.
-func TestFailingWorkerIsSetAside(t *testing.T) {
+func TestFailingWorkerIsExcluded(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(deploy.Glaze()))
-	r := f.open()
-	if err := f.habit(0, fakes.WorkerFaults{FailAll: true}); err != nil {
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	r := f.openRun()
+	if err := f.setWorkerFaults(0, fakes.WorkerFaults{FailAll: true}); err != nil {
 		t.Fatal(err)
 	}
 	health := func(want string) func() error {
@@ -109,25 +109,25 @@
 		}
 	}
 	done := make(chan error, 1)
-	go func() { done <- r.RunWorkload(context.Background(), steady(14*time.Second)) }()
+	go func() { done <- r.RunWorkload(context.Background(), batchLoad(14*time.Second)) }()
 	f.eventually("the worker is set aside", health("aside"))
-	if err := f.habit(0, fakes.WorkerFaults{}); err != nil {
+	if err := f.setWorkerFaults(0, fakes.WorkerFaults{}); err != nil {
 		t.Fatal(err)
 	}
 	f.eventually("the worker is trusted again", health("good"))
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	f.check(r)
+	f.checkInvariants(r)
 }
 
-// TestCancelWave proves that thousands of cancellations end their tasks and
+// TestMassCancellation proves that thousands of cancellations end their tasks and
 // leave the rest alone.
-func TestCancelWave(t *testing.T) {
+func TestMassCancellation(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	r := f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	r := f.openRun()
 	ctx := context.Background()
 	c := r.Caller("pewter")
 	at := f.gates[0].callers
@@ -153,16 +153,16 @@
 		})
 	}
 	t.Logf("2000 tasks were cancelled in %s", time.Since(began).Round(10*ms))
-	is.NoErr(r.RunWorkload(ctx, steady(time.Second)))
-	f.check(r)
+	is.NoErr(r.RunWorkload(ctx, batchLoad(time.Second)))
+	f.checkInvariants(r)
 }
 
-// TestImpossible proves that a job that can never run is refused at once.
-func TestImpossible(t *testing.T) {
+// TestUnplaceableJob proves that a job that can never run is refused at once.
+func TestUnplaceableJob(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := newFleet(t, small(deploy.Glaze()))
-	r := f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	r := f.openRun()
 	_, err := r.Caller("foundry").Submit(context.Background(), f.gates[0].callers, gate.JobRequest{
 		Queue: "cure", Tasks: []gate.TaskRequest{{Cores: 17, Memory: 1, Command: "sleep 1s"}},
 	})
@@ -176,8 +176,8 @@
 // other half-placed: two that need most of the fleet end among small work.
 func TestGangs(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, small(deploy.Glaze()))
-	r := f.open()
+	f := newFleet(t, smallPlan(deploy.Glaze()))
+	r := f.openRun()
 	l := demo.Workload{Duration: 3 * time.Second, Seed: 5, Jobs: []demo.JobStream{
 		{Queue: "mould", Team: "wick", Every: time.Second, Count: 5, Cores: 14, Memory: 1024, Run: 300 * ms},
 		{Queue: "mould", Team: "tallow", Every: time.Second, Count: 4, Cores: 15, Memory: 1024, Run: 300 * ms},
@@ -186,12 +186,12 @@
 	if err := r.RunWorkload(context.Background(), l); err != nil {
 		t.Error(err)
 	}
-	f.check(r)
-	f.together(r, "mould")
+	f.checkInvariants(r)
+	f.checkGangOverlap(r, "mould")
 }
 
-// together fails the test if the tasks of a gang did not overlap.
-func (f *fleet) together(r *demo.Run, queue string) {
+// checkGangOverlap fails the test if the tasks of a gang did not overlap.
+func (f *fleet) checkGangOverlap(r *demo.Run, queue string) {
 	f.t.Helper()
 	first, last, end := map[core.JobID]time.Time{}, map[core.JobID]time.Time{}, map[core.JobID]time.Time{}
 	for _, w := range f.WorkerRecords() {
