--- a/cmd/chicoryturn/client.go
+++ b/cmd/chicoryturn/client.go
@@ -19,7 +19,7 @@
 
 const clientTimeout = 20 * time.Second
 
-// client calls a process's HTTP interface.
+// client calls the HTTP interfaces of gates and scheds.
 type client struct {
 	opsAddr   string
 	gateAddr  string
@@ -29,21 +29,22 @@
 }
 
 func (c *client) opsFlags(s *flaggy.Subcommand) {
-	s.String(&c.opsAddr, "o", "ops", "operators' address of any process, IP:port")
+	s.String(&c.opsAddr, "o", "ops", "operators' address of any process (IP:port)")
 	s.Bool(&c.printJSON, "json", "json", "print JSON for scripts")
 }
 
 func (c *client) byFlag(s *flaggy.Subcommand) {
-	s.String(&c.operator, "b", "by", "your name, for the history")
+	s.String(&c.operator, "b", "by", "your name, for the change history")
 }
 
 func (c *client) callerFlags(s *flaggy.Subcommand) {
-	s.String(&c.gateAddr, "a", "addr", "callers' address of any gate, IP:port")
-	s.String(&c.key, "k", "key", "key of your team")
+	s.String(&c.gateAddr, "a", "addr", "callers' address of any gate (IP:port)")
+	s.String(&c.key, "k", "key", "API key of your team")
 	s.Bool(&c.printJSON, "json", "json", "print JSON for scripts")
 }
 
-// call sends one request and reads its answer into out, if out is not nil.
+// call sends a request, decodes the JSON body of the response into out unless out
+// is nil, and returns the body.
 func (c *client) call(ctx context.Context, method, addr, path string, body []byte, out any) ([]byte, error) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		return nil, &InputError{fmt.Sprintf("address %q is not IP:port; give one with -o (operators) or -a (callers)", addr)}
@@ -65,19 +66,20 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, fmt.Errorf("reading the answer of %s: %w", addr, err)
+		return nil, fmt.Errorf("reading the response of %s: %w", addr, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		return nil, parseRefusal(resp.StatusCode, text)
 	}
 	if out != nil {
 		if err := json.Unmarshal(text, out); err != nil {
-			return nil, fmt.Errorf("the answer of %s does not parse: %w", addr, err)
+			return nil, fmt.Errorf("decoding the response of %s: %w", addr, err)
 		}
 	}
 	return text, nil
 }
 
+// parseRefusal turns a response with an error status into a RefusalError.
 func parseRefusal(status int, text []byte) error {
 	var r httpx.Refusal
 	if json.Unmarshal(text, &r) != nil || r.Code == "" {
@@ -90,11 +92,12 @@
 	return &core.RefusalError{Code: core.Code(r.Code), Execution: core.Execution(r.Run), Reason: reason}
 }
 
-// print prints an answer as JSON or by a function of its own.
-func (c *client) print(text []byte, human func()) {
+// print writes a response to standard output: unchanged if the user asked for
+// JSON, and otherwise as formatted by printText.
+func (c *client) print(text []byte, printText func()) {
 	if c.printJSON {
 		fmt.Print(string(text))
 		return
 	}
-	human()
+	printText()
 }
--- a/cmd/chicoryturn/demo.go
+++ b/cmd/chicoryturn/demo.go
@@ -12,29 +12,29 @@
 	"chicoryturn/io/deploy"
 )
 
-// demoDuration is how long each deployment is offered work.
+// demoDuration is how long requests and jobs are sent to each deployment.
 const demoDuration = 5 * time.Second
 
 func demoCommand() *command {
-	seed, name := 1, ""
+	seed, only := 1, ""
 	return &command{
-		name: "demo", about: "Runs the whole system on loopback with stand-ins and shows it at work.",
+		name: "demo", about: "Runs each sample deployment on loopback with stand-ins and prints its measurements.",
 		flags: func(s *flaggy.Subcommand) {
 			s.Int(&seed, "seed", "seed", "seed of the random numbers")
-			s.String(&name, "p", "plan", "only this deployment: glaze or bagmati")
+			s.String(&only, "p", "plan", "run only this deployment: glaze or bagmati")
 		},
 		run: func(ctx context.Context) error {
 			plans := map[string]deploy.Plan{"glaze": deploy.Glaze(), "bagmati": deploy.Bagmati()}
-			if _, ok := plans[name]; name != "" && !ok {
-				return &InputError{fmt.Sprintf("no deployment %q; there are glaze and bagmati", name)}
+			if _, ok := plans[only]; only != "" && !ok {
+				return &InputError{fmt.Sprintf("unknown deployment %q; the deployments are glaze and bagmati", only)}
 			}
-			for _, n := range []string{"glaze", "bagmati"} {
-				if name != "" && name != n {
+			for _, name := range []string{"glaze", "bagmati"} {
+				if only != "" && only != name {
 					continue
 				}
-				l := demoWorkload(n)
-				l.Duration, l.Seed = demoDuration, uint64(seed)
-				if err := demo.Show(ctx, os.Stdout, plans[n], l); err != nil {
+				workload := demoWorkload(name)
+				workload.Duration, workload.Seed = demoDuration, uint64(seed)
+				if err := demo.Show(ctx, os.Stdout, plans[name], workload); err != nil {
 					return err
 				}
 			}
@@ -43,6 +43,7 @@
 	}
 }
 
+// demoWorkload returns the requests and jobs that are sent to a deployment.
 func demoWorkload(name string) demo.Workload {
 	const ms = time.Millisecond
 	if name == "bagmati" {
--- a/cmd/chicoryturn/jobs.go
+++ b/cmd/chicoryturn/jobs.go
@@ -23,7 +23,7 @@
 	return &command{
 		name: "submit", about: "Submits a job from a JSON file. Example: chicoryturn job submit job.json -a 10.0.0.1:7100 -k KEY",
 		flags: func(s *flaggy.Subcommand) {
-			s.AddPositionalValue(&file, "file", 1, true, "job (JSON)")
+			s.AddPositionalValue(&file, "file", 1, true, "job file (JSON)")
 			c.callerFlags(s)
 		},
 		run: func(ctx context.Context) error {
@@ -31,10 +31,10 @@
 			if err != nil {
 				return &InputError{err.Error()}
 			}
-			var sub gate.Submitted
-			answer, err := c.call(ctx, http.MethodPost, c.gateAddr, "/jobs", text, &sub)
+			var submitted gate.Submitted
+			body, err := c.call(ctx, http.MethodPost, c.gateAddr, "/jobs", text, &submitted)
 			if err == nil {
-				c.print(answer, func() { fmt.Println(sub.ID) })
+				c.print(body, func() { fmt.Println(submitted.ID) })
 			}
 			return err
 		},
@@ -55,12 +55,13 @@
 	fmt.Println()
 }
 
+// jobIDCommand returns a subcommand that calls method on one job.
 func jobIDCommand(name, about, method string) *command {
 	c, id := &client{}, ""
 	return &command{
 		name: name, about: about,
 		flags: func(s *flaggy.Subcommand) {
-			s.AddPositionalValue(&id, "id", 1, true, "job")
+			s.AddPositionalValue(&id, "id", 1, true, "job ID")
 			c.callerFlags(s)
 		},
 		run: func(ctx context.Context) error {
@@ -86,21 +87,21 @@
 func jobCancelCommand() *command { return jobIDCommand("cancel", "Cancels a job.", http.MethodDelete) }
 
 func jobListCommand() *command {
-	c, most := &client{}, 100
+	c, maxJobs := &client{}, 100
 	return &command{
 		name: "list", about: "Lists your team's newest jobs.",
 		flags: func(s *flaggy.Subcommand) {
 			c.callerFlags(s)
-			s.Int(&most, "m", "most", "how many at most")
+			s.Int(&maxJobs, "m", "most", "maximum number of jobs")
 		},
 		run: func(ctx context.Context) error {
-			var list []gate.JobView
-			text, err := c.call(ctx, http.MethodGet, c.gateAddr, fmt.Sprintf("/jobs?most=%d", most), nil, &list)
+			var jobs []gate.JobView
+			text, err := c.call(ctx, http.MethodGet, c.gateAddr, fmt.Sprintf("/jobs?most=%d", maxJobs), nil, &jobs)
 			if err != nil {
 				return err
 			}
 			c.print(text, func() {
-				for _, v := range list {
+				for _, v := range jobs {
 					printJob(v)
 				}
 			})
--- a/cmd/chicoryturn/main.go
+++ b/cmd/chicoryturn/main.go
@@ -1,4 +1,5 @@
-// Command chicoryturn runs the scheduler's processes and the operators' tools.
+// Command chicoryturn runs the scheduler's processes and provides tools for callers
+// and operators.
 package main
 
 import (
@@ -22,10 +23,9 @@
 	exitRefused = 3
 )
 
-// version is that of the program.
 const version = "0.1.0"
 
-const about = `Chicoryturn is a cluster scheduler for unlike workloads.
+const about = `Chicoryturn is a cluster scheduler for mixed workloads.
 
 Exit codes: 0 done, 1 failed, 2 bad input or settings, 3 refused by the system.
 
@@ -35,18 +35,19 @@
   chicoryturn rules push rules.toml -o 10.0.0.1:7102 -b "Mia Hart"
   chicoryturn job submit job.json -a 10.0.0.1:7100 -k KEY`
 
-// command is one subcommand.
+// command is a subcommand. It has either a run function or subcommands.
 type command struct {
 	name  string
 	about string
-	// flags attaches the subcommand's flags and positions.
+	// flags adds the flags and positional arguments.
 	flags       func(c *flaggy.Subcommand)
 	run         func(ctx context.Context) error
 	subcommands []*command
-	parsed      *flaggy.Subcommand
+	// parsed is the flaggy subcommand; its field Used is set if the user gave it.
+	parsed *flaggy.Subcommand
 }
 
-// InputError reports input that cannot be used.
+// InputError reports invalid input.
 type InputError struct{ Reason string }
 
 // Error implements error.
@@ -58,6 +59,7 @@
 	os.Exit(exitCode(run(ctx)))
 }
 
+// exitCode prints err, if any, and returns the exit code for it.
 func exitCode(err error) int {
 	if err == nil {
 		return exitOK
@@ -95,30 +97,32 @@
 	return dispatch(ctx, cmds, func() { flaggy.ShowHelp("") })
 }
 
-func attach(c *command, to func(*flaggy.Subcommand)) {
-	c.parsed = flaggy.NewSubcommand(c.name)
-	c.parsed.Description = c.about
-	if c.flags != nil {
-		c.flags(c.parsed)
+// attach registers a subcommand and, below it, its own subcommands with flaggy.
+func attach(cmd *command, register func(*flaggy.Subcommand)) {
+	cmd.parsed = flaggy.NewSubcommand(cmd.name)
+	cmd.parsed.Description = cmd.about
+	if cmd.flags != nil {
+		cmd.flags(cmd.parsed)
 	}
-	for _, sub := range c.subcommands {
-		attach(sub, func(s *flaggy.Subcommand) { c.parsed.AttachSubcommand(s, 1) })
+	for _, sub := range cmd.subcommands {
+		attach(sub, func(s *flaggy.Subcommand) { cmd.parsed.AttachSubcommand(s, 1) })
 	}
-	to(c.parsed)
+	register(cmd.parsed)
 }
 
-func dispatch(ctx context.Context, cmds []*command, help func()) error {
-	for _, c := range cmds {
-		if !c.parsed.Used {
+// dispatch runs the subcommand that was given on the command line.
+func dispatch(ctx context.Context, cmds []*command, showHelp func()) error {
+	for _, cmd := range cmds {
+		if !cmd.parsed.Used {
 			continue
 		}
-		if len(c.subcommands) > 0 {
-			return dispatch(ctx, c.subcommands, help)
+		if len(cmd.subcommands) > 0 {
+			return dispatch(ctx, cmd.subcommands, showHelp)
 		}
-		return c.run(ctx)
+		return cmd.run(ctx)
 	}
-	help()
-	return &InputError{"no subcommand was given"}
+	showHelp()
+	return &InputError{"no subcommand given"}
 }
 
 func versionCommand() *command {
--- a/cmd/chicoryturn/node.go
+++ b/cmd/chicoryturn/node.go
@@ -18,11 +18,11 @@
 	"chicoryturn/platform"
 )
 
-// nodeCommand runs the process of a VM on the users' platform.
+// nodeCommand runs the process of one VM on the users' platform.
 func nodeCommand() *command {
 	return &command{
 		name:  "node",
-		about: "Runs on every VM of the platform: takes jobs and, in turn, owns the fleet.",
+		about: "Runs on every VM of the platform: accepts jobs and, if elected leader, schedules the fleet.",
 		run: func(ctx context.Context) error {
 			local, err := platform.Settings()
 			if err != nil {
@@ -30,10 +30,10 @@
 			}
 			store := platform.NewStore(local.Store)
 			registerStoreMetrics(store)
-			hup := make(chan os.Signal, 1)
-			signal.Notify(hup, syscall.SIGHUP)
-			// A signal begins a planned stop; the process ends once nothing is
-			// left to finish.
+			reload := make(chan os.Signal, 1)
+			signal.Notify(reload, syscall.SIGHUP)
+			// SIGINT or SIGTERM starts a drain; the process exits once the drain
+			// has finished.
 			return node.Run(context.WithoutCancel(ctx), local.Node, node.Platform{
 				Store:         store,
 				Lister:        func(d table.Client) node.Lister { return platform.NewLister(d, local.Zones) },
@@ -45,25 +45,25 @@
 					local, err := platform.Settings()
 					return local.Node, err
 				},
-				ReloadSignal: hup,
+				ReloadSignal: reload,
 			}, ctx.Done())
 		},
 	}
 }
 
-// registerStoreMetrics shows the calls to the platform's table among the metrics.
-func registerStoreMetrics(s *platform.Store) {
-	for name, n := range map[string]*atomic.Uint64{"writes": &s.Writes, "reads": &s.Reads, "failures": &s.Failures} {
-		metrics.NewGauge(fmt.Sprintf("chicoryturn_store_%s_total", name), func() float64 { return float64(n.Load()) })
+// registerStoreMetrics exports the counters of calls to the platform's table.
+func registerStoreMetrics(store *platform.Store) {
+	for name, counter := range map[string]*atomic.Uint64{"writes": &store.Writes, "reads": &store.Reads, "failures": &store.Failures} {
+		metrics.NewGauge(fmt.Sprintf("chicoryturn_store_%s_total", name), func() float64 { return float64(counter.Load()) })
 	}
 }
 
-// checkCommand checks the platform's settings file as a whole.
+// checkCommand validates a settings file of the platform.
 func checkCommand() *command {
 	file := ""
 	return &command{
 		name:  "check",
-		about: "Checks a settings file of the platform and prints every mistake.",
+		about: "Checks a settings file of the platform and prints every error.",
 		flags: func(c *flaggy.Subcommand) { c.AddPositionalValue(&file, "file", 1, true, "settings file (TOML)") },
 		run: func(context.Context) error {
 			text, err := os.ReadFile(file)
@@ -74,7 +74,7 @@
 			if err != nil {
 				return &InputError{err.Error()}
 			}
-			fmt.Printf("%s: in order; VM %s serves clients at %s\n", file, local.Node.VM, local.Node.Callers)
+			fmt.Printf("%s: no errors found; VM %s serves callers at %s\n", file, local.Node.VM, local.Node.Callers)
 			return nil
 		},
 	}
--- a/cmd/chicoryturn/rules.go
+++ b/cmd/chicoryturn/rules.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// inForceTimeout is how long a push waits for the change to be in force.
+	// inForceTimeout bounds the wait for a change to be in force in all processes.
 	inForceTimeout      = 10 * time.Second
 	inForcePollInterval = 100 * time.Millisecond
 )
@@ -26,6 +26,7 @@
 	}}
 }
 
+// readRules reads and validates a rules file.
 func readRules(file string) ([]byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -44,7 +45,7 @@
 			if _, err := readRules(file); err != nil {
 				return err
 			}
-			fmt.Println("no faults")
+			fmt.Println("no errors found")
 			return nil
 		},
 	}
@@ -53,10 +54,10 @@
 func rulesPushCommand() *command {
 	c, file, base := &client{}, "", 0
 	return &command{
-		name: "push", about: "Puts a rules file in force. Example: chicoryturn rules push rules.toml -o 10.0.0.1:7102 -b Mia",
+		name: "push", about: "Replaces the rules in force with a rules file. Example: chicoryturn rules push rules.toml -o 10.0.0.1:7102 -b Mia",
 		flags: func(s *flaggy.Subcommand) {
 			s.AddPositionalValue(&file, "file", 1, true, "rules file (TOML)")
-			s.Int(&base, "v", "base", "refuse unless this version is in force")
+			s.Int(&base, "v", "base", "refuse the change unless this version is in force")
 			c.opsFlags(s)
 			c.byFlag(s)
 		},
@@ -65,39 +66,40 @@
 			if err != nil {
 				return err
 			}
-			var p httpx.Pushed
-			answer, err := c.call(ctx, http.MethodPost, c.opsAddr, fmt.Sprintf("/rules?base=%d", base), text, &p)
+			var pushed httpx.Pushed
+			body, err := c.call(ctx, http.MethodPost, c.opsAddr, fmt.Sprintf("/rules?base=%d", base), text, &pushed)
 			if err != nil {
 				return err
 			}
-			c.print(answer, func() { fmt.Printf("accepted as version %d\n", p.Version) })
-			return c.awaitInForce(ctx, p)
+			c.print(body, func() { fmt.Printf("accepted as version %d\n", pushed.Version) })
+			return c.awaitInForce(ctx, pushed)
 		},
 	}
 }
 
-// awaitInForce waits until a change is in force in every live process.
-func (c *client) awaitInForce(ctx context.Context, p httpx.Pushed) error {
+// awaitInForce waits until a change is in force in every live process. After
+// inForceTimeout it prints a warning and returns nil.
+func (c *client) awaitInForce(ctx context.Context, pushed httpx.Pushed) error {
 	began := time.Now()
 	for time.Since(began) < inForceTimeout {
-		var conf httpx.Config
-		if _, err := c.call(ctx, http.MethodGet, c.opsAddr, "/config", nil, &conf); err != nil {
+		var config httpx.Config
+		if _, err := c.call(ctx, http.MethodGet, c.opsAddr, "/config", nil, &config); err != nil {
 			return err
 		}
-		if conf.Lowest >= p.Version {
+		if config.Lowest >= pushed.Version {
 			if !c.printJSON {
-				fmt.Printf("in force everywhere after %s\n", time.Since(began).Round(time.Millisecond))
+				fmt.Printf("in force in all processes after %s\n", time.Since(began).Round(time.Millisecond))
 			}
 			return nil
 		}
-		t := time.NewTimer(inForcePollInterval)
+		timer := time.NewTimer(inForcePollInterval)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	fmt.Fprintf(os.Stderr, "accepted, but some process does not show version %d yet; see chicoryturn status\n", p.Version)
+	fmt.Fprintf(os.Stderr, "accepted, but version %d is not yet in force in every process; see chicoryturn status\n", pushed.Version)
 	return nil
 }
 
@@ -118,16 +120,16 @@
 func rulesHistoryCommand() *command {
 	c := &client{}
 	return &command{
-		name: "history", about: "Lists every accepted change.", flags: c.opsFlags,
+		name: "history", about: "Lists all accepted changes.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
-			var list []agent.History
-			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/rules/history", nil, &list)
+			var changes []agent.History
+			body, err := c.call(ctx, http.MethodGet, c.opsAddr, "/rules/history", nil, &changes)
 			if err != nil {
 				return err
 			}
-			c.print(text, func() {
-				for _, h := range list {
-					fmt.Printf("%6d  %s  %-9s %-20s %s\n", h.Version, h.At.Format(time.RFC3339), h.Kind, h.By, h.What)
+			c.print(body, func() {
+				for _, change := range changes {
+					fmt.Printf("%6d  %s  %-9s %-20s %s\n", change.Version, change.At.Format(time.RFC3339), change.Kind, change.By, change.What)
 				}
 			})
 			return nil
@@ -142,20 +144,20 @@
 func keyGrantCommand() *command {
 	c, team := &client{}, ""
 	return &command{
-		name: "grant", about: "Creates a key for a team and shows it once. Example: chicoryturn key grant press -o 10.0.0.1:7102",
+		name: "grant", about: "Creates a key for a team and prints it; it can't be printed again. Example: chicoryturn key grant press -o 10.0.0.1:7102",
 		flags: func(s *flaggy.Subcommand) {
 			s.AddPositionalValue(&team, "team", 1, true, "team")
 			c.opsFlags(s)
 			c.byFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var p httpx.Pushed
-			text, err := c.call(ctx, http.MethodPost, c.opsAddr, "/keys?team="+team, nil, &p)
+			var pushed httpx.Pushed
+			body, err := c.call(ctx, http.MethodPost, c.opsAddr, "/keys?team="+team, nil, &pushed)
 			if err != nil {
 				return err
 			}
-			c.print(text, func() { fmt.Printf("%s\n", p.Key) })
-			return c.awaitInForce(ctx, p)
+			c.print(body, func() { fmt.Printf("%s\n", pushed.Key) })
+			return c.awaitInForce(ctx, pushed)
 		},
 	}
 }
@@ -163,20 +165,20 @@
 func keyWithdrawCommand() *command {
 	c, id := &client{}, ""
 	return &command{
-		name: "withdraw", about: "Ends a key. Example: chicoryturn key withdraw 1f2e3d4c -o 10.0.0.1:7102",
+		name: "withdraw", about: "Withdraws a key. Example: chicoryturn key withdraw 1f2e3d4c -o 10.0.0.1:7102",
 		flags: func(s *flaggy.Subcommand) {
-			s.AddPositionalValue(&id, "id", 1, true, "the part of the key before the dot")
+			s.AddPositionalValue(&id, "id", 1, true, "key ID: the part of the key before the dot")
 			c.opsFlags(s)
 			c.byFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var p httpx.Pushed
-			text, err := c.call(ctx, http.MethodDelete, c.opsAddr, "/keys/"+id, nil, &p)
+			var pushed httpx.Pushed
+			body, err := c.call(ctx, http.MethodDelete, c.opsAddr, "/keys/"+id, nil, &pushed)
 			if err != nil {
 				return err
 			}
-			c.print(text, func() { fmt.Printf("withdrawn as version %d\n", p.Version) })
-			return c.awaitInForce(ctx, p)
+			c.print(body, func() { fmt.Printf("withdrawn as version %d\n", pushed.Version) })
+			return c.awaitInForce(ctx, pushed)
 		},
 	}
 }
@@ -187,11 +189,11 @@
 		name: "list", about: "Lists keys without their secrets.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
 			var keys []httpx.Key
-			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/keys", nil, &keys)
+			body, err := c.call(ctx, http.MethodGet, c.opsAddr, "/keys", nil, &keys)
 			if err != nil {
 				return err
 			}
-			c.print(text, func() {
+			c.print(body, func() {
 				for _, k := range keys {
 					fmt.Printf("%-18s %-16s %s\n", k.ID, k.Team, k.State)
 				}
--- a/cmd/chicoryturn/serve.go
+++ b/cmd/chicoryturn/serve.go
@@ -12,10 +12,10 @@
 	"chicoryturn/io/proc"
 )
 
-// readSettings reads a process's settings file.
+// readSettings reads and validates the settings file of a process.
 func readSettings(file string, role core.Role) (parse.Settings, error) {
 	if file == "" {
-		return parse.Settings{}, &InputError{"no settings file; use -s FILE, and chicoryturn help settings for its names"}
+		return parse.Settings{}, &InputError{"no settings file given; use -s FILE (chicoryturn help settings lists the settings)"}
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -24,6 +24,7 @@
 	return parse.ReadSettings(file, text, role)
 }
 
+// serveCommand returns the subcommand that runs a process of a role.
 func serveCommand(role core.Role, about string, serve func(ctx context.Context, s parse.Settings, stop <-chan struct{}) error) *command {
 	file := ""
 	return &command{
@@ -35,19 +36,19 @@
 			if err != nil {
 				return err
 			}
-			// A signal begins a planned stop; the process ends once nothing is
-			// left to finish.
+			// SIGINT or SIGTERM starts a drain; the process exits once the drain
+			// has finished.
 			return serve(context.WithoutCancel(ctx), s, ctx.Done())
 		},
 	}
 }
 
 func gateCommand() *command {
-	return serveCommand(core.RoleGate, "Runs a gate: it takes callers' requests and jobs.", proc.Gate)
+	return serveCommand(core.RoleGate, "Runs a gate, which accepts callers' requests and jobs.", proc.Gate)
 }
 
 func schedCommand() *command {
-	return serveCommand(core.RoleSched, "Runs a sched: it owns cells and places their tasks.",
+	return serveCommand(core.RoleSched, "Runs a sched, which owns cells and places their tasks.",
 		func(ctx context.Context, s parse.Settings, stop <-chan struct{}) error {
 			return proc.Sched(ctx, s, stop)
 		})
@@ -57,11 +58,11 @@
 	topic := ""
 	return &command{
 		name:  "help",
-		about: "Explains a topic: settings.",
+		about: "Explains a topic. The only topic is settings.",
 		flags: func(c *flaggy.Subcommand) { c.AddPositionalValue(&topic, "topic", 1, false, "settings") },
 		run: func(context.Context) error {
 			if topic != "settings" && topic != "" {
-				return &InputError{fmt.Sprintf("no help on %q; the topic is settings", topic)}
+				return &InputError{fmt.Sprintf("no help on %q; the only topic is settings", topic)}
 			}
 			fmt.Printf("%-10s %-26s %-8s %s\n", "name", "unit", "default", "meaning")
 			for _, s := range parse.SettingTable {
--- a/cmd/chicoryturn/status.go
+++ b/cmd/chicoryturn/status.go
@@ -17,7 +17,7 @@
 	"chicoryturn/io/sched"
 )
 
-// statusDump is the part of any process's dump that status prints.
+// statusDump is the part of a gate's or sched's state dump that status prints.
 type statusDump struct {
 	Agent            agent.Dump
 	Waiting, Sending int
@@ -28,42 +28,42 @@
 func statusCommand() *command {
 	c := &client{}
 	return &command{
-		name: "status", about: "Shows one process: its session, cells, targets and limits. Example: chicoryturn status -o 10.0.0.1:7102",
+		name: "status", about: "Shows the session, cells, targets and limits of one process. Example: chicoryturn status -o 10.0.0.1:7102",
 		flags: c.opsFlags,
 		run: func(ctx context.Context) error {
-			var p statusDump
-			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/dump", nil, &p)
+			var dump statusDump
+			body, err := c.call(ctx, http.MethodGet, c.opsAddr, "/dump", nil, &dump)
 			if err == nil {
-				c.print(text, func() { printStatus(&p) })
+				c.print(body, func() { printStatus(&dump) })
 			}
 			return err
 		},
 	}
 }
 
-func printStatus(p *statusDump) {
+func printStatus(dump *statusDump) {
 	fmt.Printf("session %s: %s, configuration %d, %d peers, %d VMs listed\n",
-		p.Agent.Session, p.Agent.State, p.Agent.Config, len(p.Agent.Peers), p.Agent.VMs)
-	for id, owner := range p.Agent.Owners {
+		dump.Agent.Session, dump.Agent.State, dump.Agent.Config, len(dump.Agent.Peers), dump.Agent.VMs)
+	for id, owner := range dump.Agent.Owners {
 		fmt.Printf("cell %-14s owned by %s\n", id, owner)
 	}
-	for _, t := range p.Targets {
+	for _, t := range dump.Targets {
 		fmt.Printf("target %-14s %-10s %-8s %d in use\n", t.Name, t.Service, t.State, t.Used)
 	}
-	if len(p.Targets) > 0 {
-		fmt.Printf("requests: %d waiting, %d sent\n", p.Waiting, p.Sending)
+	if len(dump.Targets) > 0 {
+		fmt.Printf("requests: %d waiting, %d in flight\n", dump.Waiting, dump.Sending)
 	}
-	for _, d := range p.Cells {
-		l := d.Load
-		fmt.Printf("cell %s epoch %d: %d of %d workers live, %g of %g cores free, %d tasks waiting, %d running, %d entries to record\n",
-			l.Cell, l.Epoch, l.Live, l.Workers, float64(l.Free.Cores)/1000, float64(l.Total.Cores)/1000, l.Queued, l.Running, d.Pending)
+	for _, c := range dump.Cells {
+		l := c.Load
+		fmt.Printf("cell %s epoch %d: %d of %d workers live, %g of %g cores free, %d tasks queued, %d running, %d journal entries not yet stored\n",
+			l.Cell, l.Epoch, l.Live, l.Workers, float64(l.Free.Cores)/1000, float64(l.Total.Cores)/1000, l.Queued, l.Running, c.Pending)
 		for _, t := range l.Teams {
-			fmt.Printf("  team %-14s runs %g cores, waits for %g\n", t.Team, float64(t.Cores)/1000, float64(t.Queued)/1000)
+			fmt.Printf("  team %-14s %g cores in use, %g queued\n", t.Team, float64(t.Cores)/1000, float64(t.Queued)/1000)
 		}
 	}
-	for _, l := range p.Agent.Limits {
+	for _, l := range dump.Agent.Limits {
 		if l.Held > 0 || l.Used > 0 {
-			fmt.Printf("limit %-28s part %d, used %d, all parts %d\n", l.Name, l.Held, l.Used, l.Granted)
+			fmt.Printf("limit %-28s part %d, used %d, sum of all parts %d\n", l.Name, l.Held, l.Used, l.Granted)
 		}
 	}
 }
@@ -71,9 +71,9 @@
 func dumpCommand() *command {
 	c := &client{}
 	return &command{
-		name: "dump", about: "Prints the whole control state of one process as JSON.",
+		name: "dump", about: "Prints the complete control state of one process as JSON.",
 		flags: func(s *flaggy.Subcommand) {
-			s.String(&c.opsAddr, "o", "ops", "operators' address of the process, IP:port")
+			s.String(&c.opsAddr, "o", "ops", "operators' address of the process (IP:port)")
 		},
 		run: func(ctx context.Context) error {
 			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/dump", nil, nil)
@@ -88,8 +88,8 @@
 func chartCommand() *command {
 	name := ""
 	return &command{
-		name: "chart", about: "Draws a state chart. Example: chicoryturn chart task",
-		flags: func(s *flaggy.Subcommand) { s.AddPositionalValue(&name, "name", 1, false, "chart") },
+		name: "chart", about: "Prints a state chart. Example: chicoryturn chart task",
+		flags: func(s *flaggy.Subcommand) { s.AddPositionalValue(&name, "name", 1, false, "name of the chart") },
 		run: func(context.Context) error {
 			charts := map[string]string{}
 			var names []string
@@ -103,7 +103,7 @@
 				fmt.Print(text)
 				return nil
 			}
-			return &InputError{fmt.Sprintf("no chart %q; there are %v", name, names)}
+			return &InputError{fmt.Sprintf("unknown chart %q; the charts are %v", name, names)}
 		},
 	}
 }
--- a/cmd/chicoryturn/why.go
+++ b/cmd/chicoryturn/why.go
@@ -12,20 +12,21 @@
 	"chicoryturn/io/trace"
 )
 
-// whyCommand prints the life of one job from the logs.
+// whyCommand prints the history of one job from the logs.
 func whyCommand() *command {
 	job, file := "", ""
 	return &command{
 		name:  "why",
-		about: "Prints the life of one job from the logs of the VMs: a file, or standard input.",
+		about: "Prints the history of one job from the logs of all VMs, read from a file or standard input.",
 		flags: func(c *flaggy.Subcommand) {
 			c.AddPositionalValue(&job, "job", 1, true, "name of the job")
-			c.String(&file, "f", "file", "log file; standard input if left out")
+			c.String(&file, "f", "file", "log file (default: standard input)")
 		},
 		run: func(context.Context) error { return printTrace(os.Stdout, job, file) },
 	}
 }
 
+// printTrace prints the log lines of a job and a summary of them.
 func printTrace(out io.Writer, job, file string) error {
 	in := io.Reader(os.Stdin)
 	if file != "" {
@@ -45,7 +46,7 @@
 	}
 	fmt.Fprintf(out, "\n%d lines over %s: %s\n", len(lines), trace.Span(lines).Round(time.Millisecond), trace.Summary(lines))
 	if skipped > 0 {
-		fmt.Fprintf(out, "%d lines that name the job could not be read\n", skipped)
+		fmt.Fprintf(out, "%d lines contain the job's name but no valid JSON\n", skipped)
 	}
 	return nil
 }
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/cell.go
@@ -10,7 +10,7 @@
 	"chicoryturn/core/rules"
 )
 
-// unlimited grants every team whatever it asks for.
+// unlimited implements cell.Limits without any limit.
 type unlimited struct{}
 
 // Available implements cell.Limits.
@@ -25,7 +25,7 @@
 // SetDemand implements cell.Limits.
 func (unlimited) SetDemand(string, int64) {}
 
-// cellBench is a cell whose workers answer at once, without messages.
+// cellBench runs a cell in memory. Its workers answer every heartbeat at once.
 type cellBench struct {
 	cell  *cell.Cell
 	now   time.Time
@@ -37,38 +37,41 @@
 
 var workerRoom = core.Resources{Cores: 64000, Memory: 262144, Accel: 2}
 
+// newCellBench returns a cell with live workers, every second of which has
+// accelerators, and with teams that have equal shares.
 func newCellBench(workers, teams int) *cellBench {
-	b := &cellBench{now: time.Now(), teams: teams, tasks: map[core.WorkerID][]cell.TaskReport{}}
-	b.cell = cell.New(core.CellID{Region: "r"}, 1, unlimited{})
-	set := &rules.Set{Teams: map[core.Team]rules.Team{}}
+	bench := &cellBench{now: time.Now(), teams: teams, tasks: map[core.WorkerID][]cell.TaskReport{}}
+	bench.cell = cell.New(core.CellID{Region: "r"}, 1, unlimited{})
+	ruleSet := &rules.Set{Teams: map[core.Team]rules.Team{}}
 	for i := range teams {
-		set.Teams[teamName(i)] = rules.Team{Name: teamName(i), Share: 100 / float64(teams), Cores: 1 << 40}
+		ruleSet.Teams[teamName(i)] = rules.Team{Name: teamName(i), Share: 100 / float64(teams), Cores: 1 << 40}
 	}
-	b.cell.SetRules(set)
+	bench.cell.SetRules(ruleSet)
 	var vms []core.VM
-	addr := netip.MustParseAddrPort("127.0.0.1:1")
+	workerAddr := netip.MustParseAddrPort("127.0.0.1:1")
 	for i := range workers {
-		r := workerRoom
+		room := workerRoom
 		if i%2 == 1 {
-			r.Accel = 0
+			room.Accel = 0
 		}
-		vms = append(vms, core.VM{Name: fmt.Sprintf("worker%05d", i), Kind: "worker", Addr: addr, Region: "r", Room: r})
+		vms = append(vms, core.VM{Name: fmt.Sprintf("worker%05d", i), Kind: "worker", Addr: workerAddr, Region: "r", Room: room})
 	}
-	b.cell.SetWorkers(b.now, vms)
-	b.storeBatches()
-	b.answerHeartbeats()
-	return b
+	bench.cell.SetWorkers(bench.now, vms)
+	bench.storeBatches()
+	bench.answerHeartbeats()
+	return bench
 }
 
 func teamName(i int) core.Team { return core.Team(fmt.Sprintf("team%02d", i)) }
 
+// storeBatches marks all pending batches of the journal as stored.
 func (b *cellBench) storeBatches() {
 	for b.cell.Batch() != nil {
 		b.cell.BatchStored(b.now)
 	}
 }
 
-// submit adds jobs of some tasks each.
+// submit adds jobs with the given number of tasks each.
 func (b *cellBench) submit(jobs, tasks int, need core.Resources) error {
 	for range jobs {
 		b.jobs++
@@ -87,7 +90,8 @@
 	return nil
 }
 
-// place runs placement until nothing more can be placed.
+// place runs placement passes until no more tasks can be placed, and returns the
+// time taken.
 func (b *cellBench) place() time.Duration {
 	began := time.Now()
 	for b.cell.Plan(b.now) {
@@ -95,15 +99,16 @@
 	return time.Since(began)
 }
 
-// answerHeartbeats lets every contacted worker report what it was told to run.
+// answerHeartbeats answers all heartbeats that are due, and returns their number.
+// The workers report every task that they were ordered to start as running.
 func (b *cellBench) answerHeartbeats() int {
-	contacts := b.cell.Heartbeats(b.now)
-	for _, k := range contacts {
-		for _, s := range k.Starts {
-			b.tasks[k.Worker] = append(b.tasks[k.Worker], cell.TaskReport{Task: s.Task, Run: s.Run, State: cell.TaskRunning, Team: s.Team, Need: s.Need})
+	heartbeats := b.cell.Heartbeats(b.now)
+	for _, hb := range heartbeats {
+		for _, order := range hb.Starts {
+			b.tasks[hb.Worker] = append(b.tasks[hb.Worker], cell.TaskReport{Task: order.Task, Run: order.Run, State: cell.TaskRunning, Team: order.Team, Need: order.Need})
 		}
 		b.seq++
-		b.cell.Report(b.now, k, cell.Report{Stamp: "s", Incarnation: "b", Seq: b.seq, Full: true, Room: workerRoom, Tasks: b.tasks[k.Worker]})
+		b.cell.Report(b.now, hb, cell.Report{Stamp: "s", Incarnation: "b", Seq: b.seq, Full: true, Room: workerRoom, Tasks: b.tasks[hb.Worker]})
 	}
-	return len(contacts)
+	return len(heartbeats)
 }
--- a/cmd/measure/idle.go
+++ b/cmd/measure/idle.go
@@ -11,52 +11,55 @@
 	"chicoryturn/io/deploy"
 )
 
-// measureIdle runs deployments of several sizes without any work.
-func measureIdle(ctx context.Context, span time.Duration) error {
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "processes\tworkers\tstore writes/s\treads/s\tKB/s read\tKB/s written\tCPU of all, % of a core\t")
-	sizes := []struct{ each, workers int }{{1, 12}, {3, 12}, {8, 12}, {1, 48}, {1, 192}}
-	var writes, reads, bytes, cpu []point
-	for _, n := range sizes {
-		p := deploy.Glaze()
-		p.Gates, p.Scheds, p.Workers, p.Targets = n.each, n.each, n.workers, 12
-		s, err := deploy.Start(ctx, p)
+// measureIdle measures what deployments of several sizes cost without any work.
+func measureIdle(ctx context.Context, duration time.Duration) error {
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "processes\tworkers\tstore writes/s\treads/s\tKB/s read\tKB/s written\ttotal CPU, % of a core\t")
+	sizes := []struct{ perRole, workers int }{{1, 12}, {3, 12}, {8, 12}, {1, 48}, {1, 192}}
+	var writes, reads, pairReads, cpuPercent []point
+	for _, size := range sizes {
+		plan := deploy.Glaze()
+		plan.Gates, plan.Scheds, plan.Workers, plan.Targets = size.perRole, size.perRole, size.workers, 12
+		deployment, err := deploy.Start(ctx, plan)
 		if err != nil {
 			return err
 		}
-		if _, err := demo.Open(ctx, s, s.Addresses, p); err != nil {
+		if _, err := demo.Open(ctx, deployment, deployment.Addresses, plan); err != nil {
 			return err
 		}
-		before, used := s.Platform.Counts(), cpuTime()
-		timer := time.NewTimer(span)
+		before, cpuBefore := deployment.Platform.Counts(), cpuTime()
+		timer := time.NewTimer(duration)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		after, load := s.Platform.Counts(), cpuTime()-used
-		per := func(a, b uint64) float64 { return float64(b-a) / span.Seconds() }
-		procs := float64(6 * n.each)
-		w, r := per(before.Writes, after.Writes), per(before.Reads, after.Reads)
-		kb, percent := per(before.Sent, after.Sent)/1000, load.Seconds()/span.Seconds()*100
-		fmt.Fprintf(t, "%.0f\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", procs, n.workers, w, r, kb, per(before.Received, after.Received)/1000, percent)
-		if n.workers == 12 {
-			writes, reads = append(writes, point{procs, w}), append(reads, point{procs, r})
-			bytes = append(bytes, point{procs * procs, kb})
+		after, cpuUsed := deployment.Platform.Counts(), cpuTime()-cpuBefore
+		perSecond := func(a, readPerPair uint64) float64 { return float64(readPerPair-a) / duration.Seconds() }
+		// Each of the plan's three regions has perRole gates and perRole scheds.
+		processes := float64(6 * size.perRole)
+		writesPerSecond, readsPerSecond := perSecond(before.Writes, after.Writes), perSecond(before.Reads, after.Reads)
+		readKB, percent := perSecond(before.Sent, after.Sent)/1000, cpuUsed.Seconds()/duration.Seconds()*100
+		fmt.Fprintf(table, "%.0f\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", processes, size.workers, writesPerSecond, readsPerSecond, readKB, perSecond(before.Received, after.Received)/1000, percent)
+		if size.workers == 12 {
+			// Every process reads the session rows of all others, so the bytes read
+			// grow with the square of the number of processes.
+			writes, reads = append(writes, point{processes, writesPerSecond}), append(reads, point{processes, readsPerSecond})
+			pairReads = append(pairReads, point{processes * processes, readKB})
 		}
-		if n.each == 1 {
-			cpu = append(cpu, point{float64(n.workers), percent})
+		if size.perRole == 1 {
+			cpuPercent = append(cpuPercent, point{float64(size.workers), percent})
 		}
-		if err := s.Stop(); err != nil {
+		if err := deployment.Stop(); err != nil {
 			return err
 		}
 	}
-	_ = t.Flush()
-	w, _ := fitLine(writes)
-	r, _ := fitLine(reads)
-	b, _ := fitLine(bytes)
-	c, _ := fitLine(cpu)
-	fmt.Printf("per process: %.2f store writes/s, %.2f reads/s; per pair of processes: %.1f B/s read\n", w, r, b*1000)
-	fmt.Printf("per worker, sched and stand-in together: %.3f %% of a core\n", c)
+	_ = table.Flush()
+	writesPerSecond, _ := fitLine(writes)
+	readsPerSecond, _ := fitLine(reads)
+	readPerPair, _ := fitLine(pairReads)
+	cpuPerWorker, _ := fitLine(cpuPercent)
+	fmt.Printf("per process: %.2f store writes/s, %.2f reads/s; per pair of processes: %.1f B/s read\n", writesPerSecond, readsPerSecond, readPerPair*1000)
+	fmt.Printf("per worker (sched and stand-in together): %.3f %% of a core\n", cpuPerWorker)
 	return nil
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,4 +1,4 @@
-// Command measure takes the figures that the documentation shows.
+// Command measure produces the figures in the documentation.
 package main
 
 import (
@@ -22,35 +22,35 @@
 }
 
 func run(ctx context.Context) error {
-	seconds, seed, only, kind := 20, 1, "", ""
+	seconds, seed, planName, policyName := 20, 1, "", ""
 	flaggy.SetName("measure")
-	flaggy.SetDescription("Takes the figures of docs/MEASURED.md and docs/CAPACITY.md.")
+	flaggy.SetDescription("Produces the figures in docs/MEASURED.md and docs/CAPACITY.md.")
 	policy := flaggy.NewSubcommand("policy")
-	policy.Description = "Waiting time, packing and nearness to share under several policies and loads."
-	policy.Int(&seconds, "t", "time", "seconds of load in each run")
+	policy.Description = "Measures waiting time, packing and distance from the fair share under several policies and loads."
+	policy.Int(&seconds, "t", "time", "duration of each run in seconds")
 	policy.Int(&seed, "s", "seed", "seed of the random numbers")
-	policy.String(&only, "p", "plan", "glaze or bagmati")
-	policy.String(&kind, "k", "kind", "only the policy of this name")
+	policy.String(&planName, "p", "plan", "run only this deployment: glaze or bagmati")
+	policy.String(&policyName, "k", "kind", "run only the policy of this name")
 	path := flaggy.NewSubcommand("path")
-	path.Description = "The request path, beside direct calls to the target."
-	path.Int(&seconds, "t", "time", "seconds of each run")
+	path.Description = "Compares requests through a gate with direct requests to the targets."
+	path.Int(&seconds, "t", "time", "duration of each run in seconds")
 	size := flaggy.NewSubcommand("size")
-	size.Description = "Slopes of memory and time per worker, task, team, rule and peer, and the projection."
+	size.Description = "Measures how memory and time grow with the number of workers, tasks, teams, rules and peers, and projects them to larger sizes."
 	idle := flaggy.NewSubcommand("idle")
-	idle.Description = "What idle processes and workers cost: store calls, bytes and processor time."
-	idle.Int(&seconds, "t", "time", "seconds of each run")
+	idle.Description = "Measures the cost of idle processes and workers: store calls, bytes and CPU time."
+	idle.Int(&seconds, "t", "time", "duration of each run in seconds")
 	for _, c := range []*flaggy.Subcommand{policy, path, size, idle} {
 		flaggy.AttachSubcommand(c, 1)
 	}
 	flaggy.Parse()
-	span := time.Duration(seconds) * time.Second
+	duration := time.Duration(seconds) * time.Second
 	switch {
 	case policy.Used:
-		return measurePolicy(ctx, only, kind, span, uint64(seed))
+		return measurePolicy(ctx, planName, policyName, duration, uint64(seed))
 	case path.Used:
-		return measurePath(ctx, span)
+		return measurePath(ctx, duration)
 	case idle.Used:
-		return measureIdle(ctx, span)
+		return measureIdle(ctx, duration)
 	case size.Used:
 		return measureSize(ctx)
 	}
--- a/cmd/measure/path.go
+++ b/cmd/measure/path.go
@@ -18,64 +18,69 @@
 )
 
 const (
-	pathCallers      = 64
+	// pathCallers is the number of callers that send requests at the same time.
+	pathCallers = 64
+	// maxLatencyMicros is the highest latency that the histogram can hold.
 	maxLatencyMicros = int64(time.Minute / time.Microsecond)
 )
 
 func toQueue(s string) core.Queue { return core.Queue(s) }
 func toTeam(s string) core.Team   { return core.Team(s) }
 
-// measurePath compares requests through gates with direct calls to the target.
-func measurePath(ctx context.Context, span time.Duration) error {
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "way\trequests\tfailed\trequests/s\tp50\tp99\tCPU µs/request\t")
+// measurePath compares requests through gates with direct requests to targets.
+func measurePath(ctx context.Context, duration time.Duration) error {
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "route\trequests\tfailed\trequests/s\tp50\tp99\tCPU µs/request\t")
 	for _, direct := range []bool{true, false} {
-		if err := measureRoute(ctx, t, direct, span); err != nil {
+		if err := measureRoute(ctx, table, direct, duration); err != nil {
 			return err
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// measureRoute loads a fresh deployment. Direct calls know no slots, so that the
-// targets are given enough of them.
-func measureRoute(ctx context.Context, t *tabwriter.Writer, direct bool, span time.Duration) error {
-	p := deploy.Glaze()
-	p.Workers = 3
+// measureRoute measures one route on a new deployment. Direct callers don't
+// respect slots, so on the direct route the targets get enough slots for all
+// callers.
+func measureRoute(ctx context.Context, table *tabwriter.Writer, direct bool, duration time.Duration) error {
+	plan := deploy.Glaze()
+	plan.Workers = 3
 	if direct {
-		p.Slots = 2 * pathCallers
+		plan.Slots = 2 * pathCallers
 	}
-	s, err := deploy.Start(ctx, p)
+	deployment, err := deploy.Start(ctx, plan)
 	if err != nil {
 		return err
 	}
-	r, err := demo.Open(ctx, s, s.Addresses, p)
+	run, err := demo.Open(ctx, deployment, deployment.Addresses, plan)
 	if err != nil {
 		return err
 	}
-	at, name := s.Addresses.Callers, "through a gate"
+	addrs, name := deployment.Addresses.Callers, "through a gate"
 	if direct {
-		at, name = nil, "direct to target"
-		for _, vm := range s.VMs {
+		addrs, name = nil, "direct to target"
+		for _, vm := range deployment.VMs {
 			if vm.Service == "fit" {
-				at = append(at, netip.MustParseAddrPort(vm.Addr))
+				addrs = append(addrs, netip.MustParseAddrPort(vm.Addr))
 			}
 		}
 	}
-	measureRequests(ctx, t, name, r.Caller("pewter"), at, span)
-	return s.Stop()
+	measureRequests(ctx, table, name, run.Caller("pewter"), addrs, duration)
+	return deployment.Stop()
 }
 
-func measureRequests(ctx context.Context, t *tabwriter.Writer, name string, c *demo.Caller, at []netip.AddrPort, span time.Duration) {
+// measureRequests sends requests to the addresses in turn for a given time and
+// prints their number, latency and CPU time.
+func measureRequests(ctx context.Context, table *tabwriter.Writer, name string, caller *demo.Caller, addrs []netip.AddrPort, duration time.Duration) {
 	hist := hdrhistogram.New(1, maxLatencyMicros, 3)
 	var mu sync.Mutex
 	failed := 0
-	began, before := time.Now(), cpuTime()
+	began, cpuBefore := time.Now(), cpuTime()
 	group, ctx := errgroup.WithContext(ctx)
 	for i := range pathCallers {
 		group.Go(func() error {
-			for n := 0; time.Since(began) < span && ctx.Err() == nil; n++ {
-				res := c.Call(ctx, at[(i+n)%len(at)], "fit", fmt.Sprintf("%s-%d-%d", name[:1], i, n), 0, nil)
+			for n := 0; time.Since(began) < duration && ctx.Err() == nil; n++ {
+				res := caller.Call(ctx, addrs[(i+n)%len(addrs)], "fit", fmt.Sprintf("%s-%d-%d", name[:1], i, n), 0, nil)
 				mu.Lock()
 				if res.Err != nil || res.Status != 200 {
 					failed++
@@ -88,9 +93,9 @@
 		})
 	}
 	_ = group.Wait()
-	took, used := time.Since(began), cpuTime()-before
+	elapsed, cpuUsed := time.Since(began), cpuTime()-cpuBefore
 	n := hist.TotalCount()
-	fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%s\t%s\t%.0f\t\n", name, n, failed, float64(n)/took.Seconds(),
+	fmt.Fprintf(table, "%s\t%d\t%d\t%.0f\t%s\t%s\t%.0f\t\n", name, n, failed, float64(n)/elapsed.Seconds(),
 		time.Duration(hist.ValueAtQuantile(50))*time.Microsecond, time.Duration(hist.ValueAtQuantile(99))*time.Microsecond,
-		float64(used.Microseconds())/float64(max(n, 1)))
+		float64(cpuUsed.Microseconds())/float64(max(n, 1)))
 }
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -16,42 +16,45 @@
 
 const (
 	ms = time.Millisecond
-	// nearnessWindow is the window over which nearness to share is taken.
+	// nearnessWindow is the window over which a team's use is compared with its
+	// fair share.
 	nearnessWindow = 10 * time.Second
 )
 
-// namedPolicy is a policy under a name.
+// namedPolicy is a placement policy and the name under which it is printed.
 type namedPolicy struct {
 	name   string
 	policy cell.Policy
 }
 
+// policies returns the default policy and variants of it.
 func policies() []namedPolicy {
 	base := cell.DefaultPolicy()
 	fifo := cell.Policy{Order: cell.ByArrival, Weight: cell.ByShare}
-	equal, demand, first, bare := base, base, base, base
-	equal.Weight = cell.Equally
-	demand.Weight = cell.ByDemand
-	first.BestFit = false
-	bare.Backfill = false
+	equalShares, demandWeights, firstFit, noBackfill := base, base, base, base
+	equalShares.Weight = cell.Equally
+	demandWeights.Weight = cell.ByDemand
+	firstFit.BestFit = false
+	noBackfill.Backfill = false
 	return []namedPolicy{
-		{"fifo, first fit", fifo}, {"equal shares", equal}, {"demand weights", demand},
-		{"first fit", first}, {"no backfill", bare}, {"default", base},
+		{"fifo, first fit", fifo}, {"equal shares", equalShares}, {"demand weights", demandWeights},
+		{"first fit", firstFit}, {"no backfill", noBackfill}, {"default", base},
 	}
 }
 
-// jobStreams returns streams of jobs that ask for a part of a fleet's cores. A few
-// teams are large; sizes and run times differ, declared times are off by up
-// to ten times.
-func jobStreams(p deploy.Plan, part float64) []demo.JobStream {
-	const every = 200 * ms
-	cores := float64(p.Total().Cores) / 1000 * part
-	unit := float64(p.Room.Cores) / 16000
+// jobStreams returns streams of jobs that together request a fraction of the
+// fleet's cores. A few teams are large, task sizes and run times differ, and
+// estimates are wrong by a factor of up to 10.
+func jobStreams(plan deploy.Plan, fraction float64) []demo.JobStream {
+	const baseInterval = 200 * ms
+	cores := float64(plan.Total().Cores) / 1000 * fraction
+	// Sizes are given for a worker with 16 cores; scale adapts them to the plan.
+	scale := float64(plan.Room.Cores) / 16000
 	type stream struct {
-		queue, team         string
-		part, cores, memory float64
-		run                 time.Duration
-		gang                int
+		queue, team             string
+		fraction, cores, memory float64
+		run                     time.Duration
+		gang                    int
 	}
 	streams := []stream{
 		{"cure", "foundry", 0.35, 1, 2048, 2 * time.Second, 0}, {"urgent", "foundry", 0.02, 1, 1024, 500 * ms, 0},
@@ -59,7 +62,7 @@
 		{"sweep", "tallow", 0.16, 0.5, 4096, time.Second, 0}, {"sweep", "wick", 0.1, 4, 2048, 2 * time.Second, 0},
 		{"sweep", "press", 0.05, 0.5, 512, 700 * ms, 0}, {"urgent", "office", 0.02, 0.5, 512, 400 * ms, 0},
 	}
-	if p.Name == "bagmati" {
+	if plan.Name == "bagmati" {
 		streams = []stream{
 			{"label", "valley", 0.35, 1, 2048, 2 * time.Second, 0}, {"urgent", "valley", 0.02, 1, 1024, 500 * ms, 0},
 			{"label", "terai", 0.25, 2, 4096, 3 * time.Second, 0}, {"plate", "terai", 0.05, 2, 2048, 1500 * ms, 8},
@@ -69,23 +72,23 @@
 	}
 	var out []demo.JobStream
 	for _, s := range streams {
-		size := s.cores * unit
-		perSecond := cores * s.part / (size * s.run.Seconds())
-		gap, count := every, int(perSecond*every.Seconds()+0.5)
+		size := s.cores * scale
+		perSecond := cores * s.fraction / (size * s.run.Seconds())
+		interval, count := baseInterval, int(perSecond*baseInterval.Seconds()+0.5)
 		if s.gang > 0 {
 			count = s.gang
 		}
 		count = max(count, 1)
-		gap = time.Duration(float64(count) / perSecond * float64(time.Second))
+		interval = time.Duration(float64(count) / perSecond * float64(time.Second))
 		out = append(out, demo.JobStream{
-			Queue: toQueue(s.queue), Team: toTeam(s.team), Every: gap, Count: count, Cores: size,
-			Memory: int64(s.memory * unit), Run: s.run, EstimateError: 10,
+			Queue: toQueue(s.queue), Team: toTeam(s.team), Every: interval, Count: count, Cores: size,
+			Memory: int64(s.memory * scale), Run: s.run, EstimateError: 10,
 		})
 	}
 	return out
 }
 
-// cpuTime returns what this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -94,53 +97,55 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func measurePolicy(ctx context.Context, only, kind string, span time.Duration, seed uint64) error {
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "plan\tload\tpolicy\ttasks\turgent p50\tp99\tbatch p50\tp99\tgang p50\tp99\tcores\tmean dist\tlargest\tCPU ms/task\tfaults\t")
-	for _, p := range []deploy.Plan{deploy.Glaze(), deploy.Bagmati()} {
-		if only != "" && only != p.Name {
+// measurePolicy measures all policies under several loads on each deployment.
+func measurePolicy(ctx context.Context, planName, policyName string, duration time.Duration, seed uint64) error {
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "plan\tload\tpolicy\ttasks\turgent p50\tp99\tbatch p50\tp99\tgang p50\tp99\tcores\tmean distance\tlargest\tCPU ms/task\tviolations\t")
+	for _, plan := range []deploy.Plan{deploy.Glaze(), deploy.Bagmati()} {
+		if planName != "" && planName != plan.Name {
 			continue
 		}
 		for _, load := range []float64{0.7, 1, 1.5} {
-			for _, n := range policies() {
-				if kind != "" && kind != n.name {
+			for _, policy := range policies() {
+				if policyName != "" && policyName != policy.name {
 					continue
 				}
-				if err := measureOnePolicy(ctx, t, p, n, load, span, seed); err != nil {
+				if err := measureOnePolicy(ctx, table, plan, policy, load, duration, seed); err != nil {
 					return err
 				}
-				_ = t.Flush()
+				_ = table.Flush()
 			}
 		}
 	}
 	return nil
 }
 
-func measureOnePolicy(ctx context.Context, t *tabwriter.Writer, p deploy.Plan, n namedPolicy, load float64, span time.Duration, seed uint64) error {
-	p.Options = append(p.Options, sched.WithPolicy(n.policy))
-	s, err := deploy.Start(ctx, p)
+// measureOnePolicy prints the results of one policy under one load.
+func measureOnePolicy(ctx context.Context, table *tabwriter.Writer, plan deploy.Plan, policy namedPolicy, load float64, duration time.Duration, seed uint64) error {
+	plan.Options = append(plan.Options, sched.WithPolicy(policy.policy))
+	deployment, err := deploy.Start(ctx, plan)
 	if err != nil {
 		return err
 	}
-	r, err := demo.Open(ctx, s, s.Addresses, p)
+	run, err := demo.Open(ctx, deployment, deployment.Addresses, plan)
 	if err != nil {
 		return err
 	}
-	before := cpuTime()
-	if err := r.RunWorkload(ctx, demo.Workload{Duration: span, Seed: seed, Jobs: jobStreams(p, load)}); err != nil {
+	cpuBefore := cpuTime()
+	if err := run.RunWorkload(ctx, demo.Workload{Duration: duration, Seed: seed, Jobs: jobStreams(plan, load)}); err != nil {
 		return err
 	}
-	used := cpuTime() - before
-	sum, near, faults := r.Summary(), r.Nearness(nearnessWindow), r.Violations()
+	cpuUsed := cpuTime() - cpuBefore
+	summary, nearness, violations := run.Summary(), run.Nearness(nearnessWindow), run.Violations()
 	urgent, batch, gang := "urgent", "cure", "mould"
-	if p.Name == "bagmati" {
+	if plan.Name == "bagmati" {
 		batch, gang = "label", "plate"
 	}
-	u50, u99 := sum.Waits(toQueue(urgent), 50, 99)
-	b50, b99 := sum.Waits(toQueue(batch), 50, 99)
-	g50, g99 := sum.Waits(toQueue(gang), 50, 99)
-	fmt.Fprintf(t, "%s\t%.0f%%\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f%%\t%.1f%%\t%.1f%% %s\t%.2f\t%d\t\n", p.Name, load*100, n.name, sum.Tasks,
-		u50.Round(ms), u99.Round(ms), b50.Round(ms), b99.Round(ms), g50.Round(ms), g99.Round(ms), sum.PackCores*100,
-		near.Mean*100, near.Largest*100, near.Team, float64(used.Microseconds())/1000/float64(max(sum.Tasks, 1)), len(faults))
-	return s.Stop()
+	u50, u99 := summary.Waits(toQueue(urgent), 50, 99)
+	b50, b99 := summary.Waits(toQueue(batch), 50, 99)
+	g50, g99 := summary.Waits(toQueue(gang), 50, 99)
+	fmt.Fprintf(table, "%s\t%.0f%%\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f%%\t%.1f%%\t%.1f%% %s\t%.2f\t%d\t\n", plan.Name, load*100, policy.name, summary.Tasks,
+		u50.Round(ms), u99.Round(ms), b50.Round(ms), b99.Round(ms), g50.Round(ms), g99.Round(ms), summary.PackCores*100,
+		nearness.Mean*100, nearness.Largest*100, nearness.Team, float64(cpuUsed.Microseconds())/1000/float64(max(summary.Tasks, 1)), len(violations))
+	return deployment.Stop()
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs the stand-ins for what surrounds the system: the
-// platform, workers, targets and faulty links. It is for tests only.
+// Command standin runs a stand-in for the platform, a worker, a target or a
+// network link whose faults can be set. It is for tests only.
 package main
 
 import (
@@ -38,22 +38,22 @@
 func run(ctx context.Context) error {
 	f := flags{name: "stand", slots: 8, cores: 16000, memory: 32768}
 	flaggy.SetName("standin")
-	flaggy.SetDescription("Runs a stand-in for something that surrounds chicoryturn.")
-	kinds := map[string]func(context.Context, *errgroup.Group, flags) error{
+	flaggy.SetDescription("Runs a stand-in for a system that chicoryturn depends on. For tests only.")
+	starters := map[string]func(context.Context, *errgroup.Group, flags) error{
 		"platform": startPlatform, "worker": startWorker, "target": startTarget, "proxy": startProxy,
 	}
 	cmds := map[string]*flaggy.Subcommand{}
 	for _, name := range []string{"platform", "worker", "target", "proxy"} {
 		c := flaggy.NewSubcommand(name)
 		c.Description = "Runs the stand-in for a " + name + "."
-		c.String(&f.addr, "a", "addr", "address to listen on, IP:port")
-		c.String(&f.name, "n", "name", "name in records")
-		c.Int(&f.slots, "s", "slots", "slots of a target")
-		c.Int64(&f.cores, "c", "cores", "room of a worker in thousandths of a core")
-		c.Int64(&f.memory, "m", "memory", "room of a worker in MiB")
-		c.Int64(&f.accel, "x", "accel", "accelerators of a worker")
-		c.String(&f.proxyTo, "t", "to", "address that a proxy passes on to, IP:port")
-		c.String(&f.admin, "d", "admin", "address on which a proxy takes orders, IP:port")
+		c.String(&f.addr, "a", "addr", "address to listen on (IP:port)")
+		c.String(&f.name, "n", "name", "name of a worker or target in its records")
+		c.Int(&f.slots, "s", "slots", "number of slots of a target")
+		c.Int64(&f.cores, "c", "cores", "cores of a worker, in thousandths of a core")
+		c.Int64(&f.memory, "m", "memory", "memory of a worker in MiB")
+		c.Int64(&f.accel, "x", "accel", "number of accelerators of a worker")
+		c.String(&f.proxyTo, "t", "to", "address to which a proxy forwards connections (IP:port)")
+		c.String(&f.admin, "d", "admin", "address of the interface that sets the faults of a proxy (IP:port)")
 		flaggy.AttachSubcommand(c, 1)
 		cmds[name] = c
 	}
@@ -61,7 +61,7 @@
 	for name, c := range cmds {
 		if c.Used {
 			group, ctx := errgroup.WithContext(ctx)
-			if err := kinds[name](ctx, group, f); err != nil {
+			if err := starters[name](ctx, group, f); err != nil {
 				return err
 			}
 			return group.Wait()
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// parseAddr reads an address given as a flag.
+// parseAddr parses the value of an address flag.
 func parseAddr(text string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
@@ -88,8 +88,8 @@
 	return proc.Listen("stand-in", a)
 }
 
-func serve(ctx context.Context, group *errgroup.Group, at string, h http.Handler) error {
-	l, err := listen(at)
+func serve(ctx context.Context, group *errgroup.Group, addr string, h http.Handler) error {
+	l, err := listen(addr)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 }
 
 func startProxy(ctx context.Context, group *errgroup.Group, f flags) error {
-	to, err := parseAddr(f.proxyTo)
+	forwardTo, err := parseAddr(f.proxyTo)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	p := fakes.NewProxy(to)
+	p := fakes.NewProxy(forwardTo)
 	group.Go(func() error { return p.Serve(ctx, l) })
 	return serve(ctx, group, f.admin, p.Handler())
 }
