--- a/cmd/chicoryturn/client.go
+++ b/cmd/chicoryturn/client.go
@@ -33,7 +33,7 @@
 	s.Bool(&c.printJSON, "json", "json", "print JSON for scripts")
 }
 
-func (c *client) byFlag(s *flaggy.Subcommand) {
+func (c *client) operatorFlag(s *flaggy.Subcommand) {
 	s.String(&c.operator, "b", "by", "your name, for the change history")
 }
 
--- a/cmd/chicoryturn/rules.go
+++ b/cmd/chicoryturn/rules.go
@@ -59,7 +59,7 @@
 			s.AddPositionalValue(&file, "file", 1, true, "rules file (TOML)")
 			s.Int(&base, "v", "base", "refuse the change unless this version is in force")
 			c.opsFlags(s)
-			c.byFlag(s)
+			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
 			text, err := readRules(file)
@@ -148,7 +148,7 @@
 		flags: func(s *flaggy.Subcommand) {
 			s.AddPositionalValue(&team, "team", 1, true, "team")
 			c.opsFlags(s)
-			c.byFlag(s)
+			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
 			var pushed httpx.Pushed
@@ -169,7 +169,7 @@
 		flags: func(s *flaggy.Subcommand) {
 			s.AddPositionalValue(&id, "id", 1, true, "key ID: the part of the key before the dot")
 			c.opsFlags(s)
-			c.byFlag(s)
+			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
 			var pushed httpx.Pushed
