--- a/proof/call_test.go
+++ b/proof/call_test.go
@@ -19,7 +19,7 @@
 	"chicoryturn/io/fakes"
 )
 
-// requestLoad offers both kinds of requests for a time.
+// requestLoad sends requests to two queues for a given time.
 func requestLoad(d time.Duration) demo.Workload {
 	return demo.Workload{Duration: d, Seed: 11, Calls: []demo.RequestStream{
 		{Queue: "fit", Team: "pewter", Every: 10 * ms, Work: 20 * ms},
@@ -27,9 +27,9 @@
 	}}
 }
 
-// TestRollingRestart proves that planned stops cut off nothing: every gate and
-// sched is replaced in turn while requests and jobs are offered to the gates
-// that the balancer would use.
+// TestRollingRestart replaces every gate and sched in turn by a planned stop and a
+// new start, while requests and jobs are sent to the gates that a load balancer
+// would choose. No request may fail.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -37,30 +37,30 @@
 	r := f.openRun()
 	ctx := context.Background()
 	stop := make(chan struct{})
-	var load sync.WaitGroup
+	var callers sync.WaitGroup
 	var mu sync.Mutex
-	refused := map[string]int{}
+	failures := map[string]int{}
 	for i := range 8 {
-		load.Go(func() {
+		callers.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				g := f.gateInRotation(i + n)
-				if g == nil {
+				gate := f.gateInRotation(i + n)
+				if gate == nil {
 					continue
 				}
 				queue, team := core.Queue("fit"), core.Team("pewter")
 				if i%2 == 0 {
 					queue, team = "angle", "press"
 				}
-				res := r.Caller(team).Call(ctx, g.callers, queue, fmt.Sprintf("%d-%d", i, n), 10*ms, nil)
+				res := r.Caller(team).Call(ctx, gate.callers, queue, fmt.Sprintf("%d-%d", i, n), 10*ms, nil)
 				r.AddResult(res)
 				if res.Err != nil || res.Status != http.StatusOK {
 					mu.Lock()
-					refused[fmt.Sprintf("%d %s %s %v", res.Status, res.Code, res.Body, res.Err)]++
+					failures[fmt.Sprintf("%d %s %s %v", res.Status, res.Code, res.Body, res.Err)]++
 					mu.Unlock()
 				}
 			}
@@ -68,7 +68,7 @@
 	}
 	sleep(500 * ms)
 	for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
-		// The balancer takes a gate out before its planned stop.
+		// A load balancer stops sending requests to a gate before its planned stop.
 		f.setInRotation(e, false)
 		sleep(100 * ms)
 		e.drain()
@@ -78,15 +78,16 @@
 	}
 	is.NoErr(r.RunWorkload(ctx, batchLoad(time.Second)))
 	close(stop)
-	load.Wait()
-	for what, n := range refused {
-		t.Errorf("%d times: %s", n, what)
+	callers.Wait()
+	for failure, n := range failures {
+		t.Errorf("%d times: %s", n, failure)
 	}
 	f.checkInvariants(r)
 }
 
-func checkReady(at netip.AddrPort) error {
-	resp, err := httpClient.Get("http://" + at.String() + "/ready")
+// checkReady returns an error unless the process reports that it is ready.
+func checkReady(addr netip.AddrPort) error {
+	resp, err := httpClient.Get("http://" + addr.String() + "/ready")
 	if err != nil {
 		return err
 	}
@@ -97,23 +98,29 @@
 	return nil
 }
 
+// inRotation tells for an entry whether the load balancer sends requests to it.
+// Entries that are not in the map get requests.
 var inRotation sync.Map
 
-func (f *fleet) setInRotation(e *entry, in bool) { inRotation.Store(e, in) }
+// setInRotation adds a gate to the load balancer or removes it.
+func (f *fleet) setInRotation(e *entry, enabled bool) { inRotation.Store(e, enabled) }
 
-// gateInRotation returns a gate to which the balancer sends requests.
+// gateInRotation returns a gate to which the load balancer sends requests, or nil.
+// Different n select different gates.
 func (f *fleet) gateInRotation(n int) *entry {
 	for i := range f.gates {
-		g := f.gates[(n+i)%len(f.gates)]
-		if in, ok := inRotation.Load(g); !ok || in.(bool) {
-			return g
+		gate := f.gates[(n+i)%len(f.gates)]
+		if enabled, ok := inRotation.Load(gate); !ok || enabled.(bool) {
+			return gate
 		}
 	}
 	return nil
 }
 
-// TestTargetFaults proves that an answer is whole or visibly not, that nothing
-// that must not be repeated is sent twice, and that "not run" is true.
+// TestTargetFaults makes targets close connections, send half an answer or break
+// off a chunked answer. A caller must get a complete answer or a visible error,
+// no target may get a request twice that must not be repeated, and a request that
+// is reported as not run must not have reached a target.
 func TestTargetFaults(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, smallPlan(deploy.Glaze()))
@@ -121,21 +128,21 @@
 	ctx := context.Background()
 	n := 0
 	for _, queue := range []core.Queue{"fit", "angle"} {
-		for _, how := range []string{"", "close", "half", "chunk"} {
+		for _, breakMode := range []string{"", "close", "half", "chunk"} {
 			for _, key := range []string{"", "k"} {
 				for i := range 3 {
 					n++
-					h := http.Header{"Stand-Break": {how}}
+					header := http.Header{"Stand-Break": {breakMode}}
 					if key != "" {
-						h.Set("Idempotency-Key", fmt.Sprintf("%s-%d", key, n))
+						header.Set("Idempotency-Key", fmt.Sprintf("%s-%d", key, n))
 					}
 					team := core.Team("pewter")
 					if queue == "angle" {
 						team = "press"
 					}
-					res := r.Caller(team).Call(ctx, f.gates[i%3].callers, queue, fmt.Sprintf("r%d", n), ms, h)
+					res := r.Caller(team).Call(ctx, f.gates[i%3].callers, queue, fmt.Sprintf("r%d", n), ms, header)
 					r.AddResult(res)
-					f.checkAnswer(res, how)
+					f.checkAnswer(res, breakMode)
 				}
 			}
 		}
@@ -144,50 +151,53 @@
 	f.checkNotExecuted(r)
 }
 
-// checkAnswer checks one answer against what the target was told to do.
-func (f *fleet) checkAnswer(res demo.Result, how string) {
+// checkAnswer checks that the answer is complete if and only if the target was not
+// told to fail. A failed request must be reported as unknown whether it was run,
+// because the target has received it.
+func (f *fleet) checkAnswer(res demo.Result, breakMode string) {
 	f.t.Helper()
-	whole := res.Err == nil && res.Status == http.StatusOK
-	if whole && !strings.HasSuffix(res.Body, "ask "+res.ID+"\n") {
-		f.t.Errorf("%s: got another request's answer or a part of one: %q", res.ID, res.Body)
+	complete := res.Err == nil && res.Status == http.StatusOK
+	if complete && !strings.HasSuffix(res.Body, "ask "+res.ID+"\n") {
+		f.t.Errorf("%s: got the answer to another request or an incomplete answer: %q", res.ID, res.Body)
 	}
-	if whole != (how == "") {
-		f.t.Errorf("%s: target told %q, but status %d, error %v", res.ID, how, res.Status, res.Err)
+	if complete != (breakMode == "") {
+		f.t.Errorf("%s: target was told to fail with %q, but the status is %d and the error is %v", res.ID, breakMode, res.Status, res.Err)
 	}
-	if !whole && res.Err == nil && res.Run != core.ExecutionUnknown {
-		f.t.Errorf("%s: run is %q although the target had the request", res.ID, res.Run)
+	if !complete && res.Err == nil && res.Run != core.ExecutionUnknown {
+		f.t.Errorf("%s: run is %q, but the target had received the request", res.ID, res.Run)
 	}
 }
 
-// checkNotExecuted fails the test if a request that was reported as not run was run.
+// checkNotExecuted fails the test if a target has received a request that was
+// reported as not run.
 func (f *fleet) checkNotExecuted(r *demo.Run) {
 	f.t.Helper()
-	seen := core.NewSet[string]()
-	for _, t := range f.TargetRecords() {
-		for _, h := range t.Hits {
-			seen.Add(h.ID)
+	received := core.NewSet[string]()
+	for _, target := range f.TargetRecords() {
+		for _, hit := range target.Hits {
+			received.Add(hit.ID)
 		}
 	}
 	for _, res := range r.Results() {
-		if res.Run == core.NotExecuted && seen.Has(res.ID) {
-			f.t.Errorf("request %s was reported as not run, but a target has it", res.ID)
+		if res.Run == core.NotExecuted && received.Has(res.ID) {
+			f.t.Errorf("request %s was reported as not run, but a target received it", res.ID)
 		}
 	}
 }
 
-// TestReusedConnection proves that the HTTP client repeats nothing on its own
-// when a target closes a reused connection after reading the request, for GET
-// and for a keyed POST.
+// TestReusedConnection checks that the HTTP client of a gate does not repeat a
+// request when a target closes a reused connection after reading the request. Go's
+// transport repeats GET requests and requests with an idempotency key in this case.
 func TestReusedConnection(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	p := smallPlan(deploy.Glaze())
 	f := newFleet(t, p)
-	got := make(chan string, 100)
-	at := startClosingTarget(t, got)
+	received := make(chan string, 100)
+	targetAddr := startClosingTarget(t, received)
 	for i := range f.vms {
 		if f.vms[i].Kind == "target" && f.vms[i].Service == "angle" {
-			f.vms[i].Addr = at.String()
+			f.vms[i].Addr = targetAddr.String()
 		}
 	}
 	is.NoErr(f.setVMs())
@@ -206,85 +216,89 @@
 			is.Equal(resp.Header.Get("Run"), string(core.ExecutionUnknown))
 		}
 	}
-	seen := map[string]int{}
-	for range len(got) {
-		seen[<-got]++
+	counts := map[string]int{}
+	for range len(received) {
+		counts[<-received]++
 	}
-	is.Equal(len(seen), 4)
-	for id, n := range seen {
+	is.Equal(len(counts), 4)
+	for id, n := range counts {
 		if n != 1 {
 			t.Errorf("request %s reached the target %d times", id, n)
 		}
 	}
 }
 
-// startClosingTarget is a target that answers the first request of each connection and
-// closes the connection after reading the second.
-func startClosingTarget(t *testing.T, got chan<- string) netip.AddrPort {
+// startClosingTarget starts a target that answers the first request of each
+// connection and closes the connection after reading the second. It sends the ID of
+// each request to received.
+func startClosingTarget(t *testing.T, received chan<- string) netip.AddrPort {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
+				defer conn.Close()
 				buf := make([]byte, 64<<10)
 				for i := range 2 {
-					n, err := c.Read(buf)
+					n, err := conn.Read(buf)
 					if err != nil {
 						return
 					}
 					for _, line := range strings.Split(string(buf[:n]), "\r\n") {
 						if id, ok := strings.CutPrefix(line, "Request-Id: "); ok {
-							got <- id
+							received <- id
 						}
 					}
 					if i == 0 {
-						_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
+						_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 					}
 				}
 			}()
 		}
 	}()
-	return netip.MustParseAddrPort(l.Addr().String())
+	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// TestKeyedRetry proves that a retry through another gate finds the first
-// attempt, also when the first gate has been killed meanwhile.
+// TestKeyedRetry repeats a request with its idempotency key through another gate
+// after the first gate was killed. The second gate must find the record of the
+// first attempt and refuse the request.
 func TestKeyedRetry(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	r := f.openRun()
 	ctx := context.Background()
-	h := http.Header{"Idempotency-Key": {"angle-7"}}
-	c := r.Caller("press")
+	header := http.Header{"Idempotency-Key": {"angle-7"}}
+	caller := r.Caller("press")
 	first := make(chan demo.Result, 1)
-	go func() { first <- c.Call(ctx, f.gates[0].callers, "angle", "one", 1500*ms, h) }()
-	f.eventually("the target has the request", func() error {
-		for _, x := range f.TargetRecords() {
-			if len(x.Hits) > 0 {
+	go func() { first <- caller.Call(ctx, f.gates[0].callers, "angle", "one", 1500*ms, header) }()
+	f.eventually("a target has received the request", func() error {
+		for _, target := range f.TargetRecords() {
+			if len(target.Hits) > 0 {
 				return nil
 			}
 		}
-		return fmt.Errorf("no target has it")
+		return fmt.Errorf("no target has received it")
 	})
 	f.gates[0].kill()
 	<-first
-	res := c.Call(ctx, f.gates[1].callers, "angle", "one", ms, h)
+	res := caller.Call(ctx, f.gates[1].callers, "angle", "one", ms, header)
 	is.NoErr(res.Err)
 	is.Equal(res.Code, core.CodeRepeat)
 	is.Equal(res.Run, core.ExecutionUnknown)
-	// Without the store no intent can be recorded: refused, and truly not run.
+	// The intent of a keyed request is recorded in the store before the request is
+	// sent. Without the store the gate refuses the request, which must not reach a
+	// target.
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
-	res = c.Call(ctx, f.gates[1].callers, "angle", "two", ms, http.Header{"Idempotency-Key": {"angle-8"}})
+	res = caller.Call(ctx, f.gates[1].callers, "angle", "two", ms, http.Header{"Idempotency-Key": {"angle-8"}})
 	is.Equal(res.Run, core.NotExecuted)
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
 	r.AddResult(res)
@@ -292,18 +306,19 @@
 	f.checkInvariants(r)
 }
 
-// TestGateKilled proves that slots and limits hold while gates die: a dead
-// gate's slots are not granted anew before its requests have surely ended.
+// TestGateKilled kills and pauses gates under load and checks that slots and limits
+// are never exceeded: the slots of a dead gate must not be granted again before its
+// requests have certainly ended.
 func TestGateKilled(t *testing.T) {
 	t.Parallel()
 	for _, opts := range [][]option{{}, {directPeers}} {
 		t.Run(fmt.Sprintf("direct %t", len(opts) > 0), func(t *testing.T) {
 			f := newFleet(t, smallPlan(deploy.Glaze()), opts...)
-			l := demo.Workload{Duration: 6 * time.Second, Seed: 2, Calls: []demo.RequestStream{
+			load := demo.Workload{Duration: 6 * time.Second, Seed: 2, Calls: []demo.RequestStream{
 				{Queue: "fit", Team: "pewter", Every: 8 * ms, Work: 300 * ms},
 				{Queue: "angle", Team: "press", Every: 8 * ms, Work: 200 * ms},
 			}}
-			r := f.runWithFaults(l, func() {
+			r := f.runWithFaults(load, func() {
 				f.gates[0].kill()
 				sleep(time.Second)
 				f.gates[0].start()
@@ -317,24 +332,25 @@
 	}
 }
 
-// TestDrainingTarget proves that a leaving target gets no new request after 3 s.
+// TestDrainingTarget checks that a target gets no new request later than 3 s after
+// it was marked as leaving.
 func TestDrainingTarget(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	var left time.Time
+	var drainStart time.Time
 	f.runWithFaults(requestLoad(6*time.Second), func() {
 		for i := range f.vms {
 			f.vms[i].Leaving = f.vms[i].Leaving || f.vms[i].Name == "target0"
 		}
 		is.NoErr(f.setVMs())
-		left = time.Now()
+		drainStart = time.Now()
 	})
-	late := 0
-	for _, h := range f.TargetRecords()[0].Hits {
-		if h.Began.After(left.Add(3 * time.Second)) {
-			late++
+	lateHits := 0
+	for _, hit := range f.TargetRecords()[0].Hits {
+		if hit.Began.After(drainStart.Add(3 * time.Second)) {
+			lateHits++
 		}
 	}
-	is.Equal(late, 0)
+	is.Equal(lateHits, 0)
 }
--- a/proof/chaos_test.go
+++ b/proof/chaos_test.go
@@ -14,72 +14,72 @@
 )
 
 var (
-	chaosSeed     = flag.Uint64("seed", 1, "seed of the random failure run")
-	chaosDuration = flag.Duration("for", 12*time.Second, "length of the random failure run")
+	chaosSeed     = flag.Uint64("seed", 1, "seed of the random faults in TestChaos")
+	chaosDuration = flag.Duration("for", 12*time.Second, "duration of TestChaos")
 )
 
-// fault is one thing that goes wrong for a while.
+// fault is a failure that a test injects and later clears.
 type fault struct {
 	name          string
 	inject, clear func()
 }
 
-// randomFault draws a fault of a random kind in a random place.
+// randomFault returns a fault of a random kind on a random process or link.
 func (f *fleet) randomFault(rng *rand.Rand) fault {
 	entries := append(append([]*entry{}, f.gates...), f.scheds...)
-	e := entries[rng.IntN(len(entries))]
-	s := f.scheds[rng.IntN(len(f.scheds))]
-	w := rng.IntN(len(f.workers))
+	anyEntry := entries[rng.IntN(len(entries))]
+	sched := f.scheds[rng.IntN(len(f.scheds))]
+	workerIndex := rng.IntN(len(f.workers))
 	target := fmt.Sprintf("target%d", rng.IntN(len(f.targets)))
-	set := func(p *fakes.Proxy, l fakes.LinkFaults) func() { return func() { _ = p.Set(l) } }
-	wl := f.proxies[f.workers[w].name]
-	list := []fault{
-		{"kill " + e.name, e.kill, e.start},
-		{"kill " + s.name, s.kill, s.start},
-		{"pause " + e.name, e.pause, e.resume},
-		{"pause " + s.name, s.pause, s.resume},
-		{"cut the store from " + e.name, set(e.storeProxy, fakes.LinkFaults{Cut: true}), set(e.storeProxy, fakes.LinkFaults{})},
-		{"no store replies to " + s.name, set(s.storeProxy, fakes.LinkFaults{Down: true}), set(s.storeProxy, fakes.LinkFaults{})},
-		{"cut peers from " + s.name, set(s.peerProxy, fakes.LinkFaults{Cut: true}), set(s.peerProxy, fakes.LinkFaults{})},
+	setLink := func(p *fakes.Proxy, l fakes.LinkFaults) func() { return func() { _ = p.Set(l) } }
+	workerLink := f.proxies[f.workers[workerIndex].name]
+	faults := []fault{
+		{"kill " + anyEntry.name, anyEntry.kill, anyEntry.start},
+		{"kill " + sched.name, sched.kill, sched.start},
+		{"pause " + anyEntry.name, anyEntry.pause, anyEntry.resume},
+		{"pause " + sched.name, sched.pause, sched.resume},
+		{"cut the store from " + anyEntry.name, setLink(anyEntry.storeProxy, fakes.LinkFaults{Cut: true}), setLink(anyEntry.storeProxy, fakes.LinkFaults{})},
+		{"no store replies to " + sched.name, setLink(sched.storeProxy, fakes.LinkFaults{Down: true}), setLink(sched.storeProxy, fakes.LinkFaults{})},
+		{"cut peers from " + sched.name, setLink(sched.peerProxy, fakes.LinkFaults{Cut: true}), setLink(sched.peerProxy, fakes.LinkFaults{})},
 		{"store down", func() { _ = f.setPlatformFaults(fakes.PlatformFaults{Down: true}) }, func() { _ = f.setPlatformFaults(fakes.PlatformFaults{}) }},
 		{"store slow", func() { _ = f.setPlatformFaults(fakes.PlatformFaults{Delay: "300ms"}) }, func() { _ = f.setPlatformFaults(fakes.PlatformFaults{}) }},
 		{"store loses replies", func() { _ = f.setPlatformFaults(fakes.PlatformFaults{Lose: 20}) }, func() { _ = f.setPlatformFaults(fakes.PlatformFaults{}) }},
-		{"pause " + f.workers[w].name, f.workers[w].pause, f.workers[w].resume},
-		{"cut " + f.workers[w].name, set(wl, fakes.LinkFaults{Cut: true}), set(wl, fakes.LinkFaults{})},
-		{"no replies of " + f.workers[w].name, set(wl, fakes.LinkFaults{Down: true}), set(wl, fakes.LinkFaults{})},
-		{"fail all on " + f.workers[w].name, func() { _ = f.setWorkerFaults(w, fakes.WorkerFaults{FailAll: true}) }, func() { _ = f.setWorkerFaults(w, fakes.WorkerFaults{}) }},
-		{"truncate " + target, set(f.proxies[target], fakes.LinkFaults{Truncate: 40}), set(f.proxies[target], fakes.LinkFaults{})},
-		{"cut " + target, set(f.proxies[target], fakes.LinkFaults{Cut: true}), set(f.proxies[target], fakes.LinkFaults{})},
+		{"pause " + f.workers[workerIndex].name, f.workers[workerIndex].pause, f.workers[workerIndex].resume},
+		{"cut " + f.workers[workerIndex].name, setLink(workerLink, fakes.LinkFaults{Cut: true}), setLink(workerLink, fakes.LinkFaults{})},
+		{"no replies of " + f.workers[workerIndex].name, setLink(workerLink, fakes.LinkFaults{Down: true}), setLink(workerLink, fakes.LinkFaults{})},
+		{"fail all on " + f.workers[workerIndex].name, func() { _ = f.setWorkerFaults(workerIndex, fakes.WorkerFaults{FailAll: true}) }, func() { _ = f.setWorkerFaults(workerIndex, fakes.WorkerFaults{}) }},
+		{"truncate " + target, setLink(f.proxies[target], fakes.LinkFaults{Truncate: 40}), setLink(f.proxies[target], fakes.LinkFaults{})},
+		{"cut " + target, setLink(f.proxies[target], fakes.LinkFaults{Cut: true}), setLink(f.proxies[target], fakes.LinkFaults{})},
 	}
-	return list[rng.IntN(len(list))]
+	return faults[rng.IntN(len(faults))]
 }
 
-// TestChaos mixes all faults at random, two at a time, then checks every
-// invariant. Run longer ones with -seed N -for 10m.
+// TestChaos injects random faults, two at a time, under load, and then checks all
+// invariants. For a longer run, use -seed N -for 10m.
 func TestChaos(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(*chaosSeed, 0))
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	l := batchLoad(*chaosDuration)
-	l.Seed = *chaosSeed
-	l.Calls = requestLoad(*chaosDuration).Calls
+	load := batchLoad(*chaosDuration)
+	load.Seed = *chaosSeed
+	load.Calls = requestLoad(*chaosDuration).Calls
 	r := f.openRun()
 	done := make(chan error, 1)
 	began := time.Now()
-	go func() { done <- r.Submit(context.Background(), l) }()
+	go func() { done <- r.Submit(context.Background(), load) }()
 	for time.Since(began) < *chaosDuration-2*time.Second {
-		a, b := f.randomFault(rng), f.randomFault(rng)
-		t.Logf("%s: %s; %s", time.Since(began).Round(100*ms), a.name, b.name)
-		a.inject()
+		first, second := f.randomFault(rng), f.randomFault(rng)
+		t.Logf("%s: %s; %s", time.Since(began).Round(100*ms), first.name, second.name)
+		first.inject()
 		sleep(time.Duration(300+rng.IntN(1200)) * ms)
-		if b.name == a.name {
-			b = fault{"nothing", func() {}, func() {}}
+		if second.name == first.name {
+			second = fault{"nothing", func() {}, func() {}}
 		}
-		b.inject()
+		second.inject()
 		sleep(time.Duration(500+rng.IntN(2500)) * ms)
-		a.clear()
+		first.clear()
 		sleep(time.Duration(rng.IntN(500)) * ms)
-		b.clear()
+		second.clear()
 		f.restoreProcesses()
 	}
 	if err := <-done; err != nil {
@@ -93,7 +93,8 @@
 	logResults(t, r)
 }
 
-// restoreProcesses starts what two overlapping faults have left dead.
+// restoreProcesses starts or resumes every gate and sched that is still down: when
+// two faults hit the same process, clearing both can leave it killed or paused.
 func (f *fleet) restoreProcesses() {
 	for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
 		select {
@@ -105,12 +106,12 @@
 	}
 }
 
-// logResults logs what became of the requests.
+// logResults logs how many requests had each outcome.
 func logResults(t *testing.T, r *demo.Run) {
 	t.Helper()
-	count := map[string]int{}
+	counts := map[string]int{}
 	for _, res := range r.Results() {
-		count[fmt.Sprintf("%d run=%s %s", res.Status, res.Run, res.Code)]++
+		counts[fmt.Sprintf("%d run=%s %s", res.Status, res.Run, res.Code)]++
 	}
-	t.Logf("requests: %v", count)
+	t.Logf("requests: %v", counts)
 }
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -18,7 +18,8 @@
 	"chicoryturn/io/httpx"
 )
 
-// pushRules sends a rules file to a process and returns the status.
+// pushRules sends a rules file to a process and returns the HTTP status, or 0 if
+// there was no answer. A base other than 0 is the version that must be in force.
 func pushRules(e *entry, rules []byte, base core.Version) int {
 	resp, err := httpClient.Post(fmt.Sprintf("http://%s/rules?base=%d", e.ops, base), "", bytes.NewReader(rules))
 	if err != nil {
@@ -28,29 +29,30 @@
 	return resp.StatusCode
 }
 
+// configVersions returns the configuration version of each process that answers.
 func (f *fleet) configVersions() []core.Version {
 	var out []core.Version
 	for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
-		var c httpx.Config
-		if getJSON(e.ops, "/config", &c) == nil {
-			out = append(out, c.Version)
+		var config httpx.Config
+		if getJSON(e.ops, "/config", &config) == nil {
+			out = append(out, config.Version)
 		}
 	}
 	return out
 }
 
-// TestConcurrentPushes proves that of operators who start from one version,
-// exactly one wins and the others are told so.
+// TestConcurrentPushes pushes rules through all processes at once, each based on
+// the same version. Exactly one push must succeed; the others must get a conflict.
 func TestConcurrentPushes(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	f.openRun()
-	var conf httpx.Config
-	is.NoErr(getJSON(f.gates[0].ops, "/config", &conf))
-	f.eventually("all run the same version", func() error {
+	var config httpx.Config
+	is.NoErr(getJSON(f.gates[0].ops, "/config", &config))
+	f.eventually("all processes have the same version", func() error {
 		for _, v := range f.configVersions() {
-			if v != conf.Version {
+			if v != config.Version {
 				return fmt.Errorf("version %d", v)
 			}
 		}
@@ -59,20 +61,21 @@
 	statuses := make(chan int, 6)
 	var wg sync.WaitGroup
 	for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
-		wg.Go(func() { statuses <- pushRules(e, f.plan.Rules(), conf.Version) })
+		wg.Go(func() { statuses <- pushRules(e, f.plan.Rules(), config.Version) })
 	}
 	wg.Wait()
 	close(statuses)
-	count := map[int]int{}
-	for s := range statuses {
-		count[s]++
+	counts := map[int]int{}
+	for status := range statuses {
+		counts[status]++
 	}
-	is.Equal(count[http.StatusOK], 1)
-	is.Equal(count[http.StatusConflict], 5)
+	is.Equal(counts[http.StatusOK], 1)
+	is.Equal(counts[http.StatusConflict], 5)
 }
 
-// TestLostReply proves that a change whose reply was lost is found again and
-// never applied twice.
+// TestLostReply makes the store lose the replies to writes of configuration
+// changes. A process must find out that its change was stored and must not store it
+// twice.
 func TestLostReply(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -85,15 +88,15 @@
 		_ = resp.Body.Close()
 	}
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
-	var list []agent.History
-	is.NoErr(getJSON(f.gates[0].ops, "/rules/history", &list))
-	for i, h := range list {
-		is.Equal(h.Version, core.Version(i+1)) // no version is skipped or doubled
+	var history []agent.History
+	is.NoErr(getJSON(f.gates[0].ops, "/rules/history", &history))
+	for i, change := range history {
+		is.Equal(change.Version, core.Version(i+1)) // no version is missing or repeated
 	}
 }
 
-// TestChangeReachesAllProcesses proves that an accepted configuration is in force in every
-// process within 5 s and that no process ever runs an older one again.
+// TestChangeReachesAllProcesses checks that an accepted configuration is in force
+// in every process within 5 s, and that no process goes back to an older version.
 func TestChangeReachesAllProcesses(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -103,49 +106,49 @@
 	is.NoErr(getJSON(f.gates[0].ops, "/config", &before))
 	began := time.Now()
 	is.Equal(pushRules(f.scheds[0], f.plan.Rules(), 0), http.StatusOK)
-	high := map[int]core.Version{}
-	f.eventually("the push is in force", func() error {
-		low := before.Version + 1
+	highest := map[int]core.Version{}
+	f.eventually("the pushed rules are in force in all processes", func() error {
+		lowest := before.Version + 1
 		for i, v := range f.configVersions() {
-			if v < high[i] {
-				t.Errorf("process %d went back from version %d to %d", i, high[i], v)
+			if v < highest[i] {
+				t.Errorf("process %d went back from version %d to version %d", i, highest[i], v)
 			}
-			high[i] = v
-			low = min(low, v)
+			highest[i] = v
+			lowest = min(lowest, v)
 		}
-		if low <= before.Version {
-			return fmt.Errorf("version %d", low)
+		if lowest <= before.Version {
+			return fmt.Errorf("version %d", lowest)
 		}
 		return nil
 	})
-	took := time.Since(began)
-	t.Logf("in force everywhere after %s", took.Round(10*ms))
-	is.True(took < 5*time.Second) // the stated target
+	elapsed := time.Since(began)
+	t.Logf("in force in all processes after %s", elapsed.Round(10*ms))
+	is.True(elapsed < 5*time.Second) // the documented bound
 }
 
-// TestWithdrawnKey proves that a withdrawn key is refused everywhere within
-// 5 s, also by a gate that is cut off from the store, and that keys go on
-// working while the store is down for all.
+// TestWithdrawnKey checks that every gate refuses a withdrawn key within 5 s, also
+// a gate that is cut off from the store, and that keys stay valid while no process
+// can reach the store.
 func TestWithdrawnKey(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	r := f.openRun()
 	ctx := context.Background()
-	c := r.Caller("pewter")
-	id := c.Key[:16]
-	// Down for all: nothing can have been withdrawn.
+	caller := r.Caller("pewter")
+	id := caller.Key[:16]
+	// No process can reach the store, so no key can have been withdrawn.
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
 	sleep(7 * time.Second)
-	for i, g := range f.gates {
-		res := c.Call(ctx, g.callers, "fit", fmt.Sprintf("outage%d", i), ms, nil)
+	for i, gate := range f.gates {
+		res := caller.Call(ctx, gate.callers, "fit", fmt.Sprintf("outage%d", i), ms, nil)
 		is.NoErr(res.Err)
 		is.Equal(res.Status, http.StatusOK)
 	}
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
-	f.eventually("the store is reached again", func() error { return checkReady(f.gates[1].ops) })
+	f.eventually("gate 1 reaches the store again", func() error { return checkReady(f.gates[1].ops) })
 	sleep(time.Second)
-	// One gate is cut off while the key is withdrawn.
+	// One gate cannot reach the store while the key is withdrawn.
 	is.NoErr(f.gates[0].storeProxy.Set(fakes.LinkFaults{Cut: true}))
 	req, err := http.NewRequest(http.MethodDelete, "http://"+f.gates[1].ops.String()+"/keys/"+id, nil)
 	is.NoErr(err)
@@ -155,18 +158,18 @@
 	is.Equal(resp.StatusCode, http.StatusOK)
 	began := time.Now()
 	sleep(5 * time.Second)
-	for i, g := range f.gates {
-		res := c.Call(ctx, g.callers, "fit", fmt.Sprintf("late%d", i), ms, nil)
+	for i, gate := range f.gates {
+		res := caller.Call(ctx, gate.callers, "fit", fmt.Sprintf("late%d", i), ms, nil)
 		is.NoErr(res.Err)
 		if res.Status == http.StatusOK {
-			t.Errorf("gate %d honoured a key %s after its withdrawal", i, time.Since(began))
+			t.Errorf("gate %d accepted a key %s after its withdrawal", i, time.Since(began))
 		}
 		is.Equal(res.Run, core.NotExecuted)
 	}
 }
 
-// TestCompaction proves that the configuration survives the deletion of old
-// changes: a process that starts afterwards runs the same version.
+// TestCompaction checks that a process that starts after old changes were deleted
+// from the store gets the same configuration version as the others.
 func TestCompaction(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -184,22 +187,22 @@
 			return err
 		}
 		if list[0].Version == 1 {
-			return fmt.Errorf("%d changes are kept", len(list))
+			return fmt.Errorf("all %d changes are still stored", len(list))
 		}
 		return nil
 	})
 	f.gates[2].kill()
 	f.gates[2].start()
-	f.eventually("the new process runs the newest version", func() error {
-		var a, b httpx.Config
-		if err := getJSON(f.gates[0].ops, "/config", &a); err != nil {
+	f.eventually("the restarted gate has the newest version", func() error {
+		var current, restarted httpx.Config
+		if err := getJSON(f.gates[0].ops, "/config", &current); err != nil {
 			return err
 		}
-		if err := getJSON(f.gates[2].ops, "/config", &b); err != nil {
+		if err := getJSON(f.gates[2].ops, "/config", &restarted); err != nil {
 			return err
 		}
-		if a.Version != b.Version {
-			return fmt.Errorf("version %d, not %d", b.Version, a.Version)
+		if current.Version != restarted.Version {
+			return fmt.Errorf("has version %d, want %d", restarted.Version, current.Version)
 		}
 		return checkReady(f.gates[2].ops)
 	})
--- a/proof/deployment_test.go
+++ b/proof/deployment_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// mixedLoad is some of every kind of work of a deployment.
+// mixedLoad returns requests and jobs for several queues of a deployment.
 func mixedLoad(name string) demo.Workload {
 	if name == "glaze" {
 		return demo.Workload{
@@ -41,7 +41,8 @@
 	}
 }
 
-// TestBothDeployments runs both deployments' work through separate processes.
+// TestBothDeployments runs requests and jobs of both sample deployments through
+// separate processes. No request or job may be refused.
 func TestBothDeployments(t *testing.T) {
 	for _, p := range []deploy.Plan{deploy.Glaze(), deploy.Bagmati()} {
 		t.Run(p.Name, func(t *testing.T) {
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -1,5 +1,5 @@
-// Package proof_test proves the system's promises with real processes behind a
-// fault-injecting proxy.
+// Package proof_test runs the system as real processes on loopback, injects faults,
+// and checks that the invariants of the system hold.
 package proof_test
 
 import (
@@ -28,9 +28,11 @@
 	"chicoryturn/io/work"
 )
 
-// conditionTimeout bounds every wait on a condition; it only ends a test that hangs.
+// conditionTimeout is the time-out of every wait for a condition. It only ends a
+// test that hangs.
 const conditionTimeout = 60 * time.Second
 
+// buildPrograms compiles the programs once for all tests and returns their folder.
 var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "chicoryturn")
 	if err != nil {
@@ -52,7 +54,7 @@
 	os.Exit(code)
 }
 
-// process is one started program.
+// process is a program that a test has started.
 type process struct {
 	t    *testing.T
 	name string
@@ -60,10 +62,13 @@
 	cmd  *exec.Cmd
 	log  *bytes.Buffer
 	done chan struct{}
-	// expectExit is set once the test has asked the process to end.
+	// expectExit is set once the test has killed the process or asked it to stop.
 	expectExit bool
 }
 
+// startProcess starts a program. At the end of the test it kills the process, and
+// fails the test if the process has exited unexpectedly. If CHICORYTURN_LOGS is set,
+// it prints the logs of a failed test.
 func startProcess(t *testing.T, name, program string, args ...string) *process {
 	t.Helper()
 	dir, err := buildPrograms()
@@ -76,7 +81,7 @@
 		select {
 		case <-p.done:
 			if !p.expectExit {
-				t.Errorf("%s has ended by itself:\n%s", p.name, p.log)
+				t.Errorf("%s exited unexpectedly:\n%s", p.name, p.log)
 			}
 		default:
 		}
@@ -88,6 +93,7 @@
 	return p
 }
 
+// start starts the program, or starts it again after its exit, with an empty log.
 func (p *process) start() {
 	p.log, p.done, p.expectExit = &bytes.Buffer{}, make(chan struct{}), false
 	p.cmd = exec.Command(p.args[0], p.args[1:]...)
@@ -110,7 +116,7 @@
 func (p *process) pause()  { p.signal(syscall.SIGSTOP) }
 func (p *process) resume() { p.signal(syscall.SIGCONT) }
 
-// drain asks for a planned stop and waits for its end.
+// drain asks the process for a planned stop and waits for its exit.
 func (p *process) drain() {
 	p.t.Helper()
 	p.expectExit = true
@@ -118,18 +124,18 @@
 	select {
 	case <-p.done:
 	case <-time.After(conditionTimeout):
-		p.t.Fatalf("%s did not end its planned stop:\n%s", p.name, p.log)
+		p.t.Fatalf("%s did not exit after a planned stop:\n%s", p.name, p.log)
 	}
 }
 
-// entry is a gate or sched with the links that may be cut.
+// entry is a gate or sched. Its network links can be cut.
 type entry struct {
 	*process
 	role         core.Role
 	region       string
 	callers, ops netip.AddrPort
-	// storeProxy and toPeers are the links to the platform and from other
-	// processes.
+	// storeProxy is the link from this process to the platform, and peerProxy the
+	// link from other processes to this one.
 	storeProxy, peerProxy *fakes.Proxy
 }
 
@@ -148,14 +154,16 @@
 	sessionTTL string
 	workerTTL  string
 	cells      int
-	// directPeers lets processes reach each other without a proxy, so that a killed
-	// one refuses connections as on a real VM.
+	// directPeers makes other processes reach a gate or sched without a proxy, so
+	// that a killed process refuses connections as it would on a real VM.
 	directPeers bool
-	// recordsLost is set when a worker has been killed: its records are lost with
-	// it, so that only the job's own end shows that no task was lost.
+	// recordsLost is set when a worker is killed. Its records are lost with it, so
+	// the check for lost tasks, which needs them, is skipped; the job must still
+	// end.
 	recordsLost bool
 }
 
+// freeAddr returns an unused loopback address.
 func freeAddr(t *testing.T) netip.AddrPort {
 	t.Helper()
 	a, err := deploy.FreeAddr()
@@ -165,52 +173,57 @@
 	return a
 }
 
-// startProxy starts a proxy to an address and returns it with its own address.
+// startProxy starts a proxy for connections to an address, and returns the proxy
+// and the address on which it listens.
 func startProxy(t *testing.T, to netip.AddrPort) (*fakes.Proxy, netip.AddrPort) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := fakes.NewProxy(to)
+	proxy := fakes.NewProxy(to)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { _ = p.Serve(ctx, l); close(done) }()
+	go func() { _ = proxy.Serve(ctx, l); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return p, netip.MustParseAddrPort(l.Addr().String())
+	return proxy, netip.MustParseAddrPort(l.Addr().String())
 }
 
+// option changes the settings of a fleet before it starts.
 type option func(f *fleet)
 
-// longWorkerLeases lets workers go on for long without an owner.
+// longWorkerLeases lets workers continue for 10 s without an owner.
 func longWorkerLeases(f *fleet) { f.workerTTL = "10s" }
 
+// directPeers sets fleet.directPeers.
 func directPeers(f *fleet) { f.directPeers = true }
 
-// newFleet starts a platform, workers and targets; gates and scheds follow.
-func newFleet(t *testing.T, p deploy.Plan, opts ...option) *fleet {
+// newFleet starts the platform, workers, targets, gates and scheds of a plan, and
+// sets the list of VMs.
+func newFleet(t *testing.T, plan deploy.Plan, opts ...option) *fleet {
 	t.Helper()
-	f := &fleet{t: t, plan: p, platform: freeAddr(t), proxies: map[string]*fakes.Proxy{}, dir: t.TempDir(), sessionTTL: "1500ms", workerTTL: "3s", cells: 1}
-	for _, o := range opts {
-		o(f)
+	f := &fleet{t: t, plan: plan, platform: freeAddr(t), proxies: map[string]*fakes.Proxy{}, dir: t.TempDir(), sessionTTL: "1500ms", workerTTL: "3s", cells: 1}
+	for _, opt := range opts {
+		opt(f)
 	}
 	startProcess(t, "platform", "standin", "platform", "-a", f.platform.String())
-	for i := range p.Workers {
+	for i := range plan.Workers {
 		f.addWorker(i)
 	}
-	for i := range p.Targets {
+	for i := range plan.Targets {
 		f.addTarget(i)
 	}
-	for i := range p.Gates {
+	for i := range plan.Gates {
 		f.gates = append(f.gates, f.addEntry(core.RoleGate, i))
 	}
-	for i := range p.Scheds {
+	for i := range plan.Scheds {
 		f.scheds = append(f.scheds, f.addEntry(core.RoleSched, i))
 	}
-	f.eventually("the list of VMs is set", func() error { return f.setVMs() })
+	f.eventually("the platform accepts the list of VMs", func() error { return f.setVMs() })
 	return f
 }
 
+// region returns the region of the VM with index i.
 func (f *fleet) region(i int) string { return f.plan.Regions[i%len(f.plan.Regions)] }
 
 func (f *fleet) addWorker(i int) {
@@ -218,9 +231,9 @@
 	name := fmt.Sprintf("worker%d", i)
 	f.workers = append(f.workers, startProcess(f.t, name, "standin", "worker", "-a", addr.String(), "-n", name,
 		"-c", fmt.Sprint(f.plan.Room.Cores), "-m", fmt.Sprint(f.plan.Room.Memory)))
-	p, at := startProxy(f.t, addr)
-	f.proxies[name] = p
-	f.vms = append(f.vms, store.VM{Name: name, Kind: "worker", Addr: at.String(), Region: f.region(i), Zone: f.region(i) + "-a",
+	proxy, proxyAddr := startProxy(f.t, addr)
+	f.proxies[name] = proxy
+	f.vms = append(f.vms, store.VM{Name: name, Kind: "worker", Addr: proxyAddr.String(), Region: f.region(i), Zone: f.region(i) + "-a",
 		Cores: f.plan.Room.Cores, Memory: f.plan.Room.Memory})
 }
 
@@ -228,48 +241,50 @@
 	addr := freeAddr(f.t)
 	name := fmt.Sprintf("target%d", i)
 	f.targets = append(f.targets, startProcess(f.t, name, "standin", "target", "-a", addr.String(), "-n", name, "-s", fmt.Sprint(f.plan.Slots)))
-	p, at := startProxy(f.t, addr)
-	f.proxies[name] = p
-	f.vms = append(f.vms, store.VM{Name: name, Kind: "target", Addr: at.String(), Region: f.region(i), Zone: f.region(i) + "-a",
+	proxy, proxyAddr := startProxy(f.t, addr)
+	f.proxies[name] = proxy
+	f.vms = append(f.vms, store.VM{Name: name, Kind: "target", Addr: proxyAddr.String(), Region: f.region(i), Zone: f.region(i) + "-a",
 		Service: f.plan.Services[i/len(f.plan.Regions)%len(f.plan.Services)], Slots: int64(f.plan.Slots)})
 }
 
 func (f *fleet) addEntry(role core.Role, i int) *entry {
 	e := &entry{role: role, region: f.region(i), callers: freeAddr(f.t), ops: freeAddr(f.t)}
-	peers := freeAddr(f.t)
-	var toStore, public netip.AddrPort
-	e.storeProxy, toStore = startProxy(f.t, f.platform)
-	if e.peerProxy, public = startProxy(f.t, peers); f.directPeers {
-		public = peers
+	peerAddr := freeAddr(f.t)
+	var storeAddr, publicAddr netip.AddrPort
+	e.storeProxy, storeAddr = startProxy(f.t, f.platform)
+	if e.peerProxy, publicAddr = startProxy(f.t, peerAddr); f.directPeers {
+		publicAddr = peerAddr
 	}
 	vm := fmt.Sprintf("entry-%s-%d", role, len(f.vms))
 	file := filepath.Join(f.dir, vm+".toml")
-	text := fmt.Sprintf("vm = %q\nregion = %q\nzone = %q\nplatform = %q\npeers = %q\npublic = %q\nops = %q\nsession = %q\nworker = %q\ndrain = \"20s\"\nlevel = \"info\"\ncells = %d\n",
-		vm, e.region, e.region+"-a", toStore, peers, public, e.ops, f.sessionTTL, f.workerTTL, f.cells)
+	settings := fmt.Sprintf("vm = %q\nregion = %q\nzone = %q\nplatform = %q\npeers = %q\npublic = %q\nops = %q\nsession = %q\nworker = %q\ndrain = \"20s\"\nlevel = \"info\"\ncells = %d\n",
+		vm, e.region, e.region+"-a", storeAddr, peerAddr, publicAddr, e.ops, f.sessionTTL, f.workerTTL, f.cells)
 	if role == core.RoleGate {
-		text += fmt.Sprintf("callers = %q\n", e.callers)
+		settings += fmt.Sprintf("callers = %q\n", e.callers)
 	}
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 	e.process = startProcess(f.t, vm, "chicoryturn", string(role), "-s", file)
-	f.vms = append(f.vms, store.VM{Name: vm, Kind: "entry", Addr: public.String(), Region: e.region, Zone: e.region + "-a"})
+	f.vms = append(f.vms, store.VM{Name: vm, Kind: "entry", Addr: publicAddr.String(), Region: e.region, Zone: e.region + "-a"})
 	return e
 }
 
-// httpClient asks stand-ins and operators' pages; a paused process does not answer.
+// httpClient calls stand-ins and operators' interfaces. Its time-out ends calls to
+// paused processes, which do not answer.
 var httpClient = &http.Client{Timeout: 2 * time.Second}
 
-// shortTimeoutClient asks processes that may be paused, where the time of the answer counts.
+// shortTimeoutClient calls processes that may be paused, in tests that log how long
+// a takeover takes.
 var shortTimeoutClient = &http.Client{Timeout: 250 * time.Millisecond}
 
-// putJSON sends an order to a stand-in.
-func putJSON(at netip.AddrPort, path string, val any) error {
-	body, err := json.Marshal(val)
+// putJSON sends a value to a stand-in with PUT.
+func putJSON(addr netip.AddrPort, path string, value any) error {
+	body, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequest(http.MethodPut, "http://"+at.String()+path, bytes.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, "http://"+addr.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -280,12 +295,12 @@
 	return resp.Body.Close()
 }
 
-func getJSON(at netip.AddrPort, path string, out any) error {
-	return getJSONWith(httpClient, at, path, out)
+func getJSON(addr netip.AddrPort, path string, out any) error {
+	return getJSONWith(httpClient, addr, path, out)
 }
 
-func getJSONWith(c *http.Client, at netip.AddrPort, path string, out any) error {
-	resp, err := c.Get("http://" + at.String() + path)
+func getJSONWith(client *http.Client, addr netip.AddrPort, path string, out any) error {
+	resp, err := client.Get("http://" + addr.String() + path)
 	if err != nil {
 		return err
 	}
@@ -298,11 +313,13 @@
 }
 
 func (f *fleet) setVMs() error { return putJSON(f.platform, "/stand/vms", f.vms) }
-func (f *fleet) setPlatformFaults(v fakes.PlatformFaults) error {
-	return putJSON(f.platform, "/stand/faults", v)
+
+func (f *fleet) setPlatformFaults(faults fakes.PlatformFaults) error {
+	return putJSON(f.platform, "/stand/faults", faults)
 }
 
-// eventually waits for a condition, within a generous bound.
+// eventually waits until cond returns nil, and fails the test after
+// conditionTimeout.
 func (f *fleet) eventually(what string, cond func() error) {
 	f.t.Helper()
 	err := demo.Until(context.Background(), conditionTimeout, what, func(context.Context) error { return cond() })
@@ -311,6 +328,7 @@
 	}
 }
 
+// addrOf returns the address on which a stand-in listens.
 func (f *fleet) addrOf(p *process) netip.AddrPort {
 	for i, a := range p.args {
 		if a == "-a" {
@@ -324,9 +342,9 @@
 // WorkerRecords implements demo.Fleet.
 func (f *fleet) WorkerRecords() []fakes.WorkerRecord {
 	var out []fakes.WorkerRecord
-	for _, w := range f.workers {
+	for _, worker := range f.workers {
 		var r fakes.WorkerRecord
-		if err := getJSON(f.addrOf(w), "/stand/record", &r); err != nil {
+		if err := getJSON(f.addrOf(worker), "/stand/record", &r); err != nil {
 			f.t.Fatal(err)
 		}
 		out = append(out, r)
@@ -337,9 +355,9 @@
 // TargetRecords implements demo.Fleet.
 func (f *fleet) TargetRecords() []fakes.TargetRecord {
 	var out []fakes.TargetRecord
-	for _, w := range f.targets {
+	for _, target := range f.targets {
 		var r fakes.TargetRecord
-		if err := getJSON(f.addrOf(w), "/stand/record", &r); err != nil {
+		if err := getJSON(f.addrOf(target), "/stand/record", &r); err != nil {
 			f.t.Fatal(err)
 		}
 		out = append(out, r)
@@ -347,19 +365,21 @@
 	return out
 }
 
+// addresses returns the addresses of all gates and scheds.
 func (f *fleet) addresses() deploy.Addresses {
-	var d deploy.Addresses
+	var addrs deploy.Addresses
 	for _, g := range f.gates {
-		d.Callers = append(d.Callers, g.callers)
-		d.Ops = append(d.Ops, g.ops)
+		addrs.Callers = append(addrs.Callers, g.callers)
+		addrs.Ops = append(addrs.Ops, g.ops)
 	}
 	for _, s := range f.scheds {
-		d.Scheds = append(d.Scheds, s.ops)
+		addrs.Scheds = append(addrs.Scheds, s.ops)
 	}
-	return d
+	return addrs
 }
 
-// openRun pushes the plan's rules and grants keys.
+// openRun waits until the fleet serves requests, pushes the plan's rules and grants
+// a key to each team.
 func (f *fleet) openRun() *demo.Run {
 	f.t.Helper()
 	r, err := demo.Open(context.Background(), f, f.addresses(), f.plan)
@@ -369,18 +389,18 @@
 	return r
 }
 
-// checkInvariants fails the test on every broken invariant.
+// checkInvariants reports every violated invariant as a test failure.
 func (f *fleet) checkInvariants(r *demo.Run) {
 	f.t.Helper()
-	for _, x := range r.Violations() {
-		if x.Invariant == check.Lost && f.recordsLost {
+	for _, violation := range r.Violations() {
+		if violation.Invariant == check.Lost && f.recordsLost {
 			continue
 		}
-		f.t.Error(x)
+		f.t.Error(violation)
 	}
 }
 
-// smallPlan returns a deployment that fits a test.
+// smallPlan returns a plan with one region and few processes, for tests.
 func smallPlan(p deploy.Plan) deploy.Plan {
 	p.Regions = p.Regions[:1]
 	p.Gates, p.Scheds, p.Workers, p.Targets = 3, 3, 6, 4
--- a/proof/input_test.go
+++ b/proof/input_test.go
@@ -17,8 +17,8 @@
 	"chicoryturn/io/store"
 )
 
-// TestMalformedRows proves that rows that do not parse are passed over and that work
-// goes on beside them.
+// TestMalformedRows puts rows with invalid content into the store. Processes must
+// skip these rows and serve requests and jobs as usual.
 func TestMalformedRows(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -33,21 +33,21 @@
 	is.NoErr(err)
 	_ = resp.Body.Close()
 	r := f.openRun()
-	res := r.Caller("pewter").Call(context.Background(), f.gates[0].callers, "fit", "one", ms, nil)
-	is.NoErr(res.Err)
-	is.Equal(res.Status, http.StatusOK)
+	result := r.Caller("pewter").Call(context.Background(), f.gates[0].callers, "fit", "one", ms, nil)
+	is.NoErr(result.Err)
+	is.Equal(result.Status, http.StatusOK)
 	is.NoErr(r.RunWorkload(context.Background(), batchLoad(500*ms)))
 	f.checkInvariants(r)
 }
 
-// TestBadInput shows the typed refusal of each kind of bad input at a gate's
-// doors, and that it says that nothing ran.
+// TestBadInput sends each kind of invalid input to a gate, and checks the status
+// and code of the refusal and that it says that nothing was run.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	key := f.openRun().Caller("foundry").Key
-	at := f.gates[0].callers.String()
+	gateAddr := f.gates[0].callers.String()
 	tests := map[string]struct {
 		method, path, key, body string
 		status                  int
@@ -71,7 +71,7 @@
 		"no page":       {"GET", "/nope", key, "", 400, core.CodeBadInput},
 	}
 	for name, tt := range tests {
-		req, err := http.NewRequest(tt.method, "http://"+at+tt.path, strings.NewReader(tt.body))
+		req, err := http.NewRequest(tt.method, "http://"+gateAddr+tt.path, strings.NewReader(tt.body))
 		is.NoErr(err)
 		if tt.key != "" {
 			req.Header.Set("Authorization", "Bearer "+tt.key)
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -15,8 +15,8 @@
 	"chicoryturn/io/gate"
 )
 
-// TestLoweredLimit proves that a team comes down to a limit that is lowered
-// below what it runs, and that its tasks end later nevertheless.
+// TestLoweredLimit lowers the limit of a team below what it runs. The team must
+// come down to the limit, and its job must still end.
 func TestLoweredLimit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -27,51 +27,52 @@
 		Queue: "sweep", Tasks: []gate.TaskRequest{{Count: 30, Cores: 2, Memory: 64, Run: "6s", Command: "sleep 6s"}},
 	})
 	is.NoErr(err)
-	used := func() int64 {
+	usedCores := func() int64 {
 		n := int64(0)
-		for _, c := range f.cellDumps() {
-			for _, l := range c.Load.Teams {
-				if l.Team == "office" {
-					n += l.Cores
+		for _, cell := range f.cellDumps() {
+			for _, teamLoad := range cell.Load.Teams {
+				if teamLoad.Team == "office" {
+					n += teamLoad.Cores
 				}
 			}
 		}
 		return n
 	}
-	f.eventually("the team runs 60 cores", func() error { return checkValue(used(), func(n int64) bool { return n == 60000 }) })
-	lowered := bytes.Replace(f.plan.Rules(), []byte("cores = 100, slots = 20"), []byte("cores = 20, slots = 20"), 1)
-	is.Equal(pushRules(f.gates[1], lowered, 0), http.StatusOK)
+	f.eventually("the team runs 60 cores", func() error { return checkValue(usedCores(), func(n int64) bool { return n == 60000 }) })
+	loweredRules := bytes.Replace(f.plan.Rules(), []byte("cores = 100, slots = 20"), []byte("cores = 20, slots = 20"), 1)
+	is.Equal(pushRules(f.gates[1], loweredRules, 0), http.StatusOK)
 	began := time.Now()
-	f.eventually("the team runs at most 20 cores", func() error { return checkValue(used(), func(n int64) bool { return n <= 20000 }) })
-	t.Logf("at the new limit after %s", time.Since(began).Round(10*ms))
-	f.eventually("the job ends", func() error {
-		v, err := r.Caller("office").Show(ctx, f.gates[0].callers, id)
-		if err == nil && v.State != "done" {
-			err = fmt.Errorf("%d of %d done", v.Done, v.Tasks)
+	f.eventually("the team runs at most 20 cores", func() error { return checkValue(usedCores(), func(n int64) bool { return n <= 20000 }) })
+	t.Logf("the team is within the new limit after %s", time.Since(began).Round(10*ms))
+	f.eventually("the job is done", func() error {
+		job, err := r.Caller("office").Show(ctx, f.gates[0].callers, id)
+		if err == nil && job.State != "done" {
+			err = fmt.Errorf("%d of %d done", job.Done, job.Tasks)
 		}
 		return err
 	})
 }
 
+// checkValue returns an error that contains n unless ok accepts n.
 func checkValue(n int64, ok func(int64) bool) error {
 	if ok(n) {
 		return nil
 	}
-	return fmt.Errorf("it is %d", n)
+	return fmt.Errorf("the value is %d", n)
 }
 
-// TestRequestLimit proves that a team's requests in flight stay within its limit
-// over all gates, while other teams are served.
+// TestRequestLimit checks that the requests of a team that are in flight in all
+// gates together stay within its limit, while other teams are served.
 func TestRequestLimit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	r := f.openRun()
-	l := demo.Workload{Duration: 3 * time.Second, Seed: 9, Calls: []demo.RequestStream{
+	load := demo.Workload{Duration: 3 * time.Second, Seed: 9, Calls: []demo.RequestStream{
 		{Queue: "fit", Team: "office", Every: 8 * ms, Work: 300 * ms},
 		{Queue: "fit", Team: "pewter", Every: 100 * ms, Work: 20 * ms},
 	}}
-	is.NoErr(r.RunWorkload(context.Background(), l))
+	is.NoErr(r.RunWorkload(context.Background(), load))
 	f.checkInvariants(r)
 	f.checkNotExecuted(r)
 	served := map[string]int{}
--- a/proof/owner_test.go
+++ b/proof/owner_test.go
@@ -14,22 +14,23 @@
 	"chicoryturn/io/sched"
 )
 
-// ownedCell is a sched that owns a cell, with the cell's epoch.
+// ownedCell is the epoch of a cell and the sched that owns it.
 type ownedCell struct {
 	entry *entry
 	epoch uint64
 }
 
-// cellOwner returns the sched that owns the region's only cell.
+// cellOwner returns the owner of the region's only cell, and an error unless
+// exactly one sched says that it owns it.
 func (f *fleet) cellOwner() (ownedCell, error) {
 	var found []ownedCell
 	for _, s := range f.scheds {
-		var d sched.Dump
-		if err := getJSONWith(shortTimeoutClient, s.ops, "/dump", &d); err != nil {
+		var dump sched.Dump
+		if err := getJSONWith(shortTimeoutClient, s.ops, "/dump", &dump); err != nil {
 			continue
 		}
-		for _, c := range d.Cells {
-			found = append(found, ownedCell{s, uint64(c.Load.Epoch)})
+		for _, cell := range dump.Cells {
+			found = append(found, ownedCell{s, uint64(cell.Load.Epoch)})
 		}
 	}
 	if len(found) != 1 {
@@ -38,20 +39,21 @@
 	return found[0], nil
 }
 
-func (f *fleet) awaitOwner(after uint64) ownedCell {
+// awaitOwner waits until the cell has an owner whose epoch is later than afterEpoch.
+func (f *fleet) awaitOwner(afterEpoch uint64) ownedCell {
 	f.t.Helper()
-	var o ownedCell
-	f.eventually(fmt.Sprintf("a cell has an owner after epoch %d", after), func() error {
+	var owned ownedCell
+	f.eventually(fmt.Sprintf("the cell has an owner with an epoch later than %d", afterEpoch), func() error {
 		var err error
-		if o, err = f.cellOwner(); err == nil && o.epoch <= after {
-			err = fmt.Errorf("still epoch %d", o.epoch)
+		if owned, err = f.cellOwner(); err == nil && owned.epoch <= afterEpoch {
+			err = fmt.Errorf("still epoch %d", owned.epoch)
 		}
 		return err
 	})
-	return o
+	return owned
 }
 
-// batchLoad offers batch work for a time.
+// batchLoad submits batch jobs at a constant rate for a given time.
 func batchLoad(d time.Duration) demo.Workload {
 	return demo.Workload{Duration: d, Seed: 7, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Every: 250 * ms, Count: 8, Cores: 4, Memory: 2048, Run: 600 * ms, EstimateError: 4},
@@ -59,50 +61,51 @@
 	}}
 }
 
-// runWithFaults drives a load while faults are made, then checks every invariant.
-func (f *fleet) runWithFaults(l demo.Workload, faults func()) *demo.Run {
+// runWithFaults runs a load, calls faults 500 ms after its start, waits until all
+// work has ended, and checks all invariants.
+func (f *fleet) runWithFaults(load demo.Workload, faults func()) *demo.Run {
 	f.t.Helper()
-	r := f.openRun()
+	run := f.openRun()
 	done := make(chan error, 1)
-	go func() { done <- r.RunWorkload(context.Background(), l) }()
+	go func() { done <- run.RunWorkload(context.Background(), load) }()
 	sleep(500 * ms)
 	faults()
 	if err := <-done; err != nil {
 		f.t.Error(err)
 	}
-	f.checkInvariants(r)
-	return r
+	f.checkInvariants(run)
+	return run
 }
 
-// sleep lets a fault last; no verdict depends on it.
+// sleep lets a fault last for a time. No check depends on the exact duration.
 func sleep(d time.Duration) { <-time.After(d) }
 
-// TestTakeover proves that a cell finds a new owner and that no task is lost
-// or doubled, whatever has become of the old one.
+// TestTakeover makes the owner of a cell fail in several ways. Another sched must
+// take over the cell, and no task may be lost or run twice.
 func TestTakeover(t *testing.T) {
 	tests := map[string]struct {
-		fail, mend func(o *entry)
-		// stays is set when the owner is expected to keep the cell.
-		stays bool
+		inject, clear func(owner *entry)
+		// keepsCell is set if the owner is expected to keep the cell.
+		keepsCell bool
 	}{
-		"killed": {fail: func(o *entry) { o.kill() }, mend: func(o *entry) { o.start() }},
-		"paused": {fail: func(o *entry) { o.pause() }, mend: func(o *entry) { o.resume() }},
+		"killed": {inject: func(owner *entry) { owner.kill() }, clear: func(owner *entry) { owner.start() }},
+		"paused": {inject: func(owner *entry) { owner.pause() }, clear: func(owner *entry) { owner.resume() }},
 		"cut from the store": {
-			fail: func(o *entry) { _ = o.storeProxy.Set(fakes.LinkFaults{Cut: true}) },
-			mend: func(o *entry) { _ = o.storeProxy.Set(fakes.LinkFaults{}) },
+			inject: func(owner *entry) { _ = owner.storeProxy.Set(fakes.LinkFaults{Cut: true}) },
+			clear:  func(owner *entry) { _ = owner.storeProxy.Set(fakes.LinkFaults{}) },
 		},
 		"no replies from the store": {
-			fail: func(o *entry) { _ = o.storeProxy.Set(fakes.LinkFaults{Down: true}) },
-			mend: func(o *entry) { _ = o.storeProxy.Set(fakes.LinkFaults{}) },
+			inject: func(owner *entry) { _ = owner.storeProxy.Set(fakes.LinkFaults{Down: true}) },
+			clear:  func(owner *entry) { _ = owner.storeProxy.Set(fakes.LinkFaults{}) },
 		},
 		"cut from store and peers": {
-			fail: func(o *entry) {
-				_ = o.storeProxy.Set(fakes.LinkFaults{Cut: true})
-				_ = o.peerProxy.Set(fakes.LinkFaults{Cut: true})
+			inject: func(owner *entry) {
+				_ = owner.storeProxy.Set(fakes.LinkFaults{Cut: true})
+				_ = owner.peerProxy.Set(fakes.LinkFaults{Cut: true})
 			},
-			mend: func(o *entry) {
-				_ = o.storeProxy.Set(fakes.LinkFaults{})
-				_ = o.peerProxy.Set(fakes.LinkFaults{})
+			clear: func(owner *entry) {
+				_ = owner.storeProxy.Set(fakes.LinkFaults{})
+				_ = owner.peerProxy.Set(fakes.LinkFaults{})
 			},
 		},
 	}
@@ -111,23 +114,24 @@
 			t.Parallel()
 			f := newFleet(t, smallPlan(deploy.Glaze()))
 			f.runWithFaults(batchLoad(8*time.Second), func() {
-				o := f.awaitOwner(0)
+				owner := f.awaitOwner(0)
 				began := time.Now()
-				tt.fail(o.entry)
-				next := f.awaitOwner(o.epoch)
-				t.Logf("%s: a new owner decides after %s", name, time.Since(began).Round(10*ms))
-				if next.entry == o.entry {
-					t.Error("the failed owner has the cell again")
+				tt.inject(owner.entry)
+				next := f.awaitOwner(owner.epoch)
+				t.Logf("%s: the cell has a new owner after %s", name, time.Since(began).Round(10*ms))
+				if next.entry == owner.entry {
+					t.Error("the failed owner owns the cell again")
 				}
 				sleep(time.Second)
-				tt.mend(o.entry)
+				tt.clear(owner.entry)
 			})
 		})
 	}
 }
 
-// TestStoreOutage proves that owners go on deciding while nobody reaches the
-// store, and that kills before, during and after the outage do no harm.
+// TestStoreOutage checks that owners keep placing tasks while no process can reach
+// the store, and that processes killed just before, during and after the outage
+// cause no violation.
 func TestStoreOutage(t *testing.T) {
 	t.Parallel()
 	outage := 60 * time.Second
@@ -138,18 +142,19 @@
 	f := newFleet(t, smallPlan(deploy.Glaze()), directPeers)
 	r := f.openRun()
 	ctx := context.Background()
-	o := f.awaitOwner(0)
-	// Killed before: its session has not lapsed when the outage begins.
-	bystander := f.scheds[0]
-	if bystander == o.entry {
-		bystander = f.scheds[1]
+	owner := f.awaitOwner(0)
+	// otherSched is killed just before the outage, so that its session has not yet
+	// expired when the outage begins.
+	otherSched := f.scheds[0]
+	if otherSched == owner.entry {
+		otherSched = f.scheds[1]
 	}
-	// Work for the whole outage is accepted before it.
-	long := demo.Workload{Duration: 100 * ms, Seed: 3, Jobs: []demo.JobStream{
+	// The jobs are accepted before the outage and last for all of it.
+	load := demo.Workload{Duration: 100 * ms, Seed: 3, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Every: time.Second, Count: 15 * int(outage/time.Second), Cores: 8, Memory: 1024, Run: time.Second},
 	}}
-	is.NoErr(r.Submit(ctx, long))
-	bystander.kill()
+	is.NoErr(r.Submit(ctx, load))
+	otherSched.kill()
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
 	before := countStarts(f)
 	sleep(outage / 2)
@@ -160,21 +165,22 @@
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
 	t.Logf("starts: %d before, %d in the first half, %d in the second", before, middle-before, after-middle)
 	is.True(middle > before) // tasks start while the store is down
-	is.True(after > middle)  // and go on starting
-	now, err := f.cellOwner()
+	is.True(after > middle)  // and also in the second half of the outage
+	current, err := f.cellOwner()
 	is.NoErr(err)
-	is.Equal(now.entry, o.entry) // the owner kept its cell
-	o.entry.kill()
-	f.awaitOwner(o.epoch)
+	is.Equal(current.entry, owner.entry) // the cell still has the same owner
+	owner.entry.kill()
+	f.awaitOwner(owner.epoch)
 	is.NoErr(r.WaitJobs(ctx))
 	f.checkInvariants(r)
 }
 
+// countStarts returns how many tasks all workers have started.
 func countStarts(f *fleet) int {
 	n := 0
-	for _, w := range f.WorkerRecords() {
-		for _, e := range w.Records {
-			if e.Event == "start" {
+	for _, worker := range f.WorkerRecords() {
+		for _, record := range worker.Records {
+			if record.Event == "start" {
 				n++
 			}
 		}
@@ -182,25 +188,26 @@
 	return n
 }
 
-// TestTakeoverWithUnreachableWorker proves that a new owner starts no task again
-// that may still run on a worker that is cut off.
+// TestTakeoverWithUnreachableWorker cuts off two workers and kills the owner of
+// their cell. The new owner must not start a task again that may still run on one
+// of these workers.
 func TestTakeoverWithUnreachableWorker(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, smallPlan(deploy.Glaze()), longWorkerLeases)
-	l := demo.Workload{Duration: 3 * time.Second, Seed: 4, Jobs: []demo.JobStream{
+	load := demo.Workload{Duration: 3 * time.Second, Seed: 4, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Every: 800 * ms, Count: 10, Cores: 2, Memory: 256, Run: 8 * time.Second},
 	}}
-	f.runWithFaults(l, func() {
-		o := f.awaitOwner(0)
+	f.runWithFaults(load, func() {
+		owner := f.awaitOwner(0)
 		sleep(500 * ms)
-		for _, w := range []string{"worker0", "worker1"} {
-			_ = f.proxies[w].Set(fakes.LinkFaults{Cut: true})
+		for _, worker := range []string{"worker0", "worker1"} {
+			_ = f.proxies[worker].Set(fakes.LinkFaults{Cut: true})
 		}
-		o.entry.kill()
-		f.awaitOwner(o.epoch)
+		owner.entry.kill()
+		f.awaitOwner(owner.epoch)
 		sleep(8 * time.Second)
-		for _, w := range []string{"worker0", "worker1"} {
-			_ = f.proxies[w].Set(fakes.LinkFaults{})
+		for _, worker := range []string{"worker0", "worker1"} {
+			_ = f.proxies[worker].Set(fakes.LinkFaults{})
 		}
 	})
 }
--- a/proof/region_test.go
+++ b/proof/region_test.go
@@ -12,39 +12,40 @@
 	"chicoryturn/io/sched"
 )
 
-// cellCounts returns how many cells each live sched owns.
+// cellCounts returns, for each sched that answers, how many cells it owns.
 func (f *fleet) cellCounts() map[*entry]int {
-	out := map[*entry]int{}
+	counts := map[*entry]int{}
 	for _, s := range f.scheds {
-		var d sched.Dump
-		if getJSON(s.ops, "/dump", &d) == nil {
-			out[s] = len(d.Cells)
+		var dump sched.Dump
+		if getJSON(s.ops, "/dump", &dump) == nil {
+			counts[s] = len(dump.Cells)
 		}
 	}
-	return out
+	return counts
 }
 
-// awaitSpread waits until all cells are owned and none of the live scheds has more
-// than its part.
-func (f *fleet) awaitSpread(cells, most int) {
+// awaitSpread waits until all cells are owned and no sched owns more than
+// maxPerSched of them.
+func (f *fleet) awaitSpread(cells, maxPerSched int) {
 	f.t.Helper()
-	f.eventually("all cells are owned and spread", func() error {
-		sum := 0
+	f.eventually("all cells are owned and distributed over the scheds", func() error {
+		owned := 0
 		for _, n := range f.cellCounts() {
-			sum += n
-			if n > most {
-				return fmt.Errorf("one sched owns %d", n)
+			owned += n
+			if n > maxPerSched {
+				return fmt.Errorf("a sched owns %d cells", n)
 			}
 		}
-		if sum != cells {
-			return fmt.Errorf("%d of %d owned", sum, cells)
+		if owned != cells {
+			return fmt.Errorf("%d of %d cells are owned", owned, cells)
 		}
 		return nil
 	})
 }
 
-// TestCellDistribution proves that several cells of a region are spread over its scheds,
-// taken over when one dies and handed back when it returns.
+// TestCellDistribution checks that the cells of a region are distributed over its
+// scheds, that other scheds take over the cells of a killed one, and that it gets
+// cells again after its restart.
 func TestCellDistribution(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, smallPlan(deploy.Glaze()), func(f *fleet) { f.cells = 4 })
@@ -53,55 +54,55 @@
 		f.scheds[0].kill()
 		f.awaitSpread(4, 2)
 		f.scheds[0].start()
-		f.eventually("the new sched owns a cell", func() error {
+		f.eventually("the restarted sched owns a cell", func() error {
 			if n := f.cellCounts()[f.scheds[0]]; n == 0 {
-				return fmt.Errorf("it owns none")
+				return fmt.Errorf("it owns no cell")
 			}
 			return nil
 		})
 	})
 }
 
-// TestIsolatedRegion proves that a region cut off from the store and from the other
-// region keeps running and placing its accepted work, and that limits hold.
+// TestIsolatedRegion cuts a region off from the store. The region must keep placing
+// and running its accepted work, and limits must hold.
 func TestIsolatedRegion(t *testing.T) {
 	t.Parallel()
 	p := smallPlan(deploy.Glaze())
 	p.Regions = []string{"hobart", "burnie"}
 	p.Gates, p.Scheds, p.Workers, p.Targets = 2, 4, 6, 4
 	f := newFleet(t, p)
-	l := demo.Workload{Duration: 1500 * ms, Seed: 8, Jobs: []demo.JobStream{
+	load := demo.Workload{Duration: 1500 * ms, Seed: 8, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Every: 200 * ms, Count: 12, Cores: 4, Memory: 512, Run: 1200 * ms},
 		{Queue: "sweep", Team: "office", Every: 200 * ms, Count: 6, Cores: 3, Memory: 512, Run: 1200 * ms},
 	}}
-	cut := func(on bool) {
+	setCut := func(cut bool) {
 		for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
 			if e.region == "burnie" {
-				_ = e.storeProxy.Set(fakes.LinkFaults{Cut: on})
+				_ = e.storeProxy.Set(fakes.LinkFaults{Cut: cut})
 			}
 		}
 	}
-	f.runWithFaults(l, func() {
+	f.runWithFaults(load, func() {
 		sleep(1500 * ms)
-		cut(true)
+		setCut(true)
 		before := f.countStartsIn("burnie")
 		sleep(8 * time.Second)
 		if after := f.countStartsIn("burnie"); after <= before {
-			t.Errorf("the region that was cut off has started nothing: %d, then %d", before, after)
+			t.Errorf("the region that was cut off has started no task: %d starts before, %d after", before, after)
 		}
-		cut(false)
+		setCut(false)
 	})
 }
 
-// countStartsIn counts the tasks started in a region.
+// countStartsIn returns how many tasks the workers of a region have started.
 func (f *fleet) countStartsIn(region string) int {
 	n := 0
-	for i, w := range f.WorkerRecords() {
+	for i, worker := range f.WorkerRecords() {
 		if f.region(i) != region {
 			continue
 		}
-		for _, e := range w.Records {
-			if id, ok := core.ParseTaskID(e.Task); ok && e.Event == "start" && id.Job != "" {
+		for _, record := range worker.Records {
+			if id, ok := core.ParseTaskID(record.Task); ok && record.Event == "start" && id.Job != "" {
 				n++
 			}
 		}
--- a/proof/remote_test.go
+++ b/proof/remote_test.go
@@ -13,8 +13,8 @@
 	"chicoryturn/io/deploy"
 )
 
-// TestRemoteTargets proves that requests find targets in another region when
-// their own has none or too few, and stay at home otherwise.
+// TestRemoteTargets checks that requests use targets in their own region while it
+// has enough of them, and targets in another region otherwise.
 func TestRemoteTargets(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -31,26 +31,26 @@
 		r.AddResult(res)
 		return res
 	}
-	// fit has one target in each region: target0 and target1.
+	// Queue fit has one target in each region: target0 in hobart, target1 in burnie.
 	for n := range 20 {
 		is.Equal(call(hobart, n, ms).Status, http.StatusOK)
 	}
-	is.Equal(len(f.TargetRecords()[1].Hits), 0) // nothing crosses without need
+	is.Equal(len(f.TargetRecords()[1].Hits), 0) // no request leaves its region without need
 	for i := range f.vms {
 		f.vms[i].Leaving = f.vms[i].Name == "target1"
 	}
 	is.NoErr(f.setVMs())
-	f.eventually("burnie's gate knows that its target leaves", func() error {
+	f.eventually("requests of burnie reach the target in hobart", func() error {
 		res := call(burnie, 100+int(time.Now().UnixNano()%1e9), ms)
 		if res.Status != http.StatusOK || f.TargetRecords()[0].Hits == nil {
 			return fmt.Errorf("status %d", res.Status)
 		}
-		for _, h := range f.TargetRecords()[0].Hits {
-			if h.ID == res.ID {
+		for _, hit := range f.TargetRecords()[0].Hits {
+			if hit.ID == res.ID {
 				return nil
 			}
 		}
-		return fmt.Errorf("answered at home")
+		return fmt.Errorf("the request was answered in its own region")
 	})
 	f.checkInvariants(r)
 	f.checkNotExecuted(r)
--- a/proof/task_test.go
+++ b/proof/task_test.go
@@ -19,10 +19,11 @@
 	"chicoryturn/io/work"
 )
 
-// TestWorkerFaults proves that no task is lost, doubled or put on a full VM when
-// workers freeze, fail everything, lose their link or misstate their size.
+// TestWorkerFaults makes workers freeze, fail all tasks, lose their network link,
+// restart or report a wrong size. No task may be lost, run twice or be placed on a
+// full VM.
 func TestWorkerFaults(t *testing.T) {
-	tests := map[string]struct{ fail, mend func(f *fleet) error }{
+	tests := map[string]struct{ inject, clear func(f *fleet) error }{
 		"frozen": {
 			func(f *fleet) error { return f.setWorkerFaults(0, fakes.WorkerFaults{Frozen: true}) },
 			func(f *fleet) error { return f.setWorkerFaults(0, fakes.WorkerFaults{}) },
@@ -59,11 +60,11 @@
 			t.Parallel()
 			f := newFleet(t, smallPlan(deploy.Glaze()))
 			f.runWithFaults(batchLoad(7*time.Second), func() {
-				if err := tt.fail(f); err != nil {
+				if err := tt.inject(f); err != nil {
 					t.Error(err)
 				}
 				sleep(5 * time.Second)
-				if err := tt.mend(f); err != nil {
+				if err := tt.clear(f); err != nil {
 					t.Error(err)
 				}
 			})
@@ -71,24 +72,25 @@
 	}
 }
 
-func (f *fleet) setWorkerFaults(worker int, h fakes.WorkerFaults) error {
-	return putJSON(f.addrOf(f.workers[worker]), "/stand/habits", h)
+// setWorkerFaults replaces the faults of a worker.
+func (f *fleet) setWorkerFaults(worker int, faults fakes.WorkerFaults) error {
+	return putJSON(f.addrOf(f.workers[worker]), "/stand/habits", faults)
 }
 
-// cellDumps returns the dumps of all owned cells.
+// cellDumps returns the state dumps of all owned cells.
 func (f *fleet) cellDumps() []sched.CellDump {
-	var out []sched.CellDump
+	var dumps []sched.CellDump
 	for _, s := range f.scheds {
-		var d sched.Dump
-		if getJSON(s.ops, "/dump", &d) == nil {
-			out = append(out, d.Cells...)
+		var dump sched.Dump
+		if getJSON(s.ops, "/dump", &dump) == nil {
+			dumps = append(dumps, dump.Cells...)
 		}
 	}
-	return out
+	return dumps
 }
 
-// TestFailingWorkerIsExcluded proves that a worker that fails all it starts
-// soon gets nothing more, and that it is let back after it has recovered.
+// TestFailingWorkerIsExcluded checks that a worker on which all tasks fail soon
+// gets no more tasks, and that it gets tasks again once it has recovered.
 func TestFailingWorkerIsExcluded(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, smallPlan(deploy.Glaze()))
@@ -96,44 +98,44 @@
 	if err := f.setWorkerFaults(0, fakes.WorkerFaults{FailAll: true}); err != nil {
 		t.Fatal(err)
 	}
-	health := func(want string) func() error {
+	healthIs := func(wantHealth string) func() error {
 		return func() error {
-			for _, c := range f.cellDumps() {
-				for _, w := range c.Workers {
-					if w.Name == "worker0" && w.Health == want {
+			for _, dump := range f.cellDumps() {
+				for _, worker := range dump.Workers {
+					if worker.Name == "worker0" && worker.Health == wantHealth {
 						return nil
 					}
 				}
 			}
-			return fmt.Errorf("worker0 is not %s", want)
+			return fmt.Errorf("the health of worker0 is not %q", wantHealth)
 		}
 	}
 	done := make(chan error, 1)
 	go func() { done <- r.RunWorkload(context.Background(), batchLoad(14*time.Second)) }()
-	f.eventually("the worker is set aside", health("aside"))
+	f.eventually("the worker is excluded", healthIs("aside"))
 	if err := f.setWorkerFaults(0, fakes.WorkerFaults{}); err != nil {
 		t.Fatal(err)
 	}
-	f.eventually("the worker is trusted again", health("good"))
+	f.eventually("the worker is in good health again", healthIs("good"))
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	f.checkInvariants(r)
 }
 
-// TestMassCancellation proves that thousands of cancellations end their tasks and
-// leave the rest alone.
+// TestMassCancellation cancels 40 jobs with 2000 tasks in total. All of them must
+// end as cancelled, and other jobs must not be affected.
 func TestMassCancellation(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	r := f.openRun()
 	ctx := context.Background()
-	c := r.Caller("pewter")
-	at := f.gates[0].callers
+	caller := r.Caller("pewter")
+	gateAddr := f.gates[0].callers
 	var ids []string
 	for range 40 {
-		id, err := c.Submit(ctx, at, gate.JobRequest{Queue: "sweep", Tasks: []gate.TaskRequest{
+		id, err := caller.Submit(ctx, gateAddr, gate.JobRequest{Queue: "sweep", Tasks: []gate.TaskRequest{
 			{Count: 50, Cores: 2, Memory: 64, Run: "30s", Command: "sleep 30s"},
 		}})
 		is.NoErr(err)
@@ -141,23 +143,24 @@
 	}
 	began := time.Now()
 	for i, id := range ids {
-		is.NoErr(c.Cancel(ctx, f.gates[i%len(f.gates)].callers, id))
+		is.NoErr(caller.Cancel(ctx, f.gates[i%len(f.gates)].callers, id))
 	}
 	for _, id := range ids {
 		f.eventually("job "+id+" is cancelled", func() error {
-			v, err := c.Show(ctx, at, id)
-			if err == nil && v.State != string(cell.Cancelled) {
-				err = fmt.Errorf("state %s, %d cancelled", v.State, v.Cancelled)
+			job, err := caller.Show(ctx, gateAddr, id)
+			if err == nil && job.State != string(cell.Cancelled) {
+				err = fmt.Errorf("state %s, %d cancelled", job.State, job.Cancelled)
 			}
 			return err
 		})
 	}
-	t.Logf("2000 tasks were cancelled in %s", time.Since(began).Round(10*ms))
+	t.Logf("2000 tasks were cancelled within %s", time.Since(began).Round(10*ms))
 	is.NoErr(r.RunWorkload(ctx, batchLoad(time.Second)))
 	f.checkInvariants(r)
 }
 
-// TestUnplaceableJob proves that a job that can never run is refused at once.
+// TestUnplaceableJob checks that a job that can never run is refused when it is
+// submitted.
 func TestUnplaceableJob(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -172,46 +175,48 @@
 	is.Equal(refused.Execution, core.NotExecuted)
 }
 
-// TestGangs proves that jobs whose tasks start together do not block each
-// other half-placed: two that need most of the fleet end among small work.
+// TestGangs submits gangs that each need most of the fleet, together with small
+// jobs. Gangs must not block each other by each holding a part of the workers; all
+// jobs must end.
 func TestGangs(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	r := f.openRun()
-	l := demo.Workload{Duration: 3 * time.Second, Seed: 5, Jobs: []demo.JobStream{
+	load := demo.Workload{Duration: 3 * time.Second, Seed: 5, Jobs: []demo.JobStream{
 		{Queue: "mould", Team: "wick", Every: time.Second, Count: 5, Cores: 14, Memory: 1024, Run: 300 * ms},
 		{Queue: "mould", Team: "tallow", Every: time.Second, Count: 4, Cores: 15, Memory: 1024, Run: 300 * ms},
 		{Queue: "sweep", Team: "pewter", Every: 150 * ms, Count: 6, Cores: 3, Memory: 1024, Run: 400 * ms},
 	}}
-	if err := r.RunWorkload(context.Background(), l); err != nil {
+	if err := r.RunWorkload(context.Background(), load); err != nil {
 		t.Error(err)
 	}
 	f.checkInvariants(r)
 	f.checkGangOverlap(r, "mould")
 }
 
-// checkGangOverlap fails the test if the tasks of a gang did not overlap.
+// checkGangOverlap fails the test if a task of a gang started after another task of
+// it had ended.
 func (f *fleet) checkGangOverlap(r *demo.Run, queue string) {
 	f.t.Helper()
-	first, last, end := map[core.JobID]time.Time{}, map[core.JobID]time.Time{}, map[core.JobID]time.Time{}
-	for _, w := range f.WorkerRecords() {
-		for _, e := range w.Records {
-			id, _ := core.ParseTaskID(e.Task)
-			if e.Event == "start" {
-				if first[id.Job].IsZero() || e.At.Before(first[id.Job]) {
-					first[id.Job] = e.At
+	firstStart, lastStart, firstEnd := map[core.JobID]time.Time{}, map[core.JobID]time.Time{}, map[core.JobID]time.Time{}
+	for _, worker := range f.WorkerRecords() {
+		for _, record := range worker.Records {
+			id, _ := core.ParseTaskID(record.Task)
+			if record.Event == "start" {
+				if firstStart[id.Job].IsZero() || record.At.Before(firstStart[id.Job]) {
+					firstStart[id.Job] = record.At
 				}
-				if e.At.After(last[id.Job]) {
-					last[id.Job] = e.At
+				if record.At.After(lastStart[id.Job]) {
+					lastStart[id.Job] = record.At
 				}
-			} else if end[id.Job].IsZero() || e.At.Before(end[id.Job]) {
-				end[id.Job] = e.At
+			} else if firstEnd[id.Job].IsZero() || record.At.Before(firstEnd[id.Job]) {
+				firstEnd[id.Job] = record.At
 			}
 		}
 	}
 	for _, id := range r.AcceptedIn(core.Queue(queue)) {
-		if j := core.JobID(id); !last[j].Before(end[j]) {
-			f.t.Errorf("gang %s: a task started at %s, after another had ended at %s", j, last[j], end[j])
+		if job := core.JobID(id); !lastStart[job].Before(firstEnd[job]) {
+			f.t.Errorf("gang %s: a task started at %s, after another task had ended at %s", job, lastStart[job], firstEnd[job])
 		}
 	}
 }
