--- a/cmd/chicoryturn/jobs.go
+++ b/cmd/chicoryturn/jobs.go
@@ -41,16 +41,16 @@
 	}
 }
 
-func printJob(v gate.JobView) {
-	fmt.Printf("%-32s %-10s %-10s %-9s %d/%d done", v.ID, v.Team, v.Queue, v.State, v.Done, v.Tasks)
-	if v.Failed+v.Cancelled > 0 {
-		fmt.Printf(", %d failed, %d cancelled", v.Failed, v.Cancelled)
+func printJob(job gate.JobView) {
+	fmt.Printf("%-32s %-10s %-10s %-9s %d/%d done", job.ID, job.Team, job.Queue, job.State, job.Done, job.Tasks)
+	if job.Failed+job.Cancelled > 0 {
+		fmt.Printf(", %d failed, %d cancelled", job.Failed, job.Cancelled)
 	}
-	if v.Started != nil {
-		fmt.Printf(", waited %s", v.Started.Sub(v.Submitted).Round(time.Millisecond))
+	if job.Started != nil {
+		fmt.Printf(", waited %s", job.Started.Sub(job.Submitted).Round(time.Millisecond))
 	}
-	if v.Blocked != "" {
-		fmt.Printf(", blocked: %s", v.Blocked)
+	if job.Blocked != "" {
+		fmt.Printf(", blocked: %s", job.Blocked)
 	}
 	fmt.Println()
 }
@@ -65,17 +65,17 @@
 			c.callerFlags(s)
 		},
 		run: func(ctx context.Context) error {
-			var v gate.JobView
-			text, err := c.call(ctx, method, c.gateAddr, "/jobs/"+id, nil, &v)
+			var job gate.JobView
+			body, err := c.call(ctx, method, c.gateAddr, "/jobs/"+id, nil, &job)
 			if err != nil {
 				return err
 			}
-			c.print(text, func() {
+			c.print(body, func() {
 				if method == http.MethodDelete {
 					fmt.Println("cancellation accepted")
 					return
 				}
-				printJob(v)
+				printJob(job)
 			})
 			return nil
 		},
@@ -96,13 +96,13 @@
 		},
 		run: func(ctx context.Context) error {
 			var jobs []gate.JobView
-			text, err := c.call(ctx, http.MethodGet, c.gateAddr, fmt.Sprintf("/jobs?most=%d", maxJobs), nil, &jobs)
+			body, err := c.call(ctx, http.MethodGet, c.gateAddr, fmt.Sprintf("/jobs?most=%d", maxJobs), nil, &jobs)
 			if err != nil {
 				return err
 			}
-			c.print(text, func() {
-				for _, v := range jobs {
-					printJob(v)
+			c.print(body, func() {
+				for _, job := range jobs {
+					printJob(job)
 				}
 			})
 			return nil
--- a/cmd/chicoryturn/node.go
+++ b/cmd/chicoryturn/node.go
@@ -36,7 +36,7 @@
 			// has finished.
 			return node.Run(context.WithoutCancel(ctx), local.Node, node.Platform{
 				Store:         store,
-				Lister:        func(d table.Client) node.Lister { return platform.NewLister(d, local.Zones) },
+				Lister:        func(client table.Client) node.Lister { return platform.NewLister(client, local.Zones) },
 				Workers:       platform.NewWorkers(),
 				Advice:        platform.NewAdvice(local.Advice),
 				CallerHandler: func(e *entry.Entry) http.Handler { return platform.CallerHandler(e) },
--- a/cmd/chicoryturn/rules.go
+++ b/cmd/chicoryturn/rules.go
@@ -108,9 +108,9 @@
 	return &command{
 		name: "show", about: "Prints the rules in force.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
-			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/rules", nil, nil)
+			body, err := c.call(ctx, http.MethodGet, c.opsAddr, "/rules", nil, nil)
 			if err == nil {
-				fmt.Print(string(text))
+				fmt.Print(string(body))
 			}
 			return err
 		},
@@ -194,8 +194,8 @@
 				return err
 			}
 			c.print(body, func() {
-				for _, k := range keys {
-					fmt.Printf("%-18s %-16s %s\n", k.ID, k.Team, k.State)
+				for _, key := range keys {
+					fmt.Printf("%-18s %-16s %s\n", key.ID, key.Team, key.State)
 				}
 			})
 			return nil
--- a/cmd/chicoryturn/status.go
+++ b/cmd/chicoryturn/status.go
@@ -76,9 +76,9 @@
 			s.String(&c.opsAddr, "o", "ops", "operators' address of the process (IP:port)")
 		},
 		run: func(ctx context.Context) error {
-			text, err := c.call(ctx, http.MethodGet, c.opsAddr, "/dump", nil, nil)
+			body, err := c.call(ctx, http.MethodGet, c.opsAddr, "/dump", nil, nil)
 			if err == nil {
-				fmt.Print(string(text))
+				fmt.Print(string(body))
 			}
 			return err
 		},
@@ -93,6 +93,7 @@
 		run: func(context.Context) error {
 			charts := map[string]string{}
 			var names []string
+			// Charts returns the name and the text of each chart in turn.
 			for _, list := range [][]string{cell.Charts(), member.Charts(), admit.Charts(), conf.Charts(), fleet.Charts(), elect.Charts()} {
 				for i := 0; i+1 < len(list); i += 2 {
 					charts[list[i]] = list[i+1]
