--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -34,7 +34,7 @@
 	var out []core.Version
 	for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
 		var config httpx.Config
-		if getJSON(e.ops, "/config", &config) == nil {
+		if get(e.ops, "/config", &config) == nil {
 			out = append(out, config.Version)
 		}
 	}
@@ -49,7 +49,7 @@
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	f.openRun()
 	var config httpx.Config
-	is.NoErr(getJSON(f.gates[0].ops, "/config", &config))
+	is.NoErr(get(f.gates[0].ops, "/config", &config))
 	f.eventually("all processes have the same version", func() error {
 		for _, v := range f.configVersions() {
 			if v != config.Version {
@@ -89,7 +89,7 @@
 	}
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
 	var history []agent.History
-	is.NoErr(getJSON(f.gates[0].ops, "/rules/history", &history))
+	is.NoErr(get(f.gates[0].ops, "/rules/history", &history))
 	for i, change := range history {
 		is.Equal(change.Version, core.Version(i+1)) // no version is missing or repeated
 	}
@@ -103,7 +103,7 @@
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	f.openRun()
 	var before httpx.Config
-	is.NoErr(getJSON(f.gates[0].ops, "/config", &before))
+	is.NoErr(get(f.gates[0].ops, "/config", &before))
 	began := time.Now()
 	is.Equal(pushRules(f.scheds[0], f.plan.Rules(), 0), http.StatusOK)
 	highest := map[int]core.Version{}
@@ -183,7 +183,7 @@
 	}
 	f.eventually("old changes are deleted", func() error {
 		var list []agent.History
-		if err := getJSON(f.gates[0].ops, "/rules/history", &list); err != nil {
+		if err := get(f.gates[0].ops, "/rules/history", &list); err != nil {
 			return err
 		}
 		if list[0].Version == 1 {
@@ -195,10 +195,10 @@
 	f.gates[2].start()
 	f.eventually("the restarted gate has the newest version", func() error {
 		var current, restarted httpx.Config
-		if err := getJSON(f.gates[0].ops, "/config", &current); err != nil {
+		if err := get(f.gates[0].ops, "/config", &current); err != nil {
 			return err
 		}
-		if err := getJSON(f.gates[2].ops, "/config", &restarted); err != nil {
+		if err := get(f.gates[2].ops, "/config", &restarted); err != nil {
 			return err
 		}
 		if current.Version != restarted.Version {
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -278,8 +278,8 @@
 // a takeover takes.
 var shortTimeoutClient = &http.Client{Timeout: 250 * time.Millisecond}
 
-// putJSON sends a value to a stand-in with PUT.
-func putJSON(addr netip.AddrPort, path string, value any) error {
+// put sends a value to a stand-in with PUT.
+func put(addr netip.AddrPort, path string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -295,11 +295,13 @@
 	return resp.Body.Close()
 }
 
-func getJSON(addr netip.AddrPort, path string, out any) error {
-	return getJSONWith(httpClient, addr, path, out)
+// get reads a JSON page of a process into out.
+func get(addr netip.AddrPort, path string, out any) error {
+	return getWith(httpClient, addr, path, out)
 }
 
-func getJSONWith(client *http.Client, addr netip.AddrPort, path string, out any) error {
+// getWith is get with a given HTTP client.
+func getWith(client *http.Client, addr netip.AddrPort, path string, out any) error {
 	resp, err := client.Get("http://" + addr.String() + path)
 	if err != nil {
 		return err
@@ -312,10 +314,10 @@
 	return json.Unmarshal(text, out)
 }
 
-func (f *fleet) setVMs() error { return putJSON(f.platform, "/stand/vms", f.vms) }
+func (f *fleet) setVMs() error { return put(f.platform, "/stand/vms", f.vms) }
 
 func (f *fleet) setPlatformFaults(faults fakes.PlatformFaults) error {
-	return putJSON(f.platform, "/stand/faults", faults)
+	return put(f.platform, "/stand/faults", faults)
 }
 
 // eventually waits until cond returns nil, and fails the test after
@@ -344,7 +346,7 @@
 	var out []fakes.WorkerRecord
 	for _, worker := range f.workers {
 		var r fakes.WorkerRecord
-		if err := getJSON(f.addrOf(worker), "/stand/record", &r); err != nil {
+		if err := get(f.addrOf(worker), "/stand/record", &r); err != nil {
 			f.t.Fatal(err)
 		}
 		out = append(out, r)
@@ -357,7 +359,7 @@
 	var out []fakes.TargetRecord
 	for _, target := range f.targets {
 		var r fakes.TargetRecord
-		if err := getJSON(f.addrOf(target), "/stand/record", &r); err != nil {
+		if err := get(f.addrOf(target), "/stand/record", &r); err != nil {
 			f.t.Fatal(err)
 		}
 		out = append(out, r)
--- a/proof/owner_test.go
+++ b/proof/owner_test.go
@@ -26,7 +26,7 @@
 	var found []ownedCell
 	for _, s := range f.scheds {
 		var dump sched.Dump
-		if err := getJSONWith(shortTimeoutClient, s.ops, "/dump", &dump); err != nil {
+		if err := getWith(shortTimeoutClient, s.ops, "/dump", &dump); err != nil {
 			continue
 		}
 		for _, cell := range dump.Cells {
--- a/proof/region_test.go
+++ b/proof/region_test.go
@@ -17,7 +17,7 @@
 	counts := map[*entry]int{}
 	for _, s := range f.scheds {
 		var dump sched.Dump
-		if getJSON(s.ops, "/dump", &dump) == nil {
+		if get(s.ops, "/dump", &dump) == nil {
 			counts[s] = len(dump.Cells)
 		}
 	}
--- a/proof/task_test.go
+++ b/proof/task_test.go
@@ -74,7 +74,7 @@
 
 // setWorkerFaults replaces the faults of a worker.
 func (f *fleet) setWorkerFaults(worker int, faults fakes.WorkerFaults) error {
-	return putJSON(f.addrOf(f.workers[worker]), "/stand/habits", faults)
+	return put(f.addrOf(f.workers[worker]), "/stand/habits", faults)
 }
 
 // cellDumps returns the state dumps of all owned cells.
@@ -82,7 +82,7 @@
 	var dumps []sched.CellDump
 	for _, s := range f.scheds {
 		var dump sched.Dump
-		if getJSON(s.ops, "/dump", &dump) == nil {
+		if get(s.ops, "/dump", &dump) == nil {
 			dumps = append(dumps, dump.Cells...)
 		}
 	}
