--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -278,7 +278,7 @@
 // a takeover takes.
 var shortTimeoutClient = &http.Client{Timeout: 250 * time.Millisecond}
 
-// put sends a value to a stand-in with PUT.
+// put sends a value as JSON to a stand-in.
 func put(addr netip.AddrPort, path string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
