--- a/cmd/chicoryturn/jobs.go
+++ b/cmd/chicoryturn/jobs.go
@@ -13,17 +13,17 @@
 )
 
 func jobCommand() *command {
-	return &command{name: "job", about: "Submits, shows, lists and cancels jobs.", subs: []*command{
-		jobSubmit(), jobShow(), jobList(), jobCancel(),
+	return &command{name: "job", about: "Submits, shows, lists and cancels jobs.", subcommands: []*command{
+		jobSubmitCommand(), jobShowCommand(), jobListCommand(), jobCancelCommand(),
 	}}
 }
 
-func jobSubmit() *command {
+func jobSubmitCommand() *command {
 	c, file := &client{}, ""
 	return &command{
 		name: "submit", about: "Submits a job from a JSON file. Example: chicoryturn job submit job.json -a 10.0.0.1:7100 -k KEY",
 		flags: func(s *flaggy.Subcommand) {
-			s.AddPositionalValue(&file, "file", 1, true, "job (JSON)")
+			s.AddPositionalValue(&file, "file", 1, true, "job file (JSON)")
 			c.callerFlags(s)
 		},
 		run: func(ctx context.Context) error {
@@ -31,77 +31,78 @@
 			if err != nil {
 				return &InputError{err.Error()}
 			}
-			var sub gate.Submitted
-			answer, err := c.call(ctx, http.MethodPost, c.addr, "/jobs", text, &sub)
+			var submitted gate.Submitted
+			body, err := c.call(ctx, http.MethodPost, c.gateAddr, "/jobs", text, &submitted)
 			if err == nil {
-				c.show(answer, func() { fmt.Println(sub.ID) })
+				c.print(body, func() { fmt.Println(submitted.ID) })
 			}
 			return err
 		},
 	}
 }
 
-func printJob(v gate.JobView) {
-	fmt.Printf("%-32s %-10s %-10s %-9s %d/%d done", v.ID, v.Team, v.Queue, v.State, v.Done, v.Tasks)
-	if v.Failed+v.Cancelled > 0 {
-		fmt.Printf(", %d failed, %d cancelled", v.Failed, v.Cancelled)
+func printJob(job gate.JobView) {
+	fmt.Printf("%-32s %-10s %-10s %-9s %d/%d done", job.ID, job.Team, job.Queue, job.State, job.Done, job.Tasks)
+	if job.Failed+job.Cancelled > 0 {
+		fmt.Printf(", %d failed, %d cancelled", job.Failed, job.Cancelled)
 	}
-	if v.Started != nil {
-		fmt.Printf(", waited %s", v.Started.Sub(v.Submitted).Round(time.Millisecond))
+	if job.Started != nil {
+		fmt.Printf(", waited %s", job.Started.Sub(job.Submitted).Round(time.Millisecond))
 	}
-	if v.Blocked != "" {
-		fmt.Printf(", blocked: %s", v.Blocked)
+	if job.Blocked != "" {
+		fmt.Printf(", blocked: %s", job.Blocked)
 	}
 	fmt.Println()
 }
 
-func jobByID(name, about, method string) *command {
+// jobIDCommand returns a subcommand that calls method on one job.
+func jobIDCommand(name, about, method string) *command {
 	c, id := &client{}, ""
 	return &command{
 		name: name, about: about,
 		flags: func(s *flaggy.Subcommand) {
-			s.AddPositionalValue(&id, "id", 1, true, "job")
+			s.AddPositionalValue(&id, "id", 1, true, "job ID")
 			c.callerFlags(s)
 		},
 		run: func(ctx context.Context) error {
-			var v gate.JobView
-			text, err := c.call(ctx, method, c.addr, "/jobs/"+id, nil, &v)
+			var job gate.JobView
+			body, err := c.call(ctx, method, c.gateAddr, "/jobs/"+id, nil, &job)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() {
+			c.print(body, func() {
 				if method == http.MethodDelete {
 					fmt.Println("cancellation accepted")
 					return
 				}
-				printJob(v)
+				printJob(job)
 			})
 			return nil
 		},
 	}
 }
 
-func jobShow() *command { return jobByID("show", "Shows a job.", http.MethodGet) }
+func jobShowCommand() *command { return jobIDCommand("show", "Shows a job.", http.MethodGet) }
 
-func jobCancel() *command { return jobByID("cancel", "Cancels a job.", http.MethodDelete) }
+func jobCancelCommand() *command { return jobIDCommand("cancel", "Cancels a job.", http.MethodDelete) }
 
-func jobList() *command {
-	c, most := &client{}, 100
+func jobListCommand() *command {
+	c, maxJobs := &client{}, 100
 	return &command{
 		name: "list", about: "Lists your team's newest jobs.",
 		flags: func(s *flaggy.Subcommand) {
 			c.callerFlags(s)
-			s.Int(&most, "m", "most", "how many at most")
+			s.Int(&maxJobs, "m", "most", "maximum number of jobs")
 		},
 		run: func(ctx context.Context) error {
-			var list []gate.JobView
-			text, err := c.call(ctx, http.MethodGet, c.addr, fmt.Sprintf("/jobs?most=%d", most), nil, &list)
+			var jobs []gate.JobView
+			body, err := c.call(ctx, http.MethodGet, c.gateAddr, fmt.Sprintf("/jobs?most=%d", maxJobs), nil, &jobs)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() {
-				for _, v := range list {
-					printJob(v)
+			c.print(body, func() {
+				for _, job := range jobs {
+					printJob(job)
 				}
 			})
 			return nil
--- a/cmd/chicoryturn/rules.go
+++ b/cmd/chicoryturn/rules.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// forceWait is how long a push waits for the change to be in force.
-	forceWait  = 10 * time.Second
-	forcePause = 100 * time.Millisecond
+	// inForceTimeout bounds the wait for a change to be in force in all processes.
+	inForceTimeout      = 10 * time.Second
+	inForcePollInterval = 100 * time.Millisecond
 )
 
 func rulesCommand() *command {
-	return &command{name: "rules", about: "Checks, pushes and shows the rules file.", subs: []*command{
-		rulesCheck(), rulesPush(), rulesShow(), rulesHistory(),
+	return &command{name: "rules", about: "Checks, pushes and shows the rules file.", subcommands: []*command{
+		rulesCheckCommand(), rulesPushCommand(), rulesShowCommand(), rulesHistoryCommand(),
 	}}
 }
 
+// readRules reads and validates a rules file.
 func readRules(file string) ([]byte, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return text, err
 }
 
-func rulesCheck() *command {
+func rulesCheckCommand() *command {
 	file := ""
 	return &command{
 		name: "check", about: "Checks a rules file and changes nothing. Example: chicoryturn rules check rules.toml",
@@ -44,90 +45,91 @@
 			if _, err := readRules(file); err != nil {
 				return err
 			}
-			fmt.Println("no faults")
+			fmt.Println("no errors found")
 			return nil
 		},
 	}
 }
 
-func rulesPush() *command {
+func rulesPushCommand() *command {
 	c, file, base := &client{}, "", 0
 	return &command{
-		name: "push", about: "Puts a rules file in force. Example: chicoryturn rules push rules.toml -o 10.0.0.1:7102 -b Mia",
+		name: "push", about: "Replaces the rules in force with a rules file. Example: chicoryturn rules push rules.toml -o 10.0.0.1:7102 -b Mia",
 		flags: func(s *flaggy.Subcommand) {
 			s.AddPositionalValue(&file, "file", 1, true, "rules file (TOML)")
-			s.Int(&base, "v", "base", "refuse unless this version is in force")
+			s.Int(&base, "v", "base", "refuse the change unless this version is in force")
 			c.opsFlags(s)
-			c.byFlag(s)
+			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
 			text, err := readRules(file)
 			if err != nil {
 				return err
 			}
-			var p httpx.Pushed
-			answer, err := c.call(ctx, http.MethodPost, c.ops, fmt.Sprintf("/rules?base=%d", base), text, &p)
+			var pushed httpx.Pushed
+			body, err := c.call(ctx, http.MethodPost, c.opsAddr, fmt.Sprintf("/rules?base=%d", base), text, &pushed)
 			if err != nil {
 				return err
 			}
-			c.show(answer, func() { fmt.Printf("accepted as version %d\n", p.Version) })
-			return c.awaitForce(ctx, p)
+			c.print(body, func() { fmt.Printf("accepted as version %d\n", pushed.Version) })
+			return c.awaitInForce(ctx, pushed)
 		},
 	}
 }
 
-// awaitForce waits until a change is in force in every live process.
-func (c *client) awaitForce(ctx context.Context, p httpx.Pushed) error {
+// awaitInForce waits until a change is in force in every live process. After
+// inForceTimeout it prints a warning and returns nil.
+func (c *client) awaitInForce(ctx context.Context, pushed httpx.Pushed) error {
 	began := time.Now()
-	for time.Since(began) < forceWait {
-		var conf httpx.Config
-		if _, err := c.call(ctx, http.MethodGet, c.ops, "/config", nil, &conf); err != nil {
+	for time.Since(began) < inForceTimeout {
+		var config httpx.Config
+		if _, err := c.call(ctx, http.MethodGet, c.opsAddr, "/config", nil, &config); err != nil {
 			return err
 		}
-		if conf.Lowest >= p.Version {
-			if !c.json {
-				fmt.Printf("in force everywhere after %s\n", time.Since(began).Round(time.Millisecond))
+		if config.Lowest >= pushed.Version {
+			if !c.printJSON {
+				fmt.Printf("in force in all processes after %s\n", time.Since(began).Round(time.Millisecond))
 			}
 			return nil
 		}
-		t := time.NewTimer(forcePause)
+		timer := time.NewTimer(inForcePollInterval)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	fmt.Fprintf(os.Stderr, "accepted, but some process does not show version %d yet; see chicoryturn status\n", p.Version)
+	fmt.Fprintf(os.Stderr, "accepted, but version %d is not yet in force in every process; see chicoryturn status\n", pushed.Version)
 	return nil
 }
 
-func rulesShow() *command {
+func rulesShowCommand() *command {
 	c := &client{}
 	return &command{
 		name: "show", about: "Prints the rules in force.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
-			text, err := c.call(ctx, http.MethodGet, c.ops, "/rules", nil, nil)
+			body, err := c.call(ctx, http.MethodGet, c.opsAddr, "/rules", nil, nil)
 			if err == nil {
-				fmt.Print(string(text))
+				fmt.Print(string(body))
 			}
 			return err
 		},
 	}
 }
 
-func rulesHistory() *command {
+func rulesHistoryCommand() *command {
 	c := &client{}
 	return &command{
-		name: "history", about: "Lists every accepted change.", flags: c.opsFlags,
+		name: "history", about: "Lists all accepted changes.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
-			var list []agent.History
-			text, err := c.call(ctx, http.MethodGet, c.ops, "/rules/history", nil, &list)
+			var changes []agent.History
+			body, err := c.call(ctx, http.MethodGet, c.opsAddr, "/rules/history", nil, &changes)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() {
-				for _, h := range list {
-					fmt.Printf("%6d  %s  %-9s %-20s %s\n", h.Version, h.At.Format(time.RFC3339), h.Kind, h.By, h.What)
+			c.print(body, func() {
+				for _, change := range changes {
+					fmt.Printf("%6d  %s  %-9s %-20s %s\n", change.Version, change.At.Format(time.RFC3339), change.Kind, change.By, change.What)
 				}
 			})
 			return nil
@@ -136,64 +138,64 @@
 }
 
 func keyCommand() *command {
-	return &command{name: "key", about: "Grants, withdraws and lists keys.", subs: []*command{keyGrant(), keyWithdraw(), keyList()}}
+	return &command{name: "key", about: "Grants, withdraws and lists keys.", subcommands: []*command{keyGrantCommand(), keyWithdrawCommand(), keyListCommand()}}
 }
 
-func keyGrant() *command {
+func keyGrantCommand() *command {
 	c, team := &client{}, ""
 	return &command{
-		name: "grant", about: "Creates a key for a team and shows it once. Example: chicoryturn key grant press -o 10.0.0.1:7102",
+		name: "grant", about: "Creates a key for a team and prints it; it can't be printed again. Example: chicoryturn key grant press -o 10.0.0.1:7102",
 		flags: func(s *flaggy.Subcommand) {
 			s.AddPositionalValue(&team, "team", 1, true, "team")
 			c.opsFlags(s)
-			c.byFlag(s)
+			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var p httpx.Pushed
-			text, err := c.call(ctx, http.MethodPost, c.ops, "/keys?team="+team, nil, &p)
+			var pushed httpx.Pushed
+			body, err := c.call(ctx, http.MethodPost, c.opsAddr, "/keys?team="+team, nil, &pushed)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() { fmt.Printf("%s\n", p.Key) })
-			return c.awaitForce(ctx, p)
+			c.print(body, func() { fmt.Printf("%s\n", pushed.Key) })
+			return c.awaitInForce(ctx, pushed)
 		},
 	}
 }
 
-func keyWithdraw() *command {
+func keyWithdrawCommand() *command {
 	c, id := &client{}, ""
 	return &command{
-		name: "withdraw", about: "Ends a key. Example: chicoryturn key withdraw 1f2e3d4c -o 10.0.0.1:7102",
+		name: "withdraw", about: "Withdraws a key. Example: chicoryturn key withdraw 1f2e3d4c -o 10.0.0.1:7102",
 		flags: func(s *flaggy.Subcommand) {
-			s.AddPositionalValue(&id, "id", 1, true, "the part of the key before the dot")
+			s.AddPositionalValue(&id, "id", 1, true, "key ID: the part of the key before the dot")
 			c.opsFlags(s)
-			c.byFlag(s)
+			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var p httpx.Pushed
-			text, err := c.call(ctx, http.MethodDelete, c.ops, "/keys/"+id, nil, &p)
+			var pushed httpx.Pushed
+			body, err := c.call(ctx, http.MethodDelete, c.opsAddr, "/keys/"+id, nil, &pushed)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() { fmt.Printf("withdrawn as version %d\n", p.Version) })
-			return c.awaitForce(ctx, p)
+			c.print(body, func() { fmt.Printf("withdrawn as version %d\n", pushed.Version) })
+			return c.awaitInForce(ctx, pushed)
 		},
 	}
 }
 
-func keyList() *command {
+func keyListCommand() *command {
 	c := &client{}
 	return &command{
 		name: "list", about: "Lists keys without their secrets.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
 			var keys []httpx.Key
-			text, err := c.call(ctx, http.MethodGet, c.ops, "/keys", nil, &keys)
+			body, err := c.call(ctx, http.MethodGet, c.opsAddr, "/keys", nil, &keys)
 			if err != nil {
 				return err
 			}
-			c.show(text, func() {
-				for _, k := range keys {
-					fmt.Printf("%-18s %-16s %s\n", k.ID, k.Team, k.State)
+			c.print(body, func() {
+				for _, key := range keys {
+					fmt.Printf("%-18s %-16s %s\n", key.ID, key.Team, key.State)
 				}
 			})
 			return nil
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs the stand-ins for what surrounds the system: the
-// platform, workers, targets and faulty links. It is for tests only.
+// Command standin runs a stand-in for the platform, a worker, a target or a
+// network link whose faults can be set. It is for tests only.
 package main
 
 import (
@@ -21,9 +21,9 @@
 )
 
 type flags struct {
-	addr, admin, to, name string
-	slots                 int
-	cores, memory, accel  int64
+	addr, admin, proxyTo, name string
+	slots                      int
+	cores, memory, accel       int64
 }
 
 func main() {
@@ -38,22 +38,22 @@
 func run(ctx context.Context) error {
 	f := flags{name: "stand", slots: 8, cores: 16000, memory: 32768}
 	flaggy.SetName("standin")
-	flaggy.SetDescription("Runs a stand-in for something that surrounds chicoryturn.")
-	kinds := map[string]func(context.Context, *errgroup.Group, flags) error{
-		"platform": platform, "worker": worker, "target": target, "proxy": proxy,
+	flaggy.SetDescription("Runs a stand-in for a system that chicoryturn depends on. For tests only.")
+	starters := map[string]func(context.Context, *errgroup.Group, flags) error{
+		"platform": startPlatform, "worker": startWorker, "target": startTarget, "proxy": startProxy,
 	}
 	cmds := map[string]*flaggy.Subcommand{}
 	for _, name := range []string{"platform", "worker", "target", "proxy"} {
 		c := flaggy.NewSubcommand(name)
 		c.Description = "Runs the stand-in for a " + name + "."
-		c.String(&f.addr, "a", "addr", "address to listen on, IP:port")
-		c.String(&f.name, "n", "name", "name in records")
-		c.Int(&f.slots, "s", "slots", "slots of a target")
-		c.Int64(&f.cores, "c", "cores", "room of a worker in thousandths of a core")
-		c.Int64(&f.memory, "m", "memory", "room of a worker in MiB")
-		c.Int64(&f.accel, "x", "accel", "accelerators of a worker")
-		c.String(&f.to, "t", "to", "address that a proxy passes on to, IP:port")
-		c.String(&f.admin, "d", "admin", "address on which a proxy takes orders, IP:port")
+		c.String(&f.addr, "a", "addr", "address to listen on (IP:port)")
+		c.String(&f.name, "n", "name", "name of a worker or target in its records")
+		c.Int(&f.slots, "s", "slots", "number of slots of a target")
+		c.Int64(&f.cores, "c", "cores", "cores of a worker, in thousandths of a core")
+		c.Int64(&f.memory, "m", "memory", "memory of a worker in MiB")
+		c.Int64(&f.accel, "x", "accel", "number of accelerators of a worker")
+		c.String(&f.proxyTo, "t", "to", "address to which a proxy forwards connections (IP:port)")
+		c.String(&f.admin, "d", "admin", "address of the interface that sets the faults of a proxy (IP:port)")
 		flaggy.AttachSubcommand(c, 1)
 		cmds[name] = c
 	}
@@ -61,7 +61,7 @@
 	for name, c := range cmds {
 		if c.Used {
 			group, ctx := errgroup.WithContext(ctx)
-			if err := kinds[name](ctx, group, f); err != nil {
+			if err := starters[name](ctx, group, f); err != nil {
 				return err
 			}
 			return group.Wait()
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// address reads an address given as a flag.
-func address(text string) (netip.AddrPort, error) {
+// parseAddr parses the value of an address flag.
+func parseAddr(text string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return a, fmt.Errorf("address %q: %w", text, err)
@@ -81,15 +81,15 @@
 }
 
 func listen(text string) (net.Listener, error) {
-	a, err := address(text)
+	a, err := parseAddr(text)
 	if err != nil {
 		return nil, err
 	}
 	return proc.Listen("stand-in", a)
 }
 
-func serve(ctx context.Context, group *errgroup.Group, at string, h http.Handler) error {
-	l, err := listen(at)
+func serve(ctx context.Context, group *errgroup.Group, addr string, h http.Handler) error {
+	l, err := listen(addr)
 	if err != nil {
 		return err
 	}
@@ -97,26 +97,26 @@
 	return nil
 }
 
-func platform(ctx context.Context, group *errgroup.Group, f flags) error {
+func startPlatform(ctx context.Context, group *errgroup.Group, f flags) error {
 	p := fakes.NewPlatform(ctx)
 	group.Go(p.Run)
 	return serve(ctx, group, f.addr, p.Handler())
 }
 
-func worker(ctx context.Context, group *errgroup.Group, f flags) error {
+func startWorker(ctx context.Context, group *errgroup.Group, f flags) error {
 	w := fakes.NewWorker(ctx, f.name, work.Room{Cores: f.cores, Memory: f.memory, Accel: f.accel})
 	group.Go(w.Run)
 	return serve(ctx, group, f.addr, w.Handler())
 }
 
-func target(ctx context.Context, group *errgroup.Group, f flags) error {
+func startTarget(ctx context.Context, group *errgroup.Group, f flags) error {
 	t := fakes.NewTarget(ctx, f.name, f.slots)
 	group.Go(t.Run)
 	return serve(ctx, group, f.addr, t.Handler())
 }
 
-func proxy(ctx context.Context, group *errgroup.Group, f flags) error {
-	to, err := address(f.to)
+func startProxy(ctx context.Context, group *errgroup.Group, f flags) error {
+	forwardTo, err := parseAddr(f.proxyTo)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	p := fakes.NewProxy(to)
+	p := fakes.NewProxy(forwardTo)
 	group.Go(func() error { return p.Serve(ctx, l) })
 	return serve(ctx, group, f.admin, p.Handler())
 }
