--- a/cmd/chicoryturn/client.go
+++ b/cmd/chicoryturn/client.go
@@ -83,13 +83,13 @@
 func parseRefusal(status int, text []byte) error {
 	var r httpx.Refusal
 	if json.Unmarshal(text, &r) != nil || r.Code == "" {
-		return core.RefuseUnknown(core.CodeOwner, nil, "status %d: %s", status, strings.TrimSpace(string(text)))
+		return core.RefuseUnknown(core.CodeNoOwner, nil, "status %d: %s", status, strings.TrimSpace(string(text)))
 	}
 	reason := r.Reason
 	if len(r.Lines) > 0 {
 		reason += "\n" + strings.Join(r.Lines, "\n")
 	}
-	return &core.RefusalError{Code: core.Code(r.Code), Execution: core.Execution(r.Run), Reason: reason}
+	return &core.RefusalError{Code: core.Code(r.Code), Execution: core.Execution(r.Execution), Reason: reason}
 }
 
 // print writes a response to standard output: unchanged if the user asked for
--- a/cmd/chicoryturn/demo.go
+++ b/cmd/chicoryturn/demo.go
@@ -34,7 +34,7 @@
 				}
 				workload := demoWorkload(name)
 				workload.Duration, workload.Seed = demoDuration, uint64(seed)
-				if err := demo.Show(ctx, os.Stdout, plans[name], workload); err != nil {
+				if err := demo.RunDemo(ctx, os.Stdout, plans[name], workload); err != nil {
 					return err
 				}
 			}
@@ -48,33 +48,33 @@
 	const ms = time.Millisecond
 	if name == "bagmati" {
 		return demo.Workload{
-			Calls: []demo.RequestStream{
-				{Queue: "sheet", Team: "valley", Every: 4 * ms, Work: 40 * ms},
-				{Queue: "sheet", Team: "terai", Every: 8 * ms, Work: 40 * ms},
-				{Queue: "barcode", Team: "lakeside", Every: 10 * ms, Work: 5 * ms},
-				{Queue: "batchno", Team: "ridge", Every: 20 * ms, Work: 5 * ms},
+			Requests: []demo.RequestStream{
+				{Queue: "sheet", Team: "valley", Interval: 4 * ms, WorkTime: 40 * ms},
+				{Queue: "sheet", Team: "terai", Interval: 8 * ms, WorkTime: 40 * ms},
+				{Queue: "barcode", Team: "lakeside", Interval: 10 * ms, WorkTime: 5 * ms},
+				{Queue: "batchno", Team: "ridge", Interval: 20 * ms, WorkTime: 5 * ms},
 			},
 			Jobs: []demo.JobStream{
-				{Queue: "label", Team: "valley", Every: 400 * ms, Count: 80, Cores: 4, Memory: 4096, Run: 900 * ms, EstimateError: 10},
-				{Queue: "label", Team: "terai", Every: 400 * ms, Count: 80, Cores: 4, Memory: 4096, Run: 900 * ms, EstimateError: 10},
-				{Queue: "label", Team: "orchard", Every: 500 * ms, Count: 10, Cores: 2, Memory: 1024, Run: 500 * ms, EstimateError: 10},
-				{Queue: "urgent", Team: "ridge", Every: 500 * ms, Count: 2, Cores: 1, Memory: 512, Run: 300 * ms},
-				{Queue: "plate", Team: "lakeside", Every: 1500 * ms, Count: 8, Cores: 4, Memory: 2048, Run: 600 * ms},
+				{Queue: "label", Team: "valley", Interval: 400 * ms, TasksPerJob: 80, Cores: 4, Memory: 4096, RunTime: 900 * ms, EstimateError: 10},
+				{Queue: "label", Team: "terai", Interval: 400 * ms, TasksPerJob: 80, Cores: 4, Memory: 4096, RunTime: 900 * ms, EstimateError: 10},
+				{Queue: "label", Team: "orchard", Interval: 500 * ms, TasksPerJob: 10, Cores: 2, Memory: 1024, RunTime: 500 * ms, EstimateError: 10},
+				{Queue: "urgent", Team: "ridge", Interval: 500 * ms, TasksPerJob: 2, Cores: 1, Memory: 512, RunTime: 300 * ms},
+				{Queue: "plate", Team: "lakeside", Interval: 1500 * ms, TasksPerJob: 8, Cores: 4, Memory: 2048, RunTime: 600 * ms},
 			},
 		}
 	}
 	return demo.Workload{
-		Calls: []demo.RequestStream{
-			{Queue: "fit", Team: "pewter", Every: 8 * ms, Work: 60 * ms},
-			{Queue: "fit", Team: "wick", Every: 15 * ms, Work: 60 * ms},
-			{Queue: "angle", Team: "press", Every: 5 * ms, Work: 10 * ms},
+		Requests: []demo.RequestStream{
+			{Queue: "fit", Team: "pewter", Interval: 8 * ms, WorkTime: 60 * ms},
+			{Queue: "fit", Team: "wick", Interval: 15 * ms, WorkTime: 60 * ms},
+			{Queue: "angle", Team: "press", Interval: 5 * ms, WorkTime: 10 * ms},
 		},
 		Jobs: []demo.JobStream{
-			{Queue: "cure", Team: "foundry", Every: 300 * ms, Count: 100, Cores: 8, Memory: 16384, Run: 900 * ms, EstimateError: 10},
-			{Queue: "sweep", Team: "pewter", Every: 300 * ms, Count: 60, Cores: 8, Memory: 16384, Run: 900 * ms, EstimateError: 10},
-			{Queue: "sweep", Team: "tallow", Every: 300 * ms, Count: 40, Cores: 4, Memory: 32768, Run: 900 * ms, EstimateError: 10},
-			{Queue: "urgent", Team: "foundry", Every: 500 * ms, Count: 4, Cores: 2, Memory: 4096, Run: 400 * ms},
-			{Queue: "mould", Team: "wick", Every: 1500 * ms, Count: 8, Cores: 16, Memory: 8192, Run: 600 * ms},
+			{Queue: "cure", Team: "foundry", Interval: 300 * ms, TasksPerJob: 100, Cores: 8, Memory: 16384, RunTime: 900 * ms, EstimateError: 10},
+			{Queue: "sweep", Team: "pewter", Interval: 300 * ms, TasksPerJob: 60, Cores: 8, Memory: 16384, RunTime: 900 * ms, EstimateError: 10},
+			{Queue: "sweep", Team: "tallow", Interval: 300 * ms, TasksPerJob: 40, Cores: 4, Memory: 32768, RunTime: 900 * ms, EstimateError: 10},
+			{Queue: "urgent", Team: "foundry", Interval: 500 * ms, TasksPerJob: 4, Cores: 2, Memory: 4096, RunTime: 400 * ms},
+			{Queue: "mould", Team: "wick", Interval: 1500 * ms, TasksPerJob: 8, Cores: 16, Memory: 8192, RunTime: 600 * ms},
 		},
 	}
 }
--- a/cmd/chicoryturn/node.go
+++ b/cmd/chicoryturn/node.go
@@ -24,11 +24,11 @@
 		name:  "node",
 		about: "Runs on every VM of the platform: accepts jobs and, if elected leader, schedules the fleet.",
 		run: func(ctx context.Context) error {
-			local, err := platform.Settings()
+			local, err := platform.LoadSettings()
 			if err != nil {
 				return &InputError{err.Error()}
 			}
-			store := platform.NewStore(local.Store)
+			store := platform.NewStore(local.StoreAddr)
 			registerStoreMetrics(store)
 			reload := make(chan os.Signal, 1)
 			signal.Notify(reload, syscall.SIGHUP)
@@ -37,12 +37,12 @@
 			return node.Run(context.WithoutCancel(ctx), local.Node, node.Platform{
 				Store:         store,
 				Lister:        func(client table.Client) node.Lister { return platform.NewLister(client, local.Zones) },
-				Workers:       platform.NewWorkers(),
-				Advice:        platform.NewAdvice(local.Advice),
+				Workers:       platform.NewWorkerClient(),
+				Advisor:       platform.NewAdvisorClient(local.AdvisorAddr),
 				CallerHandler: func(e *entry.Entry) http.Handler { return platform.CallerHandler(e) },
 				ProbeHandler:  func(e *entry.Entry) http.Handler { return platform.ReadinessHandler(e) },
 				Settings: func() (node.Settings, error) {
-					local, err := platform.Settings()
+					local, err := platform.LoadSettings()
 					return local.Node, err
 				},
 				ReloadSignal: reload,
--- a/cmd/chicoryturn/rules.go
+++ b/cmd/chicoryturn/rules.go
@@ -66,7 +66,7 @@
 			if err != nil {
 				return err
 			}
-			var pushed httpx.Pushed
+			var pushed httpx.ChangeResult
 			body, err := c.call(ctx, http.MethodPost, c.opsAddr, fmt.Sprintf("/rules?base=%d", base), text, &pushed)
 			if err != nil {
 				return err
@@ -79,7 +79,7 @@
 
 // awaitInForce waits until a change is in force in every live process. After
 // inForceTimeout it prints a warning and returns nil.
-func (c *client) awaitInForce(ctx context.Context, pushed httpx.Pushed) error {
+func (c *client) awaitInForce(ctx context.Context, pushed httpx.ChangeResult) error {
 	began := time.Now()
 	for time.Since(began) < inForceTimeout {
 		var config httpx.Config
@@ -129,7 +129,7 @@
 			}
 			c.print(body, func() {
 				for _, change := range changes {
-					fmt.Printf("%6d  %s  %-9s %-20s %s\n", change.Version, change.At.Format(time.RFC3339), change.Kind, change.By, change.What)
+					fmt.Printf("%6d  %s  %-9s %-20s %s\n", change.Version, change.At.Format(time.RFC3339), change.Kind, change.By, change.Subject)
 				}
 			})
 			return nil
@@ -151,7 +151,7 @@
 			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var pushed httpx.Pushed
+			var pushed httpx.ChangeResult
 			body, err := c.call(ctx, http.MethodPost, c.opsAddr, "/keys?team="+team, nil, &pushed)
 			if err != nil {
 				return err
@@ -172,7 +172,7 @@
 			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var pushed httpx.Pushed
+			var pushed httpx.ChangeResult
 			body, err := c.call(ctx, http.MethodDelete, c.opsAddr, "/keys/"+id, nil, &pushed)
 			if err != nil {
 				return err
--- a/cmd/measure/cell.go
+++ b/cmd/measure/cell.go
@@ -54,7 +54,7 @@
 		if i%2 == 1 {
 			room.Accel = 0
 		}
-		vms = append(vms, core.VM{Name: fmt.Sprintf("worker%05d", i), Kind: "worker", Addr: workerAddr, Region: "r", Room: room})
+		vms = append(vms, core.VM{Name: fmt.Sprintf("worker%05d", i), Kind: "worker", Addr: workerAddr, Region: "r", Capacity: room})
 	}
 	bench.cell.SetWorkers(bench.now, vms)
 	bench.storeBatches()
--- a/cmd/measure/idle.go
+++ b/cmd/measure/idle.go
@@ -39,8 +39,8 @@
 		// Each of the plan's three regions has perRole gates and perRole scheds.
 		processes := float64(6 * size.perRole)
 		writesPerSecond, readsPerSecond := perSecond(before.Writes, after.Writes), perSecond(before.Reads, after.Reads)
-		readKB, percent := perSecond(before.Sent, after.Sent)/1000, cpuUsed.Seconds()/duration.Seconds()*100
-		fmt.Fprintf(table, "%.0f\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", processes, size.workers, writesPerSecond, readsPerSecond, readKB, perSecond(before.Received, after.Received)/1000, percent)
+		readKB, percent := perSecond(before.SentBytes, after.SentBytes)/1000, cpuUsed.Seconds()/duration.Seconds()*100
+		fmt.Fprintf(table, "%.0f\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", processes, size.workers, writesPerSecond, readsPerSecond, readKB, perSecond(before.ReceivedBytes, after.ReceivedBytes)/1000, percent)
 		if size.workers == 12 {
 			// Every process reads the session rows of all others, so the bytes read
 			// grow with the square of the number of processes.
--- a/cmd/measure/path.go
+++ b/cmd/measure/path.go
@@ -46,7 +46,7 @@
 	plan := deploy.Glaze()
 	plan.Workers = 3
 	if direct {
-		plan.Slots = 2 * pathCallers
+		plan.TargetSlots = 2 * pathCallers
 	}
 	deployment, err := deploy.Start(ctx, plan)
 	if err != nil {
@@ -85,7 +85,7 @@
 				if res.Err != nil || res.Status != 200 {
 					failed++
 				} else {
-					_ = hist.RecordValue(min(int64(res.Took/time.Microsecond), maxLatencyMicros))
+					_ = hist.RecordValue(min(int64(res.Elapsed/time.Microsecond), maxLatencyMicros))
 				}
 				mu.Unlock()
 			}
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -32,7 +32,7 @@
 	base := cell.DefaultPolicy()
 	fifo := cell.Policy{Order: cell.ByArrival, Weight: cell.ByShare}
 	equalShares, demandWeights, firstFit, noBackfill := base, base, base, base
-	equalShares.Weight = cell.Equally
+	equalShares.Weight = cell.ByEqualWeight
 	demandWeights.Weight = cell.ByDemand
 	firstFit.BestFit = false
 	noBackfill.Backfill = false
@@ -47,9 +47,9 @@
 // estimates are wrong by a factor of up to 10.
 func jobStreams(plan deploy.Plan, fraction float64) []demo.JobStream {
 	const baseInterval = 200 * ms
-	cores := float64(plan.Total().Cores) / 1000 * fraction
+	cores := float64(plan.Capacity().Cores) / 1000 * fraction
 	// Sizes are given for a worker with 16 cores; scale adapts them to the plan.
-	scale := float64(plan.Room.Cores) / 16000
+	scale := float64(plan.WorkerRoom.Cores) / 16000
 	type stream struct {
 		queue, team             string
 		fraction, cores, memory float64
@@ -81,8 +81,8 @@
 		count = max(count, 1)
 		interval = time.Duration(float64(count) / perSecond * float64(time.Second))
 		out = append(out, demo.JobStream{
-			Queue: toQueue(s.queue), Team: toTeam(s.team), Every: interval, Count: count, Cores: size,
-			Memory: int64(s.memory * scale), Run: s.run, EstimateError: 10,
+			Queue: toQueue(s.queue), Team: toTeam(s.team), Interval: interval, TasksPerJob: count, Cores: size,
+			Memory: int64(s.memory * scale), RunTime: s.run, EstimateError: 10,
 		})
 	}
 	return out
@@ -122,7 +122,7 @@
 
 // measureOnePolicy prints the results of one policy under one load.
 func measureOnePolicy(ctx context.Context, table *tabwriter.Writer, plan deploy.Plan, policy namedPolicy, load float64, duration time.Duration, seed uint64) error {
-	plan.Options = append(plan.Options, sched.WithPolicy(policy.policy))
+	plan.SchedOptions = append(plan.SchedOptions, sched.WithPolicy(policy.policy))
 	deployment, err := deploy.Start(ctx, plan)
 	if err != nil {
 		return err
@@ -136,16 +136,16 @@
 		return err
 	}
 	cpuUsed := cpuTime() - cpuBefore
-	summary, nearness, violations := run.Summary(), run.Nearness(nearnessWindow), run.Violations()
+	summary, nearness, violations := run.Summary(), run.ShareDeviation(nearnessWindow), run.Violations()
 	urgent, batch, gang := "urgent", "cure", "mould"
 	if plan.Name == "bagmati" {
 		batch, gang = "label", "plate"
 	}
-	u50, u99 := summary.Waits(toQueue(urgent), 50, 99)
-	b50, b99 := summary.Waits(toQueue(batch), 50, 99)
-	g50, g99 := summary.Waits(toQueue(gang), 50, 99)
+	u50, u99 := summary.WaitPercentiles(toQueue(urgent), 50, 99)
+	b50, b99 := summary.WaitPercentiles(toQueue(batch), 50, 99)
+	g50, g99 := summary.WaitPercentiles(toQueue(gang), 50, 99)
 	fmt.Fprintf(table, "%s\t%.0f%%\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f%%\t%.1f%%\t%.1f%% %s\t%.2f\t%d\t\n", plan.Name, load*100, policy.name, summary.Tasks,
-		u50.Round(ms), u99.Round(ms), b50.Round(ms), b99.Round(ms), g50.Round(ms), g99.Round(ms), summary.PackCores*100,
-		nearness.Mean*100, nearness.Largest*100, nearness.Team, float64(cpuUsed.Microseconds())/1000/float64(max(summary.Tasks, 1)), len(violations))
+		u50.Round(ms), u99.Round(ms), b50.Round(ms), b99.Round(ms), g50.Round(ms), g99.Round(ms), summary.CorePacking*100,
+		nearness.Mean*100, nearness.Largest*100, nearness.WorstTeam, float64(cpuUsed.Microseconds())/1000/float64(max(summary.Tasks, 1)), len(violations))
 	return deployment.Stop()
 }
--- a/cmd/measure/size.go
+++ b/cmd/measure/size.go
@@ -134,8 +134,8 @@
 	ruleSet := &rules.Set{Teams: map[core.Team]rules.Team{}, Queues: map[core.Queue]rules.Queue{}}
 	for i := range n {
 		name := fmt.Sprintf("team%05d", i)
-		ruleSet.Teams[core.Team(name)] = rules.Team{Name: core.Team(name), AskedBy: "somebody " + name}
-		ruleSet.Queues[core.Queue(name)] = rules.Queue{Name: core.Queue(name), AskedBy: "somebody " + name, Teams: []core.Team{core.Team(name)}}
+		ruleSet.Teams[core.Team(name)] = rules.Team{Name: core.Team(name), RequestedBy: "somebody " + name}
+		ruleSet.Queues[core.Queue(name)] = rules.Queue{Name: core.Queue(name), RequestedBy: "somebody " + name, Teams: []core.Team{core.Team(name)}}
 	}
 	config := conf.New()
 	config.Restore(1, ruleSet, nil)
@@ -162,7 +162,7 @@
 func sessionRows(n int) []core.Row[member.Session] {
 	var out []core.Row[member.Session]
 	for i := range n {
-		out = append(out, core.Row[member.Session]{Val: member.Session{Process: newProcess(i + 1), Beat: 7, Config: 9}, Version: uint64(i + 1)})
+		out = append(out, core.Row[member.Session]{Val: member.Session{Process: newProcess(i + 1), Renewals: 7, Config: 9}, Version: uint64(i + 1)})
 	}
 	return out
 }
--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -29,13 +29,13 @@
 
 var (
 	requestChart = chart.Must(chart.Load(requestTOML, map[string]chart.Guard[*request]{
-		"may-retry":          (*request).mayRetry,
-		"spend-retry-budget": (*request).spendRetryBudget,
+		"retryable": (*request).mayRetry,
+		"budget":    (*request).spendRetryBudget,
 	}, map[string]chart.Action[*request]{
-		"reserve":       (*request).reserve,
-		"release":       (*request).release,
-		"delay-release": (*request).delayRelease,
-		"requeue":       (*request).requeue,
+		"reserve": (*request).reserve,
+		"release": (*request).release,
+		"delay":   (*request).delayRelease,
+		"requeue": (*request).requeue,
 	}))
 	// Events and states of the request chart.
 	requestGrant   = requestChart.Event("grant")
@@ -245,7 +245,7 @@
 	}
 	r := &request{
 		spec: spec, ctrl: c, state: requestChart.Start(), arrivedAt: now,
-		waitDeadline: now.Add(spec.Rule.Wait), excluded: core.NewSet[string](),
+		waitDeadline: now.Add(spec.Rule.MaxWait), excluded: core.NewSet[string](),
 	}
 	c.requests[spec.ID] = r
 	c.retryBudget = min(c.retryBudget+retryRatio, retryBurst)
@@ -350,7 +350,7 @@
 // spendRetryBudget reports whether a request that may have reached a target may
 // be sent again, and if so charges the retry to the budget.
 func (r *request) spendRetryBudget() bool {
-	if !r.spec.Rule.Repeat || !r.mayRetry() || r.ctrl.retryBudget < 1 {
+	if !r.spec.Rule.Retry || !r.mayRetry() || r.ctrl.retryBudget < 1 {
 		return false
 	}
 	r.ctrl.retryBudget--
@@ -373,7 +373,7 @@
 // delayRelease keeps the slot in use until the target must have ended the request.
 func (r *request) delayRelease() {
 	r.ctrl.delayedReleases = append(r.ctrl.delayedReleases, delayedRelease{
-		r.ctrl.now.Add(r.spec.Rule.Run), r.target.slotsRow, CallsRow(r.spec.Team),
+		r.ctrl.now.Add(r.spec.Rule.RunTimeout), r.target.slotsRow, CallsRow(r.spec.Team),
 	})
 }
 
@@ -425,11 +425,11 @@
 	ev := Event{ID: r.spec.ID}
 	switch {
 	case r.state == requestUnknown:
-		ev.Err = core.RefuseUnknown(core.CodeTarget, cause, "target %s did not send a complete answer", r.target.vm.Name)
+		ev.Err = core.RefuseUnknown(core.CodeTargetFailed, cause, "target %s did not send a complete answer", r.target.vm.Name)
 	case requestChart.Name(r.state) == "answered":
 		ev.Ended = true
 	default:
-		ev.Err = core.Refuse(core.CodeTarget, "no target of service %q accepted the request", r.spec.Rule.Service)
+		ev.Err = core.Refuse(core.CodeTargetFailed, "no target of service %q accepted the request", r.spec.Rule.Service)
 		ev.Err.Err = cause
 		ev.Err.RetryAfter = time.Second
 	}
@@ -460,9 +460,9 @@
 		c.removeWaiting(r)
 		c.fireRequest(r, requestExpire)
 		delete(c.requests, r.spec.ID)
-		refusal := core.Refuse(core.CodeTimeout, "no slot of service %q was free within %s", r.spec.Rule.Service, r.spec.Rule.Wait)
+		refusal := core.Refuse(core.CodeTimeout, "no slot of service %q was free within %s", r.spec.Rule.Service, r.spec.Rule.MaxWait)
 		if c.allocator.Available(CallsRow(r.spec.Team)) <= 0 {
-			refusal = core.Refuse(core.CodeLimit, "team %q has reached its limit of requests in flight", r.spec.Team)
+			refusal = core.Refuse(core.CodeOverLimit, "team %q has reached its limit of requests in flight", r.spec.Team)
 		}
 		refusal.RetryAfter = time.Second
 		out = append(out, Event{ID: r.spec.ID, Err: refusal})
--- a/core/admit/controller_test.go
+++ b/core/admit/controller_test.go
@@ -60,7 +60,7 @@
 
 // newRule returns a queue rule; repeat allows retries of requests that may have run.
 func newRule(repeat bool) rules.Queue {
-	return rules.Queue{Name: "q", Kind: rules.Answer, Service: "s", Wait: time.Second, Run: time.Second, Backlog: 2, Repeat: repeat}
+	return rules.Queue{Name: "q", Kind: rules.Answer, Service: "s", MaxWait: time.Second, RunTimeout: time.Second, Backlog: 2, Retry: repeat}
 }
 
 // TestSlots checks that a free slot goes to the request that was queued first,
@@ -121,7 +121,7 @@
 func TestDelayedRelease(t *testing.T) {
 	is := is.New(t)
 	q := newRule(false)
-	q.Wait = 5 * time.Second
+	q.MaxWait = 5 * time.Second
 	f := newFixture(1, 1, q)
 	f.admit()
 	f.ctrl.RequestEnded(f.now, 1, admit.Aborted, nil)
--- a/core/admit/demand.go
+++ b/core/admit/demand.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Waiting returns how many requests wait for a slot and how many are in flight.
-func (c *Controller) Waiting() (waiting, sending int) {
+// RequestCounts returns how many requests wait for a slot and how many are in flight.
+func (c *Controller) RequestCounts() (waiting, sending int) {
 	for _, r := range c.requests {
 		if r.state == requestWaiting {
 			waiting++
--- a/core/admit/target.go
+++ b/core/admit/target.go
@@ -27,7 +27,7 @@
 
 var (
 	targetChart = chart.Must(chart.Load(targetTOML, map[string]chart.Guard[*target]{
-		"too-many-failures": func(t *target) bool { return t.failures >= suspectAfterFailures },
+		"failing": func(t *target) bool { return t.failures >= suspectAfterFailures },
 	}, map[string]chart.Action[*target]{
 		"pause": func(t *target) { t.pausedUntil = t.ctrl.now.Add(suspectPause) },
 	}))
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -183,8 +183,8 @@
 	return out
 }
 
-// Waits returns the wait times of the tasks that started since the last call.
-func (c *Cell) Waits() []TaskWait {
+// TaskWaits returns the wait times of the tasks that started since the last call.
+func (c *Cell) TaskWaits() []TaskWait {
 	out := c.taskWaits
 	c.taskWaits = nil
 	return out
@@ -202,7 +202,7 @@
 // SetRemoteUse sets the cores that a team uses in other cells and the cores of
 // the whole fleet, in thousandths of a core.
 func (c *Cell) SetRemoteUse(team core.Team, cores, fleetCores int64) {
-	c.shares.SetAfar(team, cores, fleetCores)
+	c.shares.SetRemoteUse(team, cores, fleetCores)
 }
 
 // SetWorkers replaces the list of the cell's worker VMs.
@@ -250,7 +250,7 @@
 	c.workersByID = slices.DeleteFunc(c.workersByID, func(w *Worker) bool {
 		if w.state == workerStateGone {
 			delete(c.workers, w.id)
-			c.roomIndex.Drop(w.id)
+			c.roomIndex.Remove(w.id)
 			c.appendEntry(Entry{Gone: w.id})
 		}
 		return w.state == workerStateGone
@@ -280,7 +280,7 @@
 // placed on it, and removes it otherwise.
 func (c *Cell) updateRoom(w *Worker) {
 	if !w.usable() || !c.recordedWorkers.Has(w.id) {
-		c.roomIndex.Drop(w.id)
+		c.roomIndex.Remove(w.id)
 		return
 	}
 	c.roomIndex.Put(w.id, w.free, w.room)
@@ -291,7 +291,7 @@
 // limit.
 func (c *Cell) allocate(w *Worker, team core.Team, need core.Resources) {
 	w.free = w.free.Sub(need)
-	c.shares.Use(team, need)
+	c.shares.AddUse(team, need)
 	c.limits.Use(LimitName(team), need.Cores)
 	c.updateRoom(w)
 }
@@ -300,7 +300,7 @@
 func (c *Cell) deallocate(w *Worker, team core.Team, need core.Resources) {
 	negated := core.Resources{}.Sub(need)
 	w.free = w.free.Add(need)
-	c.shares.Use(team, negated)
+	c.shares.AddUse(team, negated)
 	c.limits.Use(LimitName(team), -need.Cores)
 	c.updateRoom(w)
 }
@@ -389,8 +389,8 @@
 	return true, nil
 }
 
-// Recording reports whether a job's acceptance is still being stored.
-func (c *Cell) Recording(id core.JobID) bool {
+// IsRecording reports whether a job's acceptance is still being stored.
+func (c *Cell) IsRecording(id core.JobID) bool {
 	j := c.jobs[id]
 	return j != nil && jobChart.Name(j.state) == "offered"
 }
@@ -423,7 +423,7 @@
 		}
 		sum = sum.Add(t.Need)
 	}
-	if spec.Kind == rules.Gang && !sum.Fits(c.totalRoom()) {
+	if spec.Kind == rules.Gang && !sum.FitsIn(c.totalRoom()) {
 		return core.Refuse(core.CodeTooLarge, "the job's tasks together are larger than cell %s", c.id)
 	}
 	return nil
@@ -433,7 +433,7 @@
 // empty.
 func (c *Cell) fitsAnyWorker(need core.Resources) bool {
 	for _, w := range c.workersByID {
-		if need.Fits(w.vm.Room) {
+		if need.FitsIn(w.vm.Capacity) {
 			return true
 		}
 	}
@@ -444,7 +444,7 @@
 func (c *Cell) totalRoom() core.Resources {
 	sum := core.Resources{}
 	for _, w := range c.workersByID {
-		sum = sum.Add(w.vm.Room)
+		sum = sum.Add(w.vm.Capacity)
 	}
 	return sum
 }
@@ -455,12 +455,12 @@
 	c.now = now
 	j := c.jobs[id]
 	if j == nil {
-		return core.Refuse(core.CodeNoJob, "no job %q in cell %s", id, c.id)
+		return core.Refuse(core.CodeUnknownJob, "no job %q in cell %s", id, c.id)
 	}
 	if j.cancelled || j.openTasks == 0 {
 		return nil
 	}
-	if c.Recording(id) {
+	if c.IsRecording(id) {
 		r := core.Refuse(core.CodeBusy, "job %q is still being recorded", id)
 		r.RetryAfter = time.Second
 		return r
@@ -470,8 +470,8 @@
 	return nil
 }
 
-// Show returns one job.
-func (c *Cell) Show(id core.JobID) (View, bool) {
+// Job returns one job.
+func (c *Cell) Job(id core.JobID) (View, bool) {
 	j := c.jobs[id]
 	if j == nil {
 		return View{}, false
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -52,10 +52,10 @@
 	h := &harness{limits: newLimits(), now: time.Now(), tasks: map[core.WorkerID]map[core.TaskID]cell.TaskReport{}}
 	h.cell = cell.New(id, 1, h.limits)
 	h.cell.SetRules(&rules.Set{Teams: map[core.Team]rules.Team{"a": {Share: 60}, "b": {Share: 40}}})
-	h.cell.Load(h.now, entries)
+	h.cell.LoadJournal(h.now, entries)
 	var vms []core.VM
 	for i := range workers {
-		vms = append(vms, core.VM{Name: fmt.Sprintf("w%d", i), Kind: "worker", Addr: addr, Region: "r", Room: room})
+		vms = append(vms, core.VM{Name: fmt.Sprintf("w%d", i), Kind: "worker", Addr: addr, Region: "r", Capacity: room})
 	}
 	h.cell.SetWorkers(h.now, vms)
 	h.storeBatches()
@@ -89,12 +89,12 @@
 			tasks[s.Task] = cell.TaskReport{Task: s.Task, Run: s.Run, State: cell.TaskRunning, Team: s.Team, Need: s.Need}
 		}
 		for _, s := range hb.Stops {
-			if report, ok := tasks[s.Task]; ok && s.How == cell.StopThrottle {
+			if report, ok := tasks[s.Task]; ok && s.Kind == cell.StopThrottle {
 				report.Used = core.Resources{}
 				tasks[s.Task] = report
 			} else if ok && report.State == cell.TaskRunning {
 				report.State = cell.TaskStopped
-				if s.How == cell.StopCheckpoint {
+				if s.Kind == cell.StopCheckpoint {
 					report.State = cell.TaskCheckpointed
 				}
 				tasks[s.Task] = report
@@ -146,7 +146,7 @@
 
 // running returns the number of placed tasks of a job.
 func (h *harness) running(name string) int {
-	v, _ := h.cell.Show(core.NewJobID(id, name))
+	v, _ := h.cell.Job(core.NewJobID(id, name))
 	return v.Running
 }
 
--- a/core/cell/gang.go
+++ b/core/cell/gang.go
@@ -128,7 +128,7 @@
 		unplacedBefore := len(unplaced)
 		unplaced = slices.DeleteFunc(unplaced, func(i int) bool {
 			need := j.Spec.Tasks[i].Need
-			if !need.Fits(room) {
+			if !need.FitsIn(room) {
 				return false
 			}
 			room = room.Sub(need)
--- a/core/cell/heartbeat.go
+++ b/core/cell/heartbeat.go
@@ -23,7 +23,7 @@
 // Stop orders a worker to end or throttle a task.
 type Stop struct {
 	Task core.TaskID
-	How  StopKind
+	Kind StopKind
 }
 
 // Ack tells a worker that the end of a run is recorded, so that the worker may
@@ -44,8 +44,8 @@
 	Need     core.Resources
 	Estimate time.Duration
 	Command  string
-	// Saved is the run time that the task's newest checkpoint covers.
-	Saved time.Duration
+	// Checkpoint is the run time that the task's newest checkpoint covers.
+	Checkpoint time.Duration
 }
 
 // Heartbeat is one message to a worker. It renews the worker's lease, counted
@@ -239,9 +239,9 @@
 // reported room in each dimension.
 func (c *Cell) setReportedRoom(w *Worker, room core.Resources) {
 	smaller := core.Resources{
-		Cores:  min(w.vm.Room.Cores, room.Cores),
-		Memory: min(w.vm.Room.Memory, room.Memory),
-		Accel:  min(w.vm.Room.Accel, room.Accel),
+		Cores:  min(w.vm.Capacity.Cores, room.Cores),
+		Memory: min(w.vm.Capacity.Memory, room.Memory),
+		Accel:  min(w.vm.Capacity.Accel, room.Accel),
 	}
 	w.free = w.free.Add(smaller.Sub(w.room))
 	w.room = smaller
@@ -298,7 +298,7 @@
 // stopRequested reports whether a heartbeat ordered the worker to end a task.
 func (w *Worker) stopRequested(h Heartbeat, id core.TaskID) bool {
 	for i := range h.Stops {
-		if h.Stops[i].Task == id && h.Stops[i].How != StopThrottle {
+		if h.Stops[i].Task == id && h.Stops[i].Kind != StopThrottle {
 			return true
 		}
 	}
--- a/core/cell/job.go
+++ b/core/cell/job.go
@@ -23,10 +23,10 @@
 
 func init() {
 	jobChart = chart.Must(chart.Load(jobChartText, nil, map[string]chart.Action[*Job]{
-		"enqueueTasks": (*Job).enqueueTasks,
-		"cancelTasks":  (*Job).cancelTasks,
-		"recordEnd":    (*Job).recordEnd,
-		"archive":      (*Job).archive,
+		"enqueue": (*Job).enqueueTasks,
+		"cancel":  (*Job).cancelTasks,
+		"finish":  (*Job).recordEnd,
+		"archive": (*Job).archive,
 	}))
 	jobEventRestore = jobChart.Event("restore")
 	jobEventRecord = jobChart.Event("record")
--- a/core/cell/journal.go
+++ b/core/cell/journal.go
@@ -84,9 +84,9 @@
 	return accepted
 }
 
-// Load rebuilds the recorded state of a cell. Every open task may still be
+// LoadJournal rebuilds the recorded state of a cell. Every open task may still be
 // running until all workers have reported or their leases have expired.
-func (c *Cell) Load(now time.Time, entries []Entry) {
+func (c *Cell) LoadJournal(now time.Time, entries []Entry) {
 	c.now, c.loading = now, true
 	for i := range entries {
 		c.replayEntry(&entries[i])
--- a/core/cell/plan.go
+++ b/core/cell/plan.go
@@ -45,9 +45,9 @@
 const (
 	// ByShare weighs teams by the shares in the rules.
 	ByShare Weight = "share"
-	// Equally gives all teams the same weight. It is a baseline for
+	// ByEqualWeight gives all teams the same weight. It is a baseline for
 	// measurements.
-	Equally Weight = "equal"
+	ByEqualWeight Weight = "equal"
 	// ByDemand weighs teams by the cores of their running and queued tasks,
 	// after the task-demand policy of Ghit, Yigitbasi, Iosup and Epema
 	// (SIGMETRICS 2014).
@@ -65,14 +65,14 @@
 	Backfill bool
 	// Reserve reserves room for a gang that does not fit yet.
 	Reserve bool
-	// Yield preempts batch tasks of teams above their share for urgent work and
+	// Preempt preempts batch tasks of teams above their share for urgent work and
 	// for teams that have long been below theirs.
-	Yield bool
+	Preempt bool
 }
 
 // DefaultPolicy returns the policy of a cell unless WithPolicy sets another.
 func DefaultPolicy() Policy {
-	return Policy{Order: ByLatest, Weight: ByShare, BestFit: true, Backfill: true, Reserve: true, Yield: true}
+	return Policy{Order: ByLatest, Weight: ByShare, BestFit: true, Backfill: true, Reserve: true, Preempt: true}
 }
 
 // lessJob orders jobs by latest start, then by submission.
@@ -189,7 +189,7 @@
 func (c *Cell) updateWeights() {
 	for _, q := range c.teamQueues {
 		switch c.policy.Weight {
-		case Equally:
+		case ByEqualWeight:
 			c.shares.SetShare(q.team, 1)
 		case ByDemand:
 			c.shares.SetShare(q.team, float64(c.shares.Used(q.team).Cores+q.queuedCores))
@@ -343,7 +343,7 @@
 // findWorker returns a worker that has room for a task and may run it.
 func (p *placementPass) findWorker(t *Task, need core.Resources) (core.WorkerID, bool) {
 	for _, unfit := range p.unfitNeeds {
-		if unfit.Fits(need) {
+		if unfit.FitsIn(need) {
 			return "", false
 		}
 	}
@@ -362,9 +362,9 @@
 		}
 		return true
 	}
-	search := c.roomIndex.First
+	search := c.roomIndex.WorstFit
 	if c.policy.BestFit {
-		search = c.roomIndex.Best
+		search = c.roomIndex.BestFit
 	}
 	id, ok := search(need, allow)
 	if !ok && !restricted {
--- a/core/cell/preempt.go
+++ b/core/cell/preempt.go
@@ -25,7 +25,7 @@
 // start deadline, or its team is below its share and the job has waited for
 // preemptAfter.
 func (c *Cell) mayPreempt(j *Job) bool {
-	if !c.policy.Yield {
+	if !c.policy.Preempt {
 		return false
 	}
 	if !j.Spec.Start.IsZero() {
@@ -47,7 +47,7 @@
 	for range min(maxPreemptWorkers, len(c.workersByID)) {
 		c.preemptCursor = (c.preemptCursor + 1) % len(c.workersByID)
 		w := c.workersByID[c.preemptCursor]
-		if !w.usable() || t.failedOn.Has(w.id) || !t.spec().Need.Fits(w.room) {
+		if !w.usable() || t.failedOn.Has(w.id) || !t.spec().Need.FitsIn(w.room) {
 			continue
 		}
 		victims, cost := c.victims(w, t)
@@ -81,14 +81,14 @@
 	cost := int64(0)
 	var out []*Task
 	for _, v := range candidates {
-		if t.spec().Need.Fits(free) {
+		if t.spec().Need.FitsIn(free) {
 			break
 		}
 		free = free.Add(v.spec().Need)
 		cost += v.spec().Need.Cores
 		out = append(out, v)
 	}
-	if len(out) == 0 || !t.spec().Need.Fits(free) {
+	if len(out) == 0 || !t.spec().Need.FitsIn(free) {
 		return nil, 0
 	}
 	return out, cost
--- a/core/cell/status.go
+++ b/core/cell/status.go
@@ -6,28 +6,28 @@
 	"chicoryturn/core"
 )
 
-// TeamLoad is the cores that a team uses and the cores of its queued tasks in a
+// TeamStatus is the cores that a team uses and the cores of its queued tasks in a
 // cell, in thousandths of a core.
-type TeamLoad struct {
+type TeamStatus struct {
 	Team   core.Team
 	Cores  int64
 	Queued int64
 }
 
-// Load is the state of a cell for display.
-type Load struct {
+// Status is the state of a cell for display.
+type Status struct {
 	Cell          core.CellID
 	Epoch         core.Epoch
 	Workers, Live int
 	Total, Free   core.Resources
 	// Queued and Running are numbers of tasks.
 	Queued, Running int
-	Teams           []TeamLoad
+	Teams           []TeamStatus
 }
 
-// State returns the state of the cell for display.
-func (c *Cell) State() Load {
-	load := Load{Cell: c.id, Epoch: c.epoch, Workers: len(c.workersByID), Total: c.totalRoom(), Free: c.roomIndex.Free()}
+// Status returns the state of the cell for display.
+func (c *Cell) Status() Status {
+	load := Status{Cell: c.id, Epoch: c.epoch, Workers: len(c.workersByID), Total: c.totalRoom(), Free: c.roomIndex.Free()}
 	for _, w := range c.workersByID {
 		if w.state == workerStateLive {
 			load.Live++
@@ -38,9 +38,9 @@
 		load.Queued += len(j.queuedTasks)
 	}
 	for team, queue := range c.teamQueues {
-		load.Teams = append(load.Teams, TeamLoad{team, c.shares.Used(team).Cores, queue.queuedCores})
+		load.Teams = append(load.Teams, TeamStatus{team, c.shares.Used(team).Cores, queue.queuedCores})
 	}
-	slices.SortFunc(load.Teams, func(a, b TeamLoad) int {
+	slices.SortFunc(load.Teams, func(a, b TeamStatus) int {
 		if a.Team < b.Team {
 			return -1
 		}
--- a/core/cell/task.go
+++ b/core/cell/task.go
@@ -29,16 +29,16 @@
 
 func init() {
 	taskChart = chart.Must(chart.Load(taskChartText, map[string]chart.Guard[*Task]{
-		"mayRetry": func(t *Task) bool { return t.failures < maxTaskFailures && !t.job.cancelled },
+		"retryable": func(t *Task) bool { return t.failures < maxTaskFailures && !t.job.cancelled },
 	}, map[string]chart.Action[*Task]{
-		"assign":            (*Task).assign,
-		"release":           (*Task).release,
-		"adopt":             (*Task).adopt,
-		"enqueue":           (*Task).enqueue,
-		"dequeue":           (*Task).dequeue,
-		"recordEnd":         (*Task).recordEnd,
-		"requestStop":       (*Task).requestStop,
-		"requestCheckpoint": (*Task).requestCheckpoint,
+		"reserve":    (*Task).assign,
+		"release":    (*Task).release,
+		"adopt":      (*Task).adopt,
+		"enqueue":    (*Task).enqueue,
+		"dequeue":    (*Task).dequeue,
+		"finish":     (*Task).recordEnd,
+		"stop":       (*Task).requestStop,
+		"checkpoint": (*Task).requestCheckpoint,
 	}))
 	taskEventRestore = taskChart.Event("restore")
 	taskEventRecover = taskChart.Event("recover")
--- a/core/cell/worker.go
+++ b/core/cell/worker.go
@@ -39,9 +39,9 @@
 
 func init() {
 	workerChart = chart.Must(chart.Load(workerChartText, nil, map[string]chart.Action[*Worker]{
-		"offerRoom":    (*Worker).offerRoom,
-		"withdrawRoom": (*Worker).withdrawRoom,
-		"requeueTasks": (*Worker).requeueTasks,
+		"offer":    (*Worker).offerRoom,
+		"withdraw": (*Worker).withdrawRoom,
+		"requeue":  (*Worker).requeueTasks,
 	}))
 	workerEventReport = workerChart.Event("report")
 	workerEventMiss = workerChart.Event("miss")
@@ -53,11 +53,11 @@
 	workerStateLapsed = workerChart.State("lapsed")
 
 	healthChart = chart.Must(chart.Load(healthChartText, map[string]chart.Guard[*Worker]{
-		"atFailureLimit": func(w *Worker) bool { return w.consecutiveFailures >= maxConsecutiveFailures },
+		"failing": func(w *Worker) bool { return w.consecutiveFailures >= maxConsecutiveFailures },
 	}, map[string]chart.Action[*Worker]{
-		"exclude":       (*Worker).exclude,
-		"include":       (*Worker).include,
-		"resetFailures": func(w *Worker) { w.consecutiveFailures, w.probeDelay = 0, 0 },
+		"exclude": (*Worker).exclude,
+		"include": (*Worker).include,
+		"reset":   func(w *Worker) { w.consecutiveFailures, w.probeDelay = 0, 0 },
 	}))
 	healthEventDone = healthChart.Event("done")
 	healthEventFail = healthChart.Event("fail")
@@ -134,7 +134,7 @@
 func (w *Worker) offerRoom() { w.cell.updateRoom(w) }
 
 // withdrawRoom stops the placement of tasks on the worker.
-func (w *Worker) withdrawRoom() { w.cell.roomIndex.Drop(w.id) }
+func (w *Worker) withdrawRoom() { w.cell.roomIndex.Remove(w.id) }
 
 // requeueTasks ends all runs on a worker whose lease has certainly ended and
 // queues their tasks again.
@@ -155,7 +155,7 @@
 func (w *Worker) exclude() {
 	w.probeDelay = min(max(2*w.probeDelay, minProbeDelay), maxProbeDelay)
 	w.nextProbe = w.cell.now.Add(w.probeDelay)
-	w.cell.roomIndex.Drop(w.id)
+	w.cell.roomIndex.Remove(w.id)
 }
 
 // include makes the worker's room available to placement again.
--- a/core/conf/conf.go
+++ b/core/conf/conf.go
@@ -31,10 +31,10 @@
 	config *Config
 }
 
-// ConfirmWithin is the maximum age of the last confirmation that the process
+// MaxConfirmAge is the maximum age of the last confirmation that the process
 // runs the newest version. A process refuses all keys when it is exceeded, so
 // that a withdrawn key does not stay usable.
-const ConfirmWithin = 4 * time.Second
+const MaxConfirmAge = 4 * time.Second
 
 // ChangeKind is the kind of a configuration change.
 type ChangeKind string
@@ -173,15 +173,15 @@
 // the caller named, or empty.
 func (c *Config) Admit(now time.Time, queue core.Queue, team core.Team, key string) (core.Team, *rules.Queue, error) {
 	if c.version == 0 {
-		r := core.Refuse(core.CodeConfig, "no configuration has been loaded yet")
+		r := core.Refuse(core.CodeConfigUnconfirmed, "no configuration has been loaded yet")
 		r.RetryAfter = time.Second
 		return "", nil, r
 	}
 	q, ok := c.rules.Queues[queue]
 	if !ok {
-		return "", nil, core.Refuse(core.CodeNoQueue, "no rule for queue %q", queue)
+		return "", nil, core.Refuse(core.CodeUnknownQueue, "no rule for queue %q", queue)
 	}
-	if key != "" || !q.Open {
+	if key != "" || !q.Public {
 		keyTeam, err := c.teamOf(now, key)
 		if err != nil {
 			return "", nil, err
@@ -192,7 +192,7 @@
 		team = keyTeam
 	}
 	if _, ok := c.rules.Teams[team]; !ok {
-		return "", nil, core.Refuse(core.CodeNoTeam, "no rule for team %q", team)
+		return "", nil, core.Refuse(core.CodeUnknownTeam, "no rule for team %q", team)
 	}
 	if !q.Allows(team) {
 		return "", nil, core.Refuse(core.CodeBadKey, "queue %q is not open to team %q", queue, team)
@@ -204,8 +204,8 @@
 func (c *Config) TeamOf(now time.Time, key string) (core.Team, error) { return c.teamOf(now, key) }
 
 func (c *Config) teamOf(now time.Time, key string) (core.Team, error) {
-	if now.Sub(c.confirmed) > ConfirmWithin {
-		r := core.Refuse(core.CodeConfig, "cannot confirm that the configuration is current; keys are not accepted")
+	if now.Sub(c.confirmed) > MaxConfirmAge {
+		r := core.Refuse(core.CodeConfigUnconfirmed, "cannot confirm that the configuration is current; keys are not accepted")
 		r.RetryAfter = time.Second
 		return "", r
 	}
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -17,7 +17,7 @@
 		Teams: map[core.Team]rules.Team{"press": {}, "office": {}},
 		Queues: map[core.Queue]rules.Queue{
 			"angle": {Name: "angle", Kind: rules.Answer, Teams: []core.Team{"press"}},
-			"query": {Name: "query", Kind: rules.Answer, Open: true},
+			"query": {Name: "query", Kind: rules.Answer, Public: true},
 		},
 	}
 }
@@ -55,9 +55,9 @@
 		"no key":           {"angle", "press", "", 0, core.CodeBadKey},
 		"not a key":        {"angle", "press", "ps", 0, core.CodeBadKey},
 		"open queue":       {"query", "office", "", 0, ""},
-		"open, no team":    {"query", "", "", 0, core.CodeNoTeam},
-		"no such queue":    {"nope", "press", "p.s", 0, core.CodeNoQueue},
-		"unconfirmed":      {"angle", "", "p.s", conf.ConfirmWithin + time.Second, core.CodeConfig},
+		"open, no team":    {"query", "", "", 0, core.CodeUnknownTeam},
+		"no such queue":    {"nope", "press", "p.s", 0, core.CodeUnknownQueue},
+		"unconfirmed":      {"angle", "", "p.s", conf.MaxConfirmAge + time.Second, core.CodeConfigUnconfirmed},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/core/elect/election.go
+++ b/core/elect/election.go
@@ -67,8 +67,8 @@
 	// Addr is where the owner answers other processes.
 	Addr netip.AddrPort
 	// Epoch numbers the owners, Beat the writes of one owner.
-	Epoch core.Epoch
-	Beat  uint64
+	Epoch       core.Epoch
+	WriteNumber uint64 `json:"Beat"`
 	// Stamp is the writer's estimate of the store's clock at the time of the
 	// write; 0 if the writer has no estimate.
 	Stamp time.Duration
@@ -247,9 +247,9 @@
 func (e *Election) NextRecord(now time.Time) (Record, uint64) {
 	rec := e.self
 	rec.Stamp = e.estimateStoreClock(now)
-	rec.Epoch, rec.Beat = e.record.Epoch, e.record.Beat+1
+	rec.Epoch, rec.WriteNumber = e.record.Epoch, e.record.WriteNumber+1
 	if !e.IsHolder() {
-		rec.Epoch, rec.Beat = e.record.Epoch+1, 1
+		rec.Epoch, rec.WriteNumber = e.record.Epoch+1, 1
 	}
 	return rec, e.version
 }
@@ -258,7 +258,7 @@
 // the version that the row must still have.
 func (e *Election) ResignRecord() (Record, uint64) {
 	rec := e.record
-	rec.Holder, rec.Beat = "", e.record.Beat+1
+	rec.Holder, rec.WriteNumber = "", e.record.WriteNumber+1
 	return rec, e.version
 }
 
--- a/core/elect/election_test.go
+++ b/core/elect/election_test.go
@@ -30,7 +30,7 @@
 
 // otherRecord is the ownership record of another process.
 func otherRecord(beat int) elect.Record {
-	return elect.Record{Holder: "vm-b/1", VM: "vm-b", Epoch: 3, Beat: uint64(beat)}
+	return elect.Record{Holder: "vm-b/1", VM: "vm-b", Epoch: 3, WriteNumber: uint64(beat)}
 }
 
 func TestClaimWithoutRecord(t *testing.T) {
--- a/core/fleet/absence.go
+++ b/core/fleet/absence.go
@@ -44,5 +44,5 @@
 	}
 }
 
-// Since returns, for each absent worker, when it was first found missing.
-func (t *AbsenceTracker) Since() map[core.WorkerID]time.Time { return t.since }
+// MissingSince returns, for each absent worker, when it was first found missing.
+func (t *AbsenceTracker) MissingSince() map[core.WorkerID]time.Time { return t.since }
--- a/core/fleet/advice.go
+++ b/core/fleet/advice.go
@@ -138,7 +138,7 @@
 }
 
 // markRequested records that a request has been sent.
-func (a *advice) markRequested(now time.Time, advisor policy.Advice, workers int) {
+func (a *advice) markRequested(now time.Time, advisor policy.Advisor, workers int) {
 	a.requestedAt = now
 	a.lostAt = now.Add(lostFactor*advisor.Cost(workers) + lostGrace)
 }
@@ -166,22 +166,22 @@
 }
 
 // advisor returns the policy of the queue's placement advisor, if it has one.
-func (p *phase) advisor() core.Option[policy.Advice] {
+func (p *phase) advisor() core.Option[policy.Advisor] {
 	if q := p.job.scheduler.policy.Queues[p.job.Spec.Queue]; q != nil {
-		return q.Advice
+		return q.Advisor
 	}
-	return core.Option[policy.Advice]{}
+	return core.Option[policy.Advisor]{}
 }
 
-// Turns assigns advice requests to the VMs, each of which makes one call to the
+// AdvicePeers assigns advice requests to the VMs, each of which makes one call to the
 // placement advisor at a time.
-type Turns interface {
-	// Free reports whether a VM could soon begin a call of the given duration.
-	Free(cost time.Duration) bool
-	// Spare reports whether more VMs are idle than the expected calls need.
-	Spare() bool
-	// Take assigns a request to a VM.
-	Take(a AdviceRequest)
+type AdvicePeers interface {
+	// HasCapacity reports whether a VM could soon begin a call of the given duration.
+	HasCapacity(cost time.Duration) bool
+	// MostlyIdle reports whether more VMs are idle than the expected calls need.
+	MostlyIdle() bool
+	// Send assigns a request to a VM.
+	Send(a AdviceRequest)
 }
 
 // AdviceRequests sends the advice requests that are worthwhile now, the most
@@ -189,16 +189,16 @@
 // call begins, other work may be more urgent and other workers may have room.
 // Requests that are less likely to let tasks start are sent while Turns.Spare
 // reports idle VMs, and otherwise at most once per lowYieldInterval and phase.
-func (s *Scheduler) AdviceRequests(now time.Time, turns Turns) {
+func (s *Scheduler) AdviceRequests(now time.Time, turns AdvicePeers) {
 	s.now = now
-	if !turns.Free(0) {
+	if !turns.HasCapacity(0) {
 		return
 	}
 	var lowYield []*phase
 	for _, p := range s.rankedPhases() {
 		advisor, ok := p.advisor().Get()
 		isPending := !p.advice.requestedAt.IsZero() && now.Before(p.advice.lostAt)
-		if !ok || isPending || now.Before(p.advice.recheckAt) || !p.startable() || !turns.Free(advisor.Base) {
+		if !ok || isPending || now.Before(p.advice.recheckAt) || !p.startable() || !turns.HasCapacity(advisor.Base) {
 			continue
 		}
 		if workers := p.workersToRequest(advisor); len(workers) > 0 {
@@ -211,7 +211,7 @@
 	for _, p := range lowYield {
 		advisor, ok := p.advisor().Get()
 		intervalOver := now.Sub(p.openedAt) > lowYieldInterval && now.Sub(p.advice.lowYieldAt) > lowYieldInterval
-		if !ok || !turns.Free(advisor.Base) || !turns.Spare() && !intervalOver {
+		if !ok || !turns.HasCapacity(advisor.Base) || !turns.MostlyIdle() && !intervalOver {
 			continue
 		}
 		if workers := p.lowYieldWorkers(advisor); len(workers) > 0 {
@@ -221,10 +221,10 @@
 	}
 }
 
-func (s *Scheduler) requestAdvice(turns Turns, p *phase, advisor policy.Advice, workers []core.WorkerID) {
+func (s *Scheduler) requestAdvice(turns AdvicePeers, p *phase, advisor policy.Advisor, workers []core.WorkerID) {
 	p.advice.markRequested(s.now, advisor, len(workers))
 	s.counts.Asks++
-	turns.Take(AdviceRequest{Phase: p.id, Workers: workers, Cost: advisor.Cost(len(workers))})
+	turns.Send(AdviceRequest{Phase: p.id, Workers: workers, Cost: advisor.Cost(len(workers))})
 }
 
 // minStartCount returns how many tasks must start together.
--- a/core/fleet/advice_test.go
+++ b/core/fleet/advice_test.go
@@ -32,7 +32,7 @@
 func newHalfFullFixture(is *is.I, workers int) *fixture {
 	p := policy.New(1, []policy.Queue{{
 		Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 4, Latency: time.Second,
-		Advice: core.Some(policy.Advice{Base: 20 * time.Millisecond, PerWorker: time.Millisecond, Valid: time.Second}),
+		Advisor: core.Some(policy.Advisor{Base: 20 * time.Millisecond, PerWorker: time.Millisecond, TicketTTL: time.Second}),
 	}, {
 		Name: "any", Host: "h", Prefix: "/any/", Service: "s", Attempts: 3, Slowdown: 4, Latency: time.Second,
 	}}, []policy.Team{{Name: "t", Weight: 1000}}, []policy.Service{{Name: "s"}}, 0)
@@ -101,9 +101,9 @@
 }
 
 // newAdvisedFixture returns a scheduler of many free workers whose queue needs advice.
-func newAdvisedFixture(workers int, a policy.Advice) *fixture {
+func newAdvisedFixture(workers int, a policy.Advisor) *fixture {
 	p := policy.New(1, []policy.Queue{{
-		Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 4, Latency: time.Second, Advice: core.Some(a),
+		Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 4, Latency: time.Second, Advisor: core.Some(a),
 	}}, []policy.Team{{Name: "t", Weight: 1000}}, []policy.Service{{Name: "s"}}, 0)
 	return newLargeFixture(workers, p)
 }
@@ -146,7 +146,7 @@
 // request can find enough workers for it.
 func TestGangNeedsManyAdviceRequests(t *testing.T) {
 	is := is.New(t)
-	f := newAdvisedFixture(300, policy.Advice{Base: 400 * time.Millisecond, PerWorker: 4 * time.Millisecond, Valid: 800 * time.Millisecond})
+	f := newAdvisedFixture(300, policy.Advisor{Base: 400 * time.Millisecond, PerWorker: 4 * time.Millisecond, TicketTTL: 800 * time.Millisecond})
 	gang := newJob("g", 55, true)
 	gang.Phases[0].PerWorker = 1
 	f.Accept(f.now, gang)
@@ -158,7 +158,7 @@
 // end all tickets are valid at once.
 func TestStaggeredTickets(t *testing.T) {
 	is := is.New(t)
-	f := newAdvisedFixture(60, policy.Advice{Base: 400 * time.Millisecond, PerWorker: 8 * time.Millisecond, Valid: 1500 * time.Millisecond})
+	f := newAdvisedFixture(60, policy.Advisor{Base: 400 * time.Millisecond, PerWorker: 8 * time.Millisecond, TicketTTL: 1500 * time.Millisecond})
 	gang := newJob("g", 40, true)
 	gang.Phases[0].PerWorker = 1
 	f.Accept(f.now, gang)
@@ -181,7 +181,7 @@
 // though they are unlikely to be allowed.
 func TestUnlikelyAdviceRequest(t *testing.T) {
 	is := is.New(t)
-	f := newAdvisedFixture(6, policy.Advice{Base: 5 * time.Millisecond, PerWorker: 100 * time.Microsecond, Valid: time.Second})
+	f := newAdvisedFixture(6, policy.Advisor{Base: 5 * time.Millisecond, PerWorker: 100 * time.Microsecond, TicketTTL: time.Second})
 	f.Accept(f.now, newJob("g", 3, true))
 	f.Accept(f.now, newJob("other", 1, false))
 	var named []core.WorkerID
--- a/core/fleet/candidates.go
+++ b/core/fleet/candidates.go
@@ -60,7 +60,7 @@
 // adviceCandidates collects the workers that a request may name. For a gang it
 // prefers the workers with the most room, since each one named makes the call
 // longer; other phases leave large free room to the tasks that need it.
-func (p *phase) adviceCandidates(advisor policy.Advice) adviceCandidates {
+func (p *phase) adviceCandidates(advisor policy.Advisor) adviceCandidates {
 	s := p.job.scheduler
 	need := p.need()
 	// A ticket that expires before the call is answered cannot be combined with
@@ -114,7 +114,7 @@
 // start, but requests for all unnamed workers are, it names unnamed workers
 // only, to learn which of them are allowed. It returns none if no request is
 // worthwhile.
-func (p *phase) workersToRequest(advisor policy.Advice) []core.WorkerID {
+func (p *phase) workersToRequest(advisor policy.Advisor) []core.WorkerID {
 	s := p.job.scheduler
 	candidates := p.adviceCandidates(advisor)
 	if candidates.readySlots >= p.tasksWaiting || !s.withinLimit(p, p.need(), p.minStartCount()) {
@@ -159,7 +159,7 @@
 // lowYieldWorkers returns the workers for a request that is unlikely to let
 // tasks start, or the workers to learn about if the advisor has not answered
 // for the phase.
-func (p *phase) lowYieldWorkers(advisor policy.Advice) []core.WorkerID {
+func (p *phase) lowYieldWorkers(advisor policy.Advisor) []core.WorkerID {
 	candidates := p.adviceCandidates(advisor)
 	if !p.advice.received {
 		return candidates.firstUnnamed(maxRequestWorkers)
--- a/core/fleet/charts.go
+++ b/core/fleet/charts.go
@@ -36,14 +36,14 @@
 
 func init() {
 	taskChart = chart.Must(chart.Load(taskText, nil, map[string]chart.Action[*Task]{
-		"add_unresolved":    (*Task).addUnresolved,
-		"remove_unresolved": (*Task).removeUnresolved,
-		"reserve":           (*Task).reserve,
-		"release":           (*Task).release,
-		"mark_started":      (*Task).markStarted,
-		"order_stop":        (*Task).orderStop,
-		"mark_done":         (*Task).markDone,
-		"count_failure":     (*Task).countFailure,
+		"track":   (*Task).addUnresolved,
+		"untrack": (*Task).removeUnresolved,
+		"reserve": (*Task).reserve,
+		"release": (*Task).release,
+		"begin":   (*Task).markStarted,
+		"stop":    (*Task).orderStop,
+		"finish":  (*Task).markDone,
+		"count":   (*Task).countFailure,
 	}))
 	for name, ev := range map[string]*chart.Event{
 		"recover": &taskRecover, "clear": &taskClear, "found": &taskFound, "place": &taskPlace,
@@ -59,7 +59,7 @@
 		*st = taskChart.State(name)
 	}
 
-	jobChart = chart.Must(chart.Load(jobText, nil, map[string]chart.Action[*Job]{"drop_tasks": (*Job).dropTasks}))
+	jobChart = chart.Must(chart.Load(jobText, nil, map[string]chart.Action[*Job]{"drop": (*Job).dropTasks}))
 	for name, ev := range map[string]*chart.Event{
 		"begin": &jobBegin, "complete": &jobComplete, "fail": &jobFail, "cancel": &jobCancel,
 		"restore": &jobRestore, "recorded": &jobRecorded,
@@ -72,7 +72,7 @@
 		*st = jobChart.State(name)
 	}
 
-	workerChart = chart.Must(chart.Load(workerText, nil, map[string]chart.Action[*Worker]{"end_runs": (*Worker).endRuns}))
+	workerChart = chart.Must(chart.Load(workerText, nil, map[string]chart.Action[*Worker]{"end": (*Worker).endRuns}))
 	for name, ev := range map[string]*chart.Event{
 		"answer": &workerAnswer, "miss": &workerMiss, "lapse": &workerLapse, "vanish": &workerVanish,
 	} {
--- a/core/fleet/dump.go
+++ b/core/fleet/dump.go
@@ -74,7 +74,7 @@
 	}
 	for _, w := range s.sortedWorkers {
 		d.Workers = append(d.Workers, WorkerDump{
-			Worker: w.id, State: workerChart.Name(w.state), Room: w.info.Room, Free: w.free, Tasks: len(w.tasks), Strays: len(w.orphans),
+			Worker: w.id, State: workerChart.Name(w.state), Room: w.info.Capacity, Free: w.free, Tasks: len(w.tasks), Strays: len(w.orphans),
 			Usable: w.usable(), Recorded: w.inRoster, Foreign: len(w.unknownRuns),
 			Leaving: w.info.Leaving, SetAside: s.now.Before(w.asideUntil), Heard: s.now.Sub(w.answeredAt).Round(time.Millisecond).String(),
 			Taken: w.handledEnd, Acked: w.ackedEnd, Slow: w.slowness,
--- a/core/fleet/job.go
+++ b/core/fleet/job.go
@@ -225,7 +225,7 @@
 		return
 	}
 	adviceTime := time.Duration(0)
-	if a, ok := q.Advice.Get(); ok {
+	if a, ok := q.Advisor.Get(); ok {
 		adviceTime = a.Cost(deadlineWorkers)
 	}
 	allowed := time.Duration(q.Slowdown*float64(j.Spec.CriticalPath(adviceTime))) + q.Latency
--- a/core/fleet/model_test.go
+++ b/core/fleet/model_test.go
@@ -36,7 +36,7 @@
 
 func newWorkerInfo(i int) fleet.WorkerInfo {
 	return fleet.WorkerInfo{VM: core.VM{
-		Name: fmt.Sprintf("w%d", i), Kind: "worker", Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), Room: core.Resources{Cores: 4000, Memory: 4000}, Service: "s", Rack: "r",
+		Name: fmt.Sprintf("w%d", i), Kind: "worker", Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80), Capacity: core.Resources{Cores: 4000, Memory: 4000}, Service: "s", Rack: "r",
 	}}
 }
 
@@ -132,7 +132,7 @@
 // without knowing that they have been replaced, unless they are stopped.
 func (h *harness) addOwner() {
 	o := &simOwner{scheduler: fleet.New(h.now, core.Epoch(len(h.owners)+1), fleet.Limits{Lease: leaseDuration, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, h.policy)}
-	o.scheduler.Recover(h.storedRoster, nil)
+	o.scheduler.RestoreRoster(h.storedRoster, nil)
 	o.scheduler.Load(h.now, slices.Clone(h.storedSpecs), maps.Clone(h.storedProgress))
 	h.owners = append(h.owners, o)
 	h.listWorkers(o)
@@ -285,7 +285,7 @@
 
 // endTime returns when a run that a worker lists as ended has ended.
 func endTime(w *model.Worker, e fleet.EndedRun) time.Time {
-	i := slices.IndexFunc(w.Log, func(s *model.Start) bool { return s.Task == e.Task && s.Run == e.Run })
+	i := slices.IndexFunc(w.Log, func(s *model.RunRecord) bool { return s.Task == e.Task && s.Run == e.Run })
 	return w.Log[i].End
 }
 
@@ -321,11 +321,11 @@
 			h.t.Logf("%s owner %d: %s %s run %d on %s %s", h.now.Sub(startTime), i+1, d.Event, d.Task, d.Run, d.Worker, d.Reason)
 		}
 	}
-	active := map[jobs.TaskID]*model.Start{}
-	var starts []*model.Start
+	active := map[jobs.TaskID]*model.RunRecord{}
+	var starts []*model.RunRecord
 	for _, w := range h.workers {
-		if !w.Running().Fits(w.Info.Room) {
-			h.t.Fatalf("worker %s runs tasks of %+v with room for %+v", w.Info.Name, w.Running(), w.Info.Room)
+		if !w.Running().FitsIn(w.Info.Capacity) {
+			h.t.Fatalf("worker %s runs tasks of %+v with room for %+v", w.Info.Name, w.Running(), w.Info.Capacity)
 		}
 		starts = append(starts, w.Log...)
 	}
--- a/core/fleet/place.go
+++ b/core/fleet/place.go
@@ -137,7 +137,7 @@
 // free there.
 func (p *phase) canRunOn(w *Worker) bool {
 	s := p.job.scheduler
-	if !w.usable() || !p.need().Fits(w.info.Room) {
+	if !w.usable() || !p.need().FitsIn(w.info.Capacity) {
 		return false
 	}
 	if q := s.policy.Queues[p.job.Spec.Queue]; q == nil || q.Service != w.info.Service {
@@ -240,7 +240,7 @@
 // would leave little free room on, that is fast, and that is in the rack of the
 // data.
 func (p *phase) score(w *Worker, need core.Resources) float64 {
-	room := max(w.info.Room.Cores, 1)
+	room := max(w.info.Capacity.Cores, 1)
 	score := float64(w.free.Cores-need.Cores)/float64(room) + slownessWeight*w.slowness
 	if p.spec.Rack != "" && p.spec.Rack != w.info.Rack {
 		score += p.job.scheduler.limits.RemoteFactor
--- a/core/fleet/place_test.go
+++ b/core/fleet/place_test.go
@@ -210,14 +210,14 @@
 	requests []fleet.AdviceRequest
 }
 
-// Free implements fleet.Turns.
-func (t *fakeTurns) Free(time.Duration) bool { return !t.busy }
+// HasCapacity implements fleet.Turns.
+func (t *fakeTurns) HasCapacity(time.Duration) bool { return !t.busy }
 
-// Spare implements fleet.Turns.
-func (t *fakeTurns) Spare() bool { return !t.busy }
+// MostlyIdle implements fleet.Turns.
+func (t *fakeTurns) MostlyIdle() bool { return !t.busy }
 
-// Take implements fleet.Turns.
-func (t *fakeTurns) Take(a fleet.AdviceRequest) {
+// Send implements fleet.Turns.
+func (t *fakeTurns) Send(a fleet.AdviceRequest) {
 	t.requests = append(t.requests, a)
 	t.busy = true
 }
@@ -229,7 +229,7 @@
 	is := is.New(t)
 	p := policy.New(1, []policy.Queue{{
 		Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 2, Latency: time.Second,
-		Advice: core.Some(policy.Advice{Base: 10 * time.Millisecond, PerWorker: time.Millisecond, Valid: time.Second}),
+		Advisor: core.Some(policy.Advisor{Base: 10 * time.Millisecond, PerWorker: time.Millisecond, TicketTTL: time.Second}),
 	}}, []policy.Team{{Name: "t", Weight: 100}}, []policy.Service{{Name: "s"}}, 0)
 	f := newFixture(1, 4)
 	f.Scheduler = fleet.New(startTime, 1, fleet.Limits{Lease: leaseDuration, RemoteFactor: 1}, p)
@@ -263,7 +263,7 @@
 	is := is.New(t)
 	p := policy.New(1, []policy.Queue{{
 		Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 2, Latency: time.Second,
-		Advice: core.Some(policy.Advice{Base: 10 * time.Millisecond, Valid: time.Second}),
+		Advisor: core.Some(policy.Advisor{Base: 10 * time.Millisecond, TicketTTL: time.Second}),
 	}}, []policy.Team{{Name: "t", Weight: 100}}, []policy.Service{{Name: "s"}}, 0)
 	f := newFixture(1, 3)
 	f.Scheduler = fleet.New(startTime, 1, fleet.Limits{Lease: leaseDuration, RemoteFactor: 1}, p)
@@ -323,15 +323,15 @@
 	f.registerWorkers()
 	f.Accept(f.now, newJob("j", 1, false))
 	f.Cancel(f.now, "j")
-	is.Equal(len(f.Expired(f.now.Add(time.Hour), time.Minute, 10)), 0) // not stored yet
+	is.Equal(len(f.ForgetExpired(f.now.Add(time.Hour), time.Minute, 10)), 0) // not stored yet
 	f.Batch()
 	f.BatchStored(f.now)
 	f.advance(59 * time.Second)
-	is.Equal(len(f.Expired(f.now, time.Minute, 10)), 0)
+	is.Equal(len(f.ForgetExpired(f.now, time.Minute, 10)), 0)
 	_, known := f.State("j")
 	is.True(known)
 	f.advance(2 * time.Second)
-	is.Equal(f.Expired(f.now, time.Minute, 10), []core.JobID{"j"})
+	is.Equal(f.ForgetExpired(f.now, time.Minute, 10), []core.JobID{"j"})
 	_, known = f.State("j")
 	is.True(!known)
 }
--- a/core/fleet/roomhint.go
+++ b/core/fleet/roomhint.go
@@ -34,7 +34,7 @@
 	s.now = now
 	var out []core.WorkerID
 	for _, w := range s.sortedWorkers {
-		room := w.info.Room
+		room := w.info.Capacity
 		if w.usable() && w.free.Cores >= room.Cores/roomHintDivisor && w.free.Memory >= room.Memory/roomHintDivisor {
 			out = append(out, w.id)
 		}
@@ -58,7 +58,7 @@
 // EarlyCandidates selects the workers that a VM names when it requests advice
 // for the first phase of a job that it has just accepted. The candidates are
 // those of the last room hint.
-func EarlyCandidates(spec *jobs.Spec, advisor policy.Advice, candidates []core.WorkerID) []core.WorkerID {
+func EarlyCandidates(spec *jobs.Spec, advisor policy.Advisor, candidates []core.WorkerID) []core.WorkerID {
 	out := slices.Clone(candidates)
 	shuffleByHash(out, xxhash.Sum64String(string(spec.ID)))
 	return out[:min(len(out), earlyRequestSize(advisor, spec.Phases[0].Count))]
@@ -66,13 +66,13 @@
 
 // earlyRequestSize is how many workers a request names if neither their room
 // nor the share that the advisor allows is known.
-func earlyRequestSize(advisor policy.Advice, tasks int) int {
+func earlyRequestSize(advisor policy.Advisor, tasks int) int {
 	return min(max(int(math.Ceil(requestMargin*float64(tasks)/priorAllowedShare)), cheapRequestSize(advisor)), maxRequestWorkers)
 }
 
 // cheapRequestSize is the fewest workers that a request names, if there are as
 // many: naming them takes only half as long as the call's base time.
-func cheapRequestSize(advisor policy.Advice) int {
+func cheapRequestSize(advisor policy.Advisor) int {
 	if advisor.PerWorker <= 0 {
 		return maxRequestWorkers
 	}
--- a/core/fleet/scheduler.go
+++ b/core/fleet/scheduler.go
@@ -400,9 +400,9 @@
 	return id
 }
 
-// Expired forgets and returns at most limit jobs that ended longer than keep
+// ForgetExpired forgets and returns at most limit jobs that ended longer than keep
 // ago, so that their rows can be deleted.
-func (s *Scheduler) Expired(now time.Time, keep time.Duration, limit int) []core.JobID {
+func (s *Scheduler) ForgetExpired(now time.Time, keep time.Duration, limit int) []core.JobID {
 	var out []core.JobID
 	for len(s.closed) > 0 && len(out) < limit && now.Sub(s.closed[0].storedAt) > keep {
 		out = append(out, s.forgetOldest())
@@ -447,9 +447,9 @@
 	return p.tasks[id.Index]
 }
 
-// Settled reports whether every worker that an earlier owner may have used has
+// AllReported reports whether every worker that an earlier owner may have used has
 // reported.
-func (s *Scheduler) Settled() bool { return s.settled }
+func (s *Scheduler) AllReported() bool { return s.settled }
 
 // resolveRecovered lets the unresolved tasks start once every worker has
 // reported: a run that no worker listed does not exist.
@@ -486,7 +486,7 @@
 	var sum core.Resources
 	for _, w := range s.sortedWorkers {
 		if w.unreported() {
-			sum = sum.Add(w.info.Room)
+			sum = sum.Add(w.info.Capacity)
 		}
 	}
 	return sum
--- a/core/fleet/takeover_test.go
+++ b/core/fleet/takeover_test.go
@@ -212,7 +212,7 @@
 				f.advance(c.interval)
 				tracker.Observe(f.now, f.workers[:1])
 			}
-			f.Recover(f.workers, tracker.Since())
+			f.RestoreRoster(f.workers, tracker.MissingSince())
 			f.Load(f.now, []jobs.Spec{newJob("j", 1, false)}, nil)
 			f.SetWorkers(f.now, f.workers[:1])
 			f.RosterStored(f.Roster())
@@ -281,7 +281,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFixture(2, 2)
-			f.Recover(f.workers, nil)
+			f.RestoreRoster(f.workers, nil)
 			old, young := newJob("old", 1, false), newJob("young", 1, false)
 			old.FirstEpoch, young.FirstEpoch = 1, c.firstEpoch
 			stored := []jobs.Spec{old}
@@ -318,7 +318,7 @@
 		is := is.New(t)
 		f := newFixture(epoch, 2)
 		f.Scheduler = fleet.New(startTime, epoch, fleet.Limits{Lease: leaseDuration, RemoteFactor: 1}, newPolicy(core.Resources{}), fleet.WithLostState())
-		f.Recover(f.workers, nil)
+		f.RestoreRoster(f.workers, nil)
 		j := newJob("j", 1, false)
 		j.FirstEpoch = epoch
 		f.Load(f.now, []jobs.Spec{j}, nil)
@@ -343,7 +343,7 @@
 			is := is.New(t)
 			f := newFixture(2, 3)
 			f.SetPolicy(newPolicy(core.Resources{Cores: c.limit}))
-			f.Recover(f.workers, nil)
+			f.RestoreRoster(f.workers, nil)
 			old, young := newJob("old", 40, false), newJob("young", 4, false)
 			young.FirstEpoch = 2
 			f.Load(f.now, []jobs.Spec{old}, nil)
@@ -453,7 +453,7 @@
 	is := is.New(t)
 	f := newFixture(2, 2)
 	f.Scheduler = fleet.New(startTime, 2, fleet.Limits{Lease: 10 * time.Second, ListTimeout: 4500 * time.Millisecond, RemoteFactor: 1}, newPolicy(core.Resources{}))
-	f.Recover(f.workers, nil)
+	f.RestoreRoster(f.workers, nil)
 	f.Load(f.now, []jobs.Spec{newJob("j", 1, false)}, nil)
 	f.SetWorkers(f.now, f.workers[:1])
 	f.RosterStored(f.Roster())
--- a/core/fleet/worker.go
+++ b/core/fleet/worker.go
@@ -150,10 +150,10 @@
 	s.needsPlacement = true
 }
 
-// Recover adds the workers of the stored roster, which earlier owners may have
+// RestoreRoster adds the workers of the stored roster, which earlier owners may have
 // used. For workers that this process has found missing from the platform's
 // list, absent holds since when.
-func (s *Scheduler) Recover(infos []WorkerInfo, absent map[core.WorkerID]time.Time) {
+func (s *Scheduler) RestoreRoster(infos []WorkerInfo, absent map[core.WorkerID]time.Time) {
 	for _, info := range infos {
 		if s.workers[info.ID()] == nil {
 			s.addWorker(info.ID(), info).missingSince = absent[info.ID()]
@@ -191,7 +191,7 @@
 }
 
 func (s *Scheduler) addWorker(id core.WorkerID, info WorkerInfo) *Worker {
-	w := &Worker{id: id, scheduler: s, nameHash: xxhash.Sum64String(string(id)), state: workerChart.Start(), info: info, free: info.Room, tasks: map[jobs.TaskID]*Task{}}
+	w := &Worker{id: id, scheduler: s, nameHash: xxhash.Sum64String(string(id)), state: workerChart.Start(), info: info, free: info.Capacity, tasks: map[jobs.TaskID]*Task{}}
 	s.workers[id] = w
 	s.rosterVersion++
 	i, _ := slices.BinarySearchFunc(s.sortedWorkers, id, func(o *Worker, id core.WorkerID) int { return cmp.Compare(o.id, id) })
@@ -212,8 +212,8 @@
 		w.renewedAt = w.scheduler.now
 	}
 	w.listed, w.missingSince = true, time.Time{}
-	if info.Room != w.info.Room {
-		w.free = w.free.Add(info.Room).Sub(w.info.Room)
+	if info.Capacity != w.info.Capacity {
+		w.free = w.free.Add(info.Capacity).Sub(w.info.Capacity)
 	}
 	if w.incarnation.IsZero() {
 		w.setIncarnation(info.Incarnation)
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -210,8 +210,8 @@
 	return false
 }
 
-// Total returns the sum of all holders' parts of a row, as last read.
-func (l *Ledger) Total(name string) int64 {
+// Allocated returns the sum of all holders' parts of a row, as last read.
+func (l *Ledger) Allocated(name string) int64 {
 	e, ok := l.entries[name]
 	if !ok {
 		return 0
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -52,8 +52,8 @@
 // Session is the stored row of a session.
 type Session struct {
 	Process core.Process
-	// Beat counts the renewals.
-	Beat uint64
+	// Renewals counts the renewals.
+	Renewals uint64 `json:"Beat"`
 	// Config is the version of the configuration in force in the process.
 	Config core.Version
 	// Leaving is set during a planned stop.
@@ -131,9 +131,9 @@
 
 var (
 	sessionChart = chart.Must(chart.Load(sessionTOML, nil, map[string]chart.Action[*Member]{
-		"lose-cells":        (*Member).loseCells,
-		"release-cells":     (*Member).releaseCells,
-		"start-incarnation": (*Member).startIncarnation,
+		"lose":    (*Member).loseCells,
+		"release": (*Member).releaseCells,
+		"restart": (*Member).startIncarnation,
 	}))
 	// Events and states of the session chart.
 	sessionJoined  = sessionChart.Event("joined")
@@ -279,7 +279,7 @@
 
 // Row returns the session row of the next renewal.
 func (m *Member) Row() Session {
-	return Session{Process: m.self, Beat: m.beat + 1, Config: m.config, Leaving: m.state == sessionLeaving}
+	return Session{Process: m.self, Renewals: m.beat + 1, Config: m.config, Leaving: m.state == sessionLeaving}
 }
 
 // Renewed handles a successful write of the session row.
@@ -327,11 +327,11 @@
 		}
 		p := m.peers[id]
 		if p == nil {
-			p = &peer{joinBeat: s.Beat}
+			p = &peer{joinBeat: s.Renewals}
 			m.peers[id] = p
 		}
 		if m.joinedAt.IsZero() {
-			p.joinBeat = s.Beat
+			p.joinBeat = s.Renewals
 		}
 		if p.version != version {
 			p.session, p.version, p.seenAt = s, version, now
@@ -360,7 +360,7 @@
 	if m.renewalInFlight || version < m.sessionVersion {
 		return
 	}
-	m.sessionVersion, m.beat = version, s.Beat
+	m.sessionVersion, m.beat = version, s.Renewals
 }
 
 // observeClaim records a claim row as read by a scan.
@@ -411,8 +411,8 @@
 	return out
 }
 
-// Cells returns the number of cells of the region.
-func (m *Member) Cells() int { return m.cellCount }
+// CellCount returns the number of cells of the region.
+func (m *Member) CellCount() int { return m.cellCount }
 
 // Peers returns the other processes with a session, sorted by session ID.
 func (m *Member) Peers() []core.Process {
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -40,7 +40,7 @@
 		}
 		_, loading, _ := f.Owned()
 		for _, c := range loading {
-			f.Loaded(c.Cell)
+			f.CellLoaded(c.Cell)
 		}
 		f.scan()
 	}
@@ -100,7 +100,7 @@
 			f.claims[id] = c
 			f.SetClaim(c.Val, c.Version)
 		}
-		f.sessions = append(f.sessions, core.Row[member.Session]{Val: member.Session{Process: process("b"), Beat: 1}, Version: f.nextVersion()})
+		f.sessions = append(f.sessions, core.Row[member.Session]{Val: member.Session{Process: process("b"), Renewals: 1}, Version: f.nextVersion()})
 		// A scan returns older versions of the claim rows.
 		current := f.claims
 		f.claims = map[core.CellID]core.Row[member.Claim]{}
--- a/core/member/outage.go
+++ b/core/member/outage.go
@@ -45,15 +45,15 @@
 		p := m.peers[id].session.Process
 		if p.Role == core.RoleSched && p.Region == m.self.Region {
 			m.round.unanswered.Add(id)
-			out = append(out, AskHold{p, number, m.Row(), m.sessionVersion})
+			out = append(out, RenewOrPromise{p, number, m.Row(), m.sessionVersion})
 		}
 	}
 	m.extendIfPromised()
 	return out
 }
 
-// Held handles a peer's answer to AskHold.
-func (m *Member) Held(from core.SessionID, number int, a Answer) {
+// PeerAnswered handles a peer's answer to AskHold.
+func (m *Member) PeerAnswered(from core.SessionID, number int, a Answer) {
 	r := m.round
 	if r == nil || r.number != number || m.state != sessionLive {
 		return
@@ -109,7 +109,7 @@
 // to claim one of them.
 func (m *Member) Promise(now time.Time, from core.Process) Answer {
 	a := Answer{Scheds: m.regionScheds()}
-	if m.state == sessionGone || m.Reaches(now) {
+	if m.state == sessionGone || m.StoreReachable(now) {
 		// While others reach the store, an owner that does not must let its
 		// lease lapse.
 		return a
@@ -138,6 +138,6 @@
 	return out
 }
 
-// Reaches reports whether the store has answered a request that was sent within
+// StoreReachable reports whether the store has answered a request that was sent within
 // the last half of the lease time.
-func (m *Member) Reaches(now time.Time) bool { return now.Sub(m.storeReachedAt) < m.ttl/2 }
+func (m *Member) StoreReachable(now time.Time) bool { return now.Sub(m.storeReachedAt) < m.ttl/2 }
--- a/core/member/plan.go
+++ b/core/member/plan.go
@@ -39,9 +39,9 @@
 	}
 	// Probe asks a process whether it is alive.
 	Probe struct{ Process core.Process }
-	// AskHold asks a peer to renew this process's session or, if the peer does
+	// RenewOrPromise asks a peer to renew this process's session or, if the peer does
 	// not reach the store either, to promise not to claim its cells.
-	AskHold struct {
+	RenewOrPromise struct {
 		Peer  core.Process
 		Round int
 		Row   Session
@@ -56,13 +56,13 @@
 	}
 )
 
-func (WriteSession) action()  {}
-func (DeleteSession) action() {}
-func (Scan) action()          {}
-func (WriteClaim) action()    {}
-func (Probe) action()         {}
-func (AskHold) action()       {}
-func (Resign) action()        {}
+func (WriteSession) action()   {}
+func (DeleteSession) action()  {}
+func (Scan) action()           {}
+func (WriteClaim) action()     {}
+func (Probe) action()          {}
+func (RenewOrPromise) action() {}
+func (Resign) action()         {}
 
 // peerRound collects the answers to the AskHold requests sent at one time.
 type peerRound struct {
@@ -205,7 +205,7 @@
 			return false
 		}
 		// An owner that knows of this process would have asked for its promise.
-		return p.session.Beat >= p.joinBeat+minBeatsSinceJoin || now.Sub(p.seenAt) > MaxOutage
+		return p.session.Renewals >= p.joinBeat+minBeatsSinceJoin || now.Sub(p.seenAt) > MaxOutage
 	default:
 		return false
 	}
@@ -278,16 +278,16 @@
 	m.addRefusal(cellChart.Fire(&e.state, cellWon, e))
 }
 
-// Loaded handles the end of reading a cell's journal.
-func (m *Member) Loaded(id core.CellID) {
+// CellLoaded handles the end of reading a cell's journal.
+func (m *Member) CellLoaded(id core.CellID) {
 	if e := m.cells[id]; e != nil {
 		m.addRefusal(cellChart.Fire(&e.state, cellLoaded, e))
 	}
 }
 
-// Lost handles the proof that another process owns a cell: a worker or the store
+// CellLost handles the proof that another process owns a cell: a worker or the store
 // has refused this process's epoch.
-func (m *Member) Lost(id core.CellID) {
+func (m *Member) CellLost(id core.CellID) {
 	if e := m.cells[id]; e != nil {
 		m.addRefusal(cellChart.Fire(&e.state, cellLost, e))
 		m.nextScan = time.Time{}
@@ -343,11 +343,11 @@
 	}
 }
 
-// DeadFor returns the sessions to be deleted, none of which owns a cell: those of
+// SessionsToDelete returns the sessions to be deleted, none of which owns a cell: those of
 // processes found dead at least wait ago, and those of scheds that
 // have been silent for longer than evictSilentAfter. Deleting the session of a
 // silent sched is safe, since it can neither claim nor renew without its row.
-func (m *Member) DeadFor(now time.Time, wait time.Duration) []DeleteSession {
+func (m *Member) SessionsToDelete(now time.Time, wait time.Duration) []DeleteSession {
 	var out []DeleteSession
 	for _, id := range m.sortedPeers() {
 		p := m.peers[id]
--- a/core/model/worker.go
+++ b/core/model/worker.go
@@ -51,15 +51,15 @@
 	stopAt time.Time
 }
 
-// Start is the log entry of a run that a worker has started.
-type Start struct {
+// RunRecord is the log entry of a run that a worker has started.
+type RunRecord struct {
 	At     time.Time
 	Worker core.WorkerID
 	Task   jobs.TaskID
 	Run    uint64
 	// End is zero while the run is active.
-	End time.Time
-	How fleet.EndKind
+	End  time.Time
+	Kind fleet.EndKind
 	// Lost is set if the worker's incarnation ended before the end of the run was
 	// acknowledged, so that no owner can learn of that end.
 	Lost bool
@@ -91,7 +91,7 @@
 	// lower runs cannot be started.
 	barredRuns map[jobs.TaskID]uint64
 	// Log holds the runs of all incarnations.
-	Log []*Start
+	Log []*RunRecord
 	// MaxLease is the longest lease that the worker accepts.
 	MaxLease time.Duration
 	// LastLapse is the last time at which the worker had no lease.
@@ -140,7 +140,7 @@
 func (w *Worker) logEnd(r *run, at time.Time, kind fleet.EndKind) {
 	for _, s := range w.Log {
 		if s.Task == r.key.task && s.Run == r.key.run && s.End.IsZero() {
-			s.End, s.How = at, kind
+			s.End, s.Kind = at, kind
 		}
 	}
 }
@@ -234,7 +234,7 @@
 		return fleet.ReplyLeaseExpired
 	}
 	w.active = append(w.active, &run{key: runKey{o.Task, o.Run}, startedAt: w.now})
-	w.Log = append(w.Log, &Start{At: w.now, Worker: w.Info.ID(), Task: o.Task, Run: o.Run})
+	w.Log = append(w.Log, &RunRecord{At: w.now, Worker: w.Info.ID(), Task: o.Task, Run: o.Run})
 	return fleet.ReplyOK
 }
 
--- a/core/place/index.go
+++ b/core/place/index.go
@@ -68,15 +68,15 @@
 		x.tree(c).ReplaceOrInsert(entry{free.Cores, id, c})
 		return
 	}
-	x.Drop(id)
+	x.Remove(id)
 	c := &capacity{free, total}
 	x.workers[id] = c
 	x.free, x.total = x.free.Add(free), x.total.Add(total)
 	x.tree(c).ReplaceOrInsert(entry{free.Cores, id, c})
 }
 
-// Drop removes a worker.
-func (x *Index) Drop(id core.WorkerID) {
+// Remove removes a worker.
+func (x *Index) Remove(id core.WorkerID) {
 	c, ok := x.workers[id]
 	if !ok {
 		return
@@ -95,10 +95,10 @@
 // Len returns the number of workers.
 func (x *Index) Len() int { return len(x.workers) }
 
-// Best returns the worker with the least waste once need is placed on it, among
+// BestFit returns the worker with the least waste once need is placed on it, among
 // the workers that allow accepts. It compares only the first scanLimit workers with
 // enough free cores, and prefers workers without accelerators.
-func (x *Index) Best(need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
+func (x *Index) BestFit(need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
 	if need.Accel == 0 {
 		if id, ok := best(x.plain, need, allow); ok {
 			return id, true
@@ -107,17 +107,17 @@
 	return best(x.accel, need, allow)
 }
 
-// First returns the worker with the most free cores among those that have room
+// WorstFit returns the worker with the most free cores among those that have room
 // for need and that allow accepts. It prefers workers without accelerators. It is
 // the baseline to which Best is compared.
-func (x *Index) First(need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
+func (x *Index) WorstFit(need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
 	var found core.WorkerID
 	for _, tree := range []*btree.BTreeG[entry]{x.plain, x.accel} {
 		tree.DescendLessOrEqual(entry{cores: 1 << 62}, func(e entry) bool {
 			if e.cores < need.Cores {
 				return false
 			}
-			if need.Fits(e.capacity.free) && allow(e.id) {
+			if need.FitsIn(e.capacity.free) && allow(e.id) {
 				found = e.id
 			}
 			return found == ""
@@ -135,7 +135,7 @@
 	examined := 0
 	tree.AscendGreaterOrEqual(entry{cores: need.Cores}, func(e entry) bool {
 		examined++
-		if need.Fits(e.capacity.free) && allow(e.id) {
+		if need.FitsIn(e.capacity.free) && allow(e.id) {
 			if w := waste(e.capacity, need); found == "" || w < leastWaste {
 				found, leastWaste = e.id, w
 			}
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -11,19 +11,19 @@
 	"chicoryturn/core"
 )
 
-// Advice describes the calls to the external placement advisor of a queue. The
+// Advisor describes the calls to the external placement advisor of a queue. The
 // advisor issues the tickets that its tasks need to start.
-type Advice struct {
+type Advisor struct {
 	// Base is the duration of a call that names no worker; each worker named adds
 	// PerWorker.
 	Base      time.Duration
 	PerWorker time.Duration
-	// Valid is how long a ticket may be used after it was issued.
-	Valid time.Duration
+	// TicketTTL is how long a ticket may be used after it was issued.
+	TicketTTL time.Duration
 }
 
 // Cost returns the expected duration of a call that names n workers.
-func (a Advice) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.PerWorker }
+func (a Advisor) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.PerWorker }
 
 // Queue is the configuration of one queue.
 type Queue struct {
@@ -44,9 +44,9 @@
 	Timeout time.Duration
 	// Public queues accept requests without a key.
 	Public bool
-	// Advice is absent if the tasks may run on any worker of the service without a
+	// Advisor is absent if the tasks may run on any worker of the service without a
 	// ticket.
-	Advice core.Option[Advice]
+	Advisor core.Option[Advisor]
 }
 
 // Team is a customer.
@@ -124,8 +124,8 @@
 	return nil, "", false
 }
 
-// Key returns the team that a key belongs to.
-func (p *Policy) Key(key string) (*Team, bool) {
+// TeamOf returns the team that a key belongs to.
+func (p *Policy) TeamOf(key string) (*Team, bool) {
 	t, ok := p.byKey[key]
 	return t, ok
 }
--- a/core/rules/rules.go
+++ b/core/rules/rules.go
@@ -45,8 +45,8 @@
 	Cores int64
 	// Slots is the upper limit on requests in flight.
 	Slots int64
-	// AskedBy names the person who asked for the rule; it must not be empty.
-	AskedBy string
+	// RequestedBy names the person who asked for the rule; it must not be empty.
+	RequestedBy string
 	// Line is where the rules file defines the team.
 	Line int
 }
@@ -55,18 +55,18 @@
 type Queue struct {
 	Name core.Queue
 	Kind Kind
-	// Open queues accept work without a key; the caller names its team.
-	Open bool
+	// Public queues accept work without a key; the caller names its team.
+	Public bool
 	// Teams are the teams that may use the queue; empty means every team.
 	Teams []core.Team
 	// Service names the targets that answer requests.
 	Service core.Service
-	// Wait is the longest time that a request waits for a slot.
-	Wait time.Duration
-	// Run is the longest time that a request runs, at most LongestRun.
-	Run time.Duration
-	// Repeat is set if a failed request may be retried.
-	Repeat bool
+	// MaxWait is the longest time that a request waits for a slot.
+	MaxWait time.Duration
+	// RunTimeout is the longest time that a request runs, at most LongestRun.
+	RunTimeout time.Duration
+	// Retry is set if a failed request may be retried.
+	Retry bool
 	// Backlog bounds the requests that wait at one gate.
 	Backlog int
 	// Start is the target for the time from submission to the start of a task.
@@ -75,8 +75,8 @@
 	Due time.Duration
 	// Cores is the smallest task of the queue, in thousandths of a core.
 	Cores int64
-	// AskedBy names the person who asked for the rule; it must not be empty.
-	AskedBy string
+	// RequestedBy names the person who asked for the rule; it must not be empty.
+	RequestedBy string
 	// Line is where the rules file defines the queue.
 	Line int
 }
@@ -127,7 +127,7 @@
 	sort.Slice(order, func(i, j int) bool { return order[i].Line < order[j].Line })
 	sum := 0.0
 	for _, t := range order {
-		if t.AskedBy == "" {
+		if t.RequestedBy == "" {
 			addError(t.Line, "team %s has no comment that names who asked for it", t.Name)
 		}
 		if t.Share < 0 || t.Share > 100 {
@@ -143,7 +143,7 @@
 }
 
 func (s *Set) checkQueue(q *Queue, addError addErrorFunc) {
-	if q.AskedBy == "" {
+	if q.RequestedBy == "" {
 		addError(q.Line, "queue %s has no comment that names who asked for it", q.Name)
 	}
 	for _, t := range q.Teams {
@@ -162,7 +162,7 @@
 		if q.Service == "" {
 			addError(q.Line, "queue %s needs a service", q.Name)
 		}
-		if q.Wait <= 0 || q.Run <= 0 || q.Backlog <= 0 || q.Run > LongestRun {
+		if q.MaxWait <= 0 || q.RunTimeout <= 0 || q.Backlog <= 0 || q.RunTimeout > LongestRun {
 			addError(q.Line, "queue %s: wait, run and backlog must be positive and run at most %s", q.Name, LongestRun)
 		}
 	case Batch, Gang, Daemon:
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -48,15 +48,15 @@
 // SetTotal sets the room of this cell.
 func (t *Table) SetTotal(total core.Resources) { t.total = total }
 
-// SetAfar sets what a team uses in other cells and the room of the whole fleet,
+// SetRemoteUse sets what a team uses in other cells and the room of the whole fleet,
 // both in thousandths of a core.
-func (t *Table) SetAfar(team core.Team, cores, fleetCores int64) {
+func (t *Table) SetRemoteUse(team core.Team, cores, fleetCores int64) {
 	t.remote[team] = cores
 	t.fleetCores = fleetCores
 }
 
-// Use adds to what a team uses in this cell; negative amounts reduce it.
-func (t *Table) Use(team core.Team, r core.Resources) { t.used[team] = t.used[team].Add(r) }
+// AddUse adds to what a team uses in this cell; negative amounts reduce it.
+func (t *Table) AddUse(team core.Team, r core.Resources) { t.used[team] = t.used[team].Add(r) }
 
 // Used returns what a team uses in this cell.
 func (t *Table) Used(team core.Team) core.Resources { return t.used[team] }
--- a/core/types.go
+++ b/core/types.go
@@ -86,8 +86,8 @@
 	return Resources{max(r.Cores, o.Cores), max(r.Memory, o.Memory), max(r.Accel, o.Accel)}
 }
 
-// Fits reports whether r is at most o in each dimension.
-func (r Resources) Fits(o Resources) bool {
+// FitsIn reports whether r is at most o in each dimension.
+func (r Resources) FitsIn(o Resources) bool {
 	return r.Cores <= o.Cores && r.Memory <= o.Memory && r.Accel <= o.Accel
 }
 
@@ -115,8 +115,8 @@
 	Rack   string
 	// Leaving is set when the platform is about to remove the VM.
 	Leaving bool
-	// Room is the capacity of a worker.
-	Room Resources
+	// Capacity is the capacity of a worker.
+	Capacity Resources `json:"Room"`
 	// Service is the service of a target, and Slots the number of requests that
 	// it handles at once.
 	Service Service
--- a/io/adapt/adapt.go
+++ b/io/adapt/adapt.go
@@ -85,7 +85,7 @@
 
 // Write applies a transaction once; if there is no answer, the outcome is
 // unknown.
-func (s *Store) Write(ctx context.Context, t table.Txn) (done table.Done, err error) {
+func (s *Store) Write(ctx context.Context, t table.Txn) (done table.WriteResult, err error) {
 	err = s.write.do(ctx, func(ctx context.Context) error {
 		done, err = s.table.Write(ctx, t)
 		return err
@@ -110,6 +110,6 @@
 
 // Feed waits for changes for as long as f specifies; it has no adaptive
 // time-out.
-func (s *Store) Feed(ctx context.Context, f table.Since) (table.Changes, error) {
+func (s *Store) Feed(ctx context.Context, f table.FeedRequest) (table.Changes, error) {
 	return s.table.Feed(ctx, f)
 }
--- a/io/adapt/adapt_test.go
+++ b/io/adapt/adapt_test.go
@@ -33,11 +33,11 @@
 	}
 }
 
-func (s *slowTable) Write(ctx context.Context, _ table.Txn) (table.Done, error) {
+func (s *slowTable) Write(ctx context.Context, _ table.Txn) (table.WriteResult, error) {
 	if err := s.wait(ctx); err != nil {
-		return table.Done{}, err
+		return table.WriteResult{}, err
 	}
-	return table.Done{}, nil
+	return table.WriteResult{}, nil
 }
 
 func (s *slowTable) Read(ctx context.Context, _ table.Range) (table.Page, error) {
@@ -47,7 +47,7 @@
 	return table.Page{}, nil
 }
 
-func (s *slowTable) Feed(context.Context, table.Since) (table.Changes, error) {
+func (s *slowTable) Feed(context.Context, table.FeedRequest) (table.Changes, error) {
 	return table.Changes{}, nil
 }
 
--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -50,18 +50,18 @@
 // Peers calls other processes.
 type Peers interface {
 	Alive(ctx context.Context, to core.Process) (peer.Alive, error)
-	Hold(ctx context.Context, to core.Process, row member.Session, version uint64, resign bool) (member.Answer, error)
-	Keep(addrs core.Set[netip.AddrPort])
+	RenewOrPromise(ctx context.Context, to core.Process, row member.Session, version uint64, resign bool) (member.Answer, error)
+	CloseExcept(addrs core.Set[netip.AddrPort])
 }
 
-// Host is the process's own control state, which the agent notifies of changes.
-type Host interface {
+// Callbacks is the process's own control state, which the agent notifies of changes.
+type Callbacks interface {
 	// ConfigChanged is called after a new configuration has come into force.
 	ConfigChanged(now time.Time)
 	// VMsChanged is called after a new list of VMs has been read.
 	VMsChanged(now time.Time, vms []core.VM)
-	// BookRead is called after a ledger's rows have been read.
-	BookRead(now time.Time)
+	// LedgerRead is called after a ledger's rows have been read.
+	LedgerRead(now time.Time)
 }
 
 // Agent is the control state that gates and scheds share.
@@ -69,11 +69,11 @@
 	loop    *loop.Loop
 	store   Store
 	peers   Peers
-	host    Host
+	host    Callbacks
 	log     *logrus.Entry
 	name    core.SessionID
 	Member  *member.Member
-	Conf    *conf.Config
+	Config  *conf.Config
 	ledgers []*ledgerSync
 	vms     []core.VM
 	vmsRead bool
@@ -102,9 +102,9 @@
 }
 
 // New returns an agent of a process that has not joined yet.
-func New(l *loop.Loop, s Store, p Peers, h Host, m *member.Member, log *logrus.Entry) *Agent {
+func New(l *loop.Loop, s Store, p Peers, h Callbacks, m *member.Member, log *logrus.Entry) *Agent {
 	return &Agent{
-		loop: l, store: s, peers: p, host: h, log: log, Member: m, Conf: conf.New(), name: m.Self().ID, failing: map[string]bool{},
+		loop: l, store: s, peers: p, host: h, log: log, Member: m, Config: conf.New(), name: m.Self().ID, failing: map[string]bool{},
 	}
 }
 
@@ -124,20 +124,20 @@
 	}
 }
 
-// Name returns the session ID with which the process started. A rejoin does
+// InitialSession returns the session ID with which the process started. A rejoin does
 // not change it, so traffic goroutines may call Name.
-func (a *Agent) Name() core.SessionID { return a.name }
+func (a *Agent) InitialSession() core.SessionID { return a.name }
 
 // VMs returns the VMs of the list read last.
 func (a *Agent) VMs() []core.VM { return a.vms }
 
-// Listed reports whether the list of VMs has been read at least once.
-func (a *Agent) Listed() bool { return a.vmsRead }
+// VMsRead reports whether the list of VMs has been read at least once.
+func (a *Agent) VMsRead() bool { return a.vmsRead }
 
 // Ready reports whether the process can do work: its session is live, the list
 // of VMs has been read and a configuration is in force.
 func (a *Agent) Ready() bool {
-	return a.Member.State() == "live" && a.vmsRead && a.Conf.Version() > 0
+	return a.Member.State() == "live" && a.vmsRead && a.Config.Version() > 0
 }
 
 // logFailureOnce logs the first failure of an operation that is repeated, and
@@ -177,7 +177,7 @@
 		a.Member.Probed(now, m.id, m.liveness)
 	case renewalAnswered:
 		a.log.Debugf("peer %s answered the renewal request: renewed %t, promised %t, dead %t", m.from, m.answer.Renewed, m.answer.Promised, m.answer.Dead)
-		a.Member.Held(m.from, m.round, m.answer)
+		a.Member.PeerAnswered(m.from, m.round, m.answer)
 	case renewalRequest:
 		a.handleRenewalRequest(now, m)
 	case peerRenewalDone:
@@ -248,7 +248,7 @@
 func (a *Agent) Dump() Dump {
 	d := Dump{
 		Session: string(a.Member.Self().ID), State: a.Member.State(), Stored: a.Member.StoreReachedAt(),
-		Config: a.Conf.Version(), Confirmed: a.Conf.Confirmed(), Peers: a.Member.Peers(),
+		Config: a.Config.Version(), Confirmed: a.Config.Confirmed(), Peers: a.Member.Peers(),
 		Owners: map[string]core.SessionID{}, VMs: len(a.vms),
 	}
 	for id, p := range a.Member.Owners() {
@@ -257,7 +257,7 @@
 	for _, s := range a.ledgers {
 		l := s.ledger
 		for _, name := range l.Names() {
-			d.Limits = append(d.Limits, LimitPart{l.Holder(), name, l.Held(name), l.Used(name), l.Available(name), l.Total(name)})
+			d.Limits = append(d.Limits, LimitPart{l.Holder(), name, l.Held(name), l.Used(name), l.Available(name), l.Allocated(name)})
 		}
 	}
 	return d
--- a/io/agent/compact.go
+++ b/io/agent/compact.go
@@ -58,7 +58,7 @@
 	if err != nil || view.Version < v {
 		return err
 	}
-	snap := configSnapshot{Version: view.Version, Rules: view.Object}
+	snap := configSnapshot{Version: view.Version, Rules: view.RulesObject}
 	for _, k := range view.Keys {
 		snap.Keys = append(snap.Keys, keySnapshot{k.ID, string(k.Team), k.Hash, k.State()})
 	}
@@ -87,7 +87,7 @@
 	}
 	for _, r := range changes {
 		if r.Key <= configKey(view.Version-min(view.Version, snapshotInterval)) {
-			t.Dels = append(t.Dels, r.Key)
+			t.Deletes = append(t.Deletes, r.Key)
 		}
 	}
 	_, err = a.store.Write(ctx, t)
--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -95,10 +95,10 @@
 	}
 	a.readingConfig = true
 	a.nextConfigRead = now.Add(configInterval)
-	after := a.Conf.Version()
+	after := a.Config.Version()
 	a.loop.Go(func(ctx context.Context) loop.Message {
 		m := configRead{sent: time.Now()}
-		ctx, cancel := context.WithTimeout(ctx, store.Quick)
+		ctx, cancel := context.WithTimeout(ctx, store.LeaseTimeout)
 		defer cancel()
 		m.err = a.readChanges(ctx, after, &m)
 		return m
@@ -154,9 +154,9 @@
 func (a *Agent) handleConfigRead(now time.Time, m configRead) {
 	a.readingConfig = false
 	a.logFailureOnce("reading the configuration", m.err)
-	before := a.Conf.Version()
+	before := a.Config.Version()
 	if m.snapshot != nil {
-		a.Conf.Restore(m.snapshot.version, m.snapshot.rules, m.snapshot.keys)
+		a.Config.Restore(m.snapshot.version, m.snapshot.rules, m.snapshot.keys)
 		a.rulesObject = m.snapshot.rulesObject
 	}
 	if m.rulesObject != "" {
@@ -165,9 +165,9 @@
 	err := a.applyAll(m.changes)
 	a.logFailureOnce("applying the configuration", err)
 	if m.err == nil && err == nil {
-		a.Conf.Confirm(m.sent)
+		a.Config.Confirm(m.sent)
 	}
-	if v := a.Conf.Version(); v != before {
+	if v := a.Config.Version(); v != before {
 		a.log.Infof("configuration version %d is in force", v)
 		a.Member.SetConfig(v)
 		a.host.ConfigChanged(now)
@@ -177,7 +177,7 @@
 // applyAll puts changes in force in order and stops at the first that fails.
 func (a *Agent) applyAll(changes []conf.Change) error {
 	for _, c := range changes {
-		if err := a.Conf.Apply(c); err != nil {
+		if err := a.Config.Apply(c); err != nil {
 			return err
 		}
 	}
@@ -188,12 +188,12 @@
 // while the store does not answer: once the last confirmation is older than half
 // of conf.ConfirmWithin.
 func (a *Agent) confirm(now time.Time) {
-	if a.confirming || now.Before(a.nextConfirm) || now.Sub(a.Conf.Confirmed()) < conf.ConfirmWithin/2 || a.Conf.Version() == 0 {
+	if a.confirming || now.Before(a.nextConfirm) || now.Sub(a.Config.Confirmed()) < conf.MaxConfirmAge/2 || a.Config.Version() == 0 {
 		return
 	}
 	a.confirming = true
 	a.nextConfirm = now.Add(configInterval)
-	peers, version := a.Member.Peers(), a.Conf.Version()
+	peers, version := a.Member.Peers(), a.Config.Version()
 	a.loop.Go(func(ctx context.Context) loop.Message {
 		at, ok := a.confirmWithPeers(ctx, peers, version)
 		return confirmDone{at, version, ok}
@@ -237,7 +237,7 @@
 		case p.alive.Config > version:
 			return time.Time{}, false
 		default:
-			storeUnreachable = storeUnreachable && !p.alive.Stored
+			storeUnreachable = storeUnreachable && !p.alive.StoreReachable
 			if at := sent.Add(-p.alive.Confirmed); p.alive.Config == version && at.After(newest) {
 				newest = at
 			}
@@ -253,8 +253,8 @@
 // force since the peers were asked.
 func (a *Agent) handleConfirm(m confirmDone) {
 	a.confirming = false
-	if m.ok && m.version == a.Conf.Version() {
-		a.Conf.Confirm(m.confirmedAt)
+	if m.ok && m.version == a.Config.Version() {
+		a.Config.Confirm(m.confirmedAt)
 	}
 }
 
@@ -264,11 +264,11 @@
 	Version core.Version
 	Rules   *rules.Set
 	Keys    []*conf.Key
-	// Object names the object that holds the rules file; empty while no rules
+	// RulesObject names the object that holds the rules file; empty while no rules
 	// have been pushed.
-	Object string
-	// Lowest is the lowest version in force in any live process.
-	Lowest core.Version
+	RulesObject string
+	// LowestVersion is the lowest version in force in any live process.
+	LowestVersion core.Version
 }
 
 // View returns the configuration in force; it is called by traffic goroutines.
@@ -280,7 +280,7 @@
 func (a *Agent) HandleView(now time.Time, m loop.Message) bool {
 	request, ok := m.(viewRequest)
 	if ok {
-		request.reply <- View{a.Conf.Version(), a.Conf.Rules(), a.Conf.Keys(), a.rulesObject, a.Member.LowestConfig(now)}
+		request.reply <- View{a.Config.Version(), a.Config.Rules(), a.Config.Keys(), a.rulesObject, a.Member.LowestConfig(now)}
 	}
 	return ok
 }
@@ -314,7 +314,7 @@
 		return "", 0, err
 	}
 	if _, ok := view.Rules.Teams[team]; !ok {
-		return "", 0, core.Refuse(core.CodeNoTeam, "no rule for team %q", team)
+		return "", 0, core.Refuse(core.CodeUnknownTeam, "no rule for team %q", team)
 	}
 	id, secret := randomHex(nonceBytes), randomHex(secretBytes)
 	v, err := a.appendChange(ctx, view.Version+1, storedChange{
@@ -366,7 +366,7 @@
 			v++
 		default:
 			if written, readErr := a.wasWritten(ctx, v, c.Nonce); readErr != nil {
-				return 0, core.RefuseUnknown(core.CodeStore, err, "the change may or may not have been accepted as version %d", v)
+				return 0, core.RefuseUnknown(core.CodeStoreUnavailable, err, "the change may or may not have been accepted as version %d", v)
 			} else if written {
 				return v, nil
 			}
@@ -428,7 +428,7 @@
 // storeRefusal returns the refusal of an operation that changed nothing because
 // the store failed.
 func storeRefusal(err error) error {
-	r := core.Refuse(core.CodeStore, "nothing was changed")
+	r := core.Refuse(core.CodeStoreUnavailable, "nothing was changed")
 	r.Err = err
 	r.RetryAfter = time.Second
 	return r
@@ -438,10 +438,10 @@
 type History struct {
 	Version core.Version
 	Kind    conf.ChangeKind
-	// What names the object of a rules file, or the key and its team.
-	What string
-	By   string
-	At   time.Time
+	// Subject names the object of a rules file, or the key and its team.
+	Subject string `json:"What"`
+	By      string
+	At      time.Time
 }
 
 // History returns the accepted changes that compaction has kept, oldest first.
@@ -472,10 +472,10 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	if view.Object == "" {
+	if view.RulesObject == "" {
 		return nil, 0, core.Refuse(core.CodeBadInput, "no rules have been pushed")
 	}
-	text, err := a.store.Object(ctx, view.Object)
+	text, err := a.store.Object(ctx, view.RulesObject)
 	if err != nil {
 		return nil, 0, storeRefusal(err)
 	}
--- a/io/agent/limits.go
+++ b/io/agent/limits.go
@@ -138,7 +138,7 @@
 		}
 		s.ledger.Observe(name, r.Version, row)
 	}
-	a.host.BookRead(now)
+	a.host.LedgerRead(now)
 	a.writeLedger(s)
 }
 
@@ -189,7 +189,7 @@
 		return
 	}
 	a.nextReclaim = now.Add(reclaimInterval)
-	dead := a.Member.DeadFor(now, a.longestRequestTime())
+	dead := a.Member.SessionsToDelete(now, a.longestRequestTime())
 	if len(dead) == 0 {
 		return
 	}
@@ -207,8 +207,8 @@
 // longestRequestTime returns the highest run time limit of all queues.
 func (a *Agent) longestRequestTime() time.Duration {
 	longest := time.Duration(0)
-	for _, q := range a.Conf.Rules().Queues {
-		longest = max(longest, q.Run)
+	for _, q := range a.Config.Rules().Queues {
+		longest = max(longest, q.RunTimeout)
 	}
 	return longest
 }
@@ -221,7 +221,7 @@
 		return err
 	}
 	key := sessionKey(session.ID)
-	t := store.Txn{Checks: []store.Check{{Key: key, Version: session.Version}}, Dels: []string{key}}
+	t := store.Txn{Checks: []store.Check{{Key: key, Version: session.Version}}, Deletes: []string{key}}
 	for _, r := range rows {
 		var row ledger.Row
 		if json.Unmarshal(r.Val, &row) != nil {
--- a/io/agent/session.go
+++ b/io/agent/session.go
@@ -123,7 +123,7 @@
 		a.loop.Go(func(ctx context.Context) loop.Message {
 			return probeDone{action.Process.ID, a.probe(ctx, action.Process)}
 		})
-	case member.AskHold:
+	case member.RenewOrPromise:
 		a.loop.Go(func(ctx context.Context) loop.Message { return a.requestRenewal(ctx, action) })
 	case member.Resign:
 		a.log.Warn("the store is unreachable from this process but not from its peers; giving up all cells")
@@ -131,7 +131,7 @@
 			ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 			defer cancel()
 			// If this fails, the session's lease expires later.
-			_, _ = a.peers.Hold(ctx, action.Peer, member.Session{Process: action.Process}, 0, true)
+			_, _ = a.peers.RenewOrPromise(ctx, action.Peer, member.Session{Process: action.Process}, 0, true)
 			return nil
 		})
 	}
@@ -144,7 +144,7 @@
 	if err := t.Set(key, row); err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, store.Quick)
+	ctx, cancel := context.WithTimeout(ctx, store.LeaseTimeout)
 	defer cancel()
 	return a.store.Write(ctx, t)
 }
@@ -170,7 +170,7 @@
 // readMembers reads the rows of all sessions and claims.
 func (a *Agent) readMembers(ctx context.Context) loop.Message {
 	m := membersRead{sent: time.Now()}
-	ctx, cancel := context.WithTimeout(ctx, store.Quick)
+	ctx, cancel := context.WithTimeout(ctx, store.LeaseTimeout)
 	defer cancel()
 	rows, err := a.store.Scan(ctx, memberPrefix, "")
 	if err != nil {
@@ -217,7 +217,7 @@
 	for _, p := range a.Member.Peers() {
 		keep.Add(p.Peer)
 	}
-	a.peers.Keep(keep)
+	a.peers.CloseExcept(keep)
 }
 
 // writeClaim writes a cell's claim if the claim's row and the own session row
@@ -230,7 +230,7 @@
 	if err := t.Set(key, action.Claim); err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, store.Quick)
+	ctx, cancel := context.WithTimeout(ctx, store.LeaseTimeout)
 	defer cancel()
 	return a.store.Write(ctx, t)
 }
@@ -286,10 +286,10 @@
 
 // requestRenewal asks a peer to renew this process's session, or to promise not
 // to claim its cells. It probes a peer that does not answer.
-func (a *Agent) requestRenewal(ctx context.Context, action member.AskHold) loop.Message {
+func (a *Agent) requestRenewal(ctx context.Context, action member.RenewOrPromise) loop.Message {
 	ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
 	defer cancel()
-	answer, err := a.peers.Hold(ctx, action.Peer, action.Row, action.Version, false)
+	answer, err := a.peers.RenewOrPromise(ctx, action.Peer, action.Row, action.Version, false)
 	if err != nil {
 		answer = member.Answer{Dead: a.probe(context.WithoutCancel(ctx), action.Peer) == member.Dead}
 	}
@@ -309,13 +309,13 @@
 	if m.resign {
 		a.loop.Go(func(ctx context.Context) loop.Message {
 			// If this fails, the session's lease expires later.
-			_, _ = a.store.Write(ctx, store.Txn{Dels: []string{sessionKey(m.row.Process.ID)}})
+			_, _ = a.store.Write(ctx, store.Txn{Deletes: []string{sessionKey(m.row.Process.ID)}})
 			m.reply <- member.Answer{}
 			return nil
 		})
 		return
 	}
-	if !a.Member.Reaches(now) {
+	if !a.Member.StoreReachable(now) {
 		m.reply <- a.Member.Promise(now, m.row.Process)
 		return
 	}
@@ -344,8 +344,8 @@
 
 func (a *Agent) alive(now time.Time) peer.Alive {
 	return peer.Alive{
-		Session: a.Member.Self().ID, Stored: a.Member.Reaches(now),
-		Config: a.Conf.Version(), Confirmed: now.Sub(a.Conf.Confirmed()),
+		Session: a.Member.Self().ID, StoreReachable: a.Member.StoreReachable(now),
+		Config: a.Config.Version(), Confirmed: now.Sub(a.Config.Confirmed()),
 	}
 }
 
@@ -358,7 +358,7 @@
 func (a *Agent) DeleteSession(done chan<- struct{}) {
 	key := sessionKey(a.Member.Self().ID)
 	a.loop.Go(func(ctx context.Context) loop.Message {
-		if _, err := a.store.Write(ctx, store.Txn{Dels: []string{key}}); err != nil {
+		if _, err := a.store.Write(ctx, store.Txn{Deletes: []string{key}}); err != nil {
 			a.log.WithError(err).Warn("session row not deleted; the session's lease will expire")
 		}
 		close(done)
--- a/io/check/check.go
+++ b/io/check/check.go
@@ -14,13 +14,13 @@
 // Violation is a violation of an invariant at one time.
 type Violation struct {
 	Invariant string
-	What      string
+	Detail    string
 	At        time.Time
 }
 
 // String returns the violation as one line.
 func (v Violation) String() string {
-	return fmt.Sprintf("%s: %s at %s", v.Invariant, v.What, v.At.Format("15:04:05.000000"))
+	return fmt.Sprintf("%s: %s at %s", v.Invariant, v.Detail, v.At.Format("15:04:05.000000"))
 }
 
 // The violated invariants.
@@ -31,8 +31,8 @@
 	Twice = "running twice"
 	// Limit is the use of more cores or requests than a team's limit.
 	Limit = "limit"
-	// Lost is a submitted task that never ran to its end.
-	Lost = "lost task"
+	// LostTask is a submitted task that never ran to its end.
+	LostTask = "lost task"
 	// Slots is a target with more requests at once than slots.
 	Slots = "slots"
 	// Repeat is a request that reached targets twice but must not be retried.
@@ -90,7 +90,7 @@
 		}
 		runningOn[e.Task] = e.Worker
 		used[e.Worker] = used[e.Worker].Add(need)
-		if !used[e.Worker].Fits(l.capacity[e.Worker]) {
+		if !used[e.Worker].FitsIn(l.capacity[e.Worker]) {
 			out = append(out, Violation{Room, fmt.Sprintf("%s holds %+v of %+v", e.Worker, used[e.Worker], l.capacity[e.Worker]), e.At})
 		}
 		teamCores[e.Team] += need.Cores
@@ -123,9 +123,9 @@
 	return out
 }
 
-// Use returns the resources that each team used between two times, multiplied by the
+// Usage returns the resources that each team used between two times, multiplied by the
 // seconds of use. Cores and accelerators are in thousandths.
-func (l *Log) Use(from, to time.Time) map[core.Team]core.Resources {
+func (l *Log) Usage(from, to time.Time) map[core.Team]core.Resources {
 	out := map[core.Team]core.Resources{}
 	started := map[string]fakes.TaskRecord{}
 	add := func(e fakes.TaskRecord, end time.Time) {
@@ -158,9 +158,9 @@
 	return out
 }
 
-// Calls returns a violation for every request that started while its team had as many
+// RequestViolations returns a violation for every request that started while its team had as many
 // requests running as its limit allows.
-func Calls(targets []fakes.TargetRecord, limits map[core.Team]int64) []Violation {
+func RequestViolations(targets []fakes.TargetRecord, limits map[core.Team]int64) []Violation {
 	type edge struct {
 		at   time.Time
 		team string
@@ -192,14 +192,14 @@
 	return out
 }
 
-// Targets returns the violations of Slots and Repeat. The parameter once holds the IDs
+// TargetViolations returns the violations of Slots and Repeat. The parameter once holds the IDs
 // of the requests that must not be retried.
-func Targets(targets []fakes.TargetRecord, once core.Set[string]) []Violation {
+func TargetViolations(targets []fakes.TargetRecord, once core.Set[string]) []Violation {
 	var out []Violation
 	seen := map[string]fakes.Hit{}
 	for _, t := range targets {
 		if t.Overfull > 0 {
-			out = append(out, Violation{Slots, fmt.Sprintf("%d requests at once on %d slots", t.Most, t.Slots), time.Time{}})
+			out = append(out, Violation{Slots, fmt.Sprintf("%d requests at once on %d slots", t.MaxInFlight, t.Slots), time.Time{}})
 		}
 		for _, h := range t.Hits {
 			if first, ok := seen[h.ID]; ok && once.Has(h.ID) {
--- a/io/check/check_test.go
+++ b/io/check/check_test.go
@@ -57,10 +57,10 @@
 func TestTargets(t *testing.T) {
 	is := is.New(t)
 	records := []fakes.TargetRecord{
-		{Slots: 8, Most: 9, Overfull: 1, Hits: []fakes.Hit{{Target: "t1", ID: "r1"}}},
-		{Slots: 8, Most: 1, Hits: []fakes.Hit{{Target: "t2", ID: "r1"}, {Target: "t2", ID: "r2"}, {Target: "t2", ID: "r2"}}},
+		{Slots: 8, MaxInFlight: 9, Overfull: 1, Hits: []fakes.Hit{{Target: "t1", ID: "r1"}}},
+		{Slots: 8, MaxInFlight: 1, Hits: []fakes.Hit{{Target: "t2", ID: "r1"}, {Target: "t2", ID: "r2"}, {Target: "t2", ID: "r2"}}},
 	}
-	violations := check.Targets(records, core.NewSet("r1"))
+	violations := check.TargetViolations(records, core.NewSet("r1"))
 	is.Equal(len(violations), 2)
 	is.Equal(violations[0].Invariant, check.Slots)
 	is.Equal(violations[1].Invariant, check.Repeat)
--- a/io/demo/caller.go
+++ b/io/demo/caller.go
@@ -50,14 +50,14 @@
 	Team   core.Team
 	ID     string
 	Status int
-	// Run states whether a target executed the request.
-	Run core.Execution
+	// Execution states whether a target executed the request.
+	Execution core.Execution
 	// Code is set if the request was refused.
 	Code core.Code
 	Body string
-	// Took is the time from sending the request to the end of the answer. WorkTime
+	// Elapsed is the time from sending the request to the end of the answer. WorkTime
 	// is the time that the target was told to take for it.
-	Took, WorkTime time.Duration
+	Elapsed, WorkTime time.Duration
 	// Err is set if there was no answer.
 	Err error
 }
@@ -86,8 +86,8 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	r.Took = time.Since(start)
-	r.Status, r.Run, r.Body, r.Err = resp.StatusCode, core.Execution(resp.Header.Get(httpx.RunHeader)), string(body), err
+	r.Elapsed = time.Since(start)
+	r.Status, r.Execution, r.Body, r.Err = resp.StatusCode, core.Execution(resp.Header.Get(httpx.ExecutionHeader)), string(body), err
 	if resp.StatusCode >= http.StatusBadRequest {
 		var refusal httpx.Refusal
 		_ = json.Unmarshal(body, &refusal)
@@ -118,7 +118,7 @@
 	if resp.StatusCode >= http.StatusBadRequest {
 		var r httpx.Refusal
 		_ = json.Unmarshal(text, &r)
-		return &core.RefusalError{Code: core.Code(r.Code), Execution: core.Execution(r.Run), Reason: r.Reason + strings.Join(r.Lines, "; ")}
+		return &core.RefusalError{Code: core.Code(r.Code), Execution: core.Execution(r.Execution), Reason: r.Reason + strings.Join(r.Lines, "; ")}
 	}
 	if out == nil {
 		return nil
@@ -145,8 +145,8 @@
 	return callJSON(ctx, c.http, http.MethodDelete, addr, "/jobs/"+id, c.Key, nil, nil)
 }
 
-// Show returns the state of a job.
-func (c *Caller) Show(ctx context.Context, addr netip.AddrPort, id string) (gate.JobView, error) {
+// Job returns the state of a job.
+func (c *Caller) Job(ctx context.Context, addr netip.AddrPort, id string) (gate.JobView, error) {
 	var v gate.JobView
 	err := callJSON(ctx, c.http, http.MethodGet, addr, "/jobs/"+id, c.Key, nil, &v)
 	return v, err
--- a/io/demo/demo.go
+++ b/io/demo/demo.go
@@ -50,9 +50,9 @@
 	return fmt.Sprintf("%d invariant violations, the first: %s", len(e.Violations), e.Violations[0])
 }
 
-// Until calls cond at intervals until cond returns nil. If the time-out or the
+// WaitUntil calls cond at intervals until cond returns nil. If the time-out or the
 // context ends before, it returns a *TimeoutError.
-func Until(ctx context.Context, timeout time.Duration, condition string, cond func(ctx context.Context) error) error {
+func WaitUntil(ctx context.Context, timeout time.Duration, condition string, cond func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	ticker := time.NewTicker(pollInterval)
@@ -74,7 +74,7 @@
 type Workload struct {
 	// Duration is the time during which new requests and jobs are sent.
 	Duration time.Duration
-	Calls    []RequestStream
+	Requests []RequestStream
 	Jobs     []JobStream
 	// Seed initializes the random choice of gates, work times and run times.
 	Seed uint64
@@ -84,24 +84,24 @@
 type RequestStream struct {
 	Queue core.Queue
 	Team  core.Team
-	// Every is the time between two requests. Work is the mean time that the target
+	// Interval is the time between two requests. Work is the mean time that the target
 	// takes for one; the times vary between 0.5 and 1.5 times the mean.
-	Every, Work time.Duration
+	Interval, WorkTime time.Duration
 }
 
 // JobStream describes jobs of equal tasks that are submitted at a steady rate.
 type JobStream struct {
 	Queue core.Queue
 	Team  core.Team
-	// Every is the time between two jobs.
-	Every time.Duration
-	// Count is the number of tasks of one job.
-	Count  int
-	Cores  float64
-	Memory int64
-	// Run is the mean run time of the tasks. The run times of the jobs vary between
+	// Interval is the time between two jobs.
+	Interval time.Duration
+	// TasksPerJob is the number of tasks of one job.
+	TasksPerJob int
+	Cores       float64
+	Memory      int64
+	// RunTime is the mean run time of the tasks. The run times of the jobs vary between
 	// 0.5 and 1.5 times the mean.
-	Run time.Duration
+	RunTime time.Duration
 	// EstimateError is the largest factor by which the declared run time of a job
 	// may be above or below its run time. The declared time is exact if it is 1 or
 	// less.
@@ -122,8 +122,8 @@
 	TargetRecords() []fakes.TargetRecord
 }
 
-// Run sends a workload to a deployment and collects the results.
-type Run struct {
+// Driver sends a workload to a deployment and collects the results.
+type Driver struct {
 	fleet    Fleet
 	addrs    deploy.Addresses
 	capacity core.Resources
@@ -143,9 +143,9 @@
 
 // Open pushes the rules of a plan to a deployment and creates a key for each team.
 // It returns once every process is ready and uses this configuration.
-func Open(ctx context.Context, f Fleet, addrs deploy.Addresses, p deploy.Plan) (*Run, error) {
-	r := &Run{
-		fleet: f, addrs: addrs, capacity: p.Total(), client: NewClient(),
+func Open(ctx context.Context, f Fleet, addrs deploy.Addresses, p deploy.Plan) (*Driver, error) {
+	r := &Driver{
+		fleet: f, addrs: addrs, capacity: p.Capacity(), client: NewClient(),
 		callers: map[core.Team]*Caller{}, refused: map[core.Queue]int{},
 	}
 	ruleSet, err := parse.Rules(p.Name, p.Rules())
@@ -153,17 +153,17 @@
 		return nil, err
 	}
 	r.rules = ruleSet
-	err = Until(ctx, startTimeout, "a gate accepts the rules", func(ctx context.Context) error {
-		return callJSON(ctx, r.client, http.MethodPost, addrs.Ops[0], "/rules", "", p.Rules(), nil)
+	err = WaitUntil(ctx, startTimeout, "a gate accepts the rules", func(ctx context.Context) error {
+		return callJSON(ctx, r.client, http.MethodPost, addrs.GateOps[0], "/rules", "", p.Rules(), nil)
 	})
 	if err != nil {
 		return nil, err
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for team := range ruleSet.Teams {
-		var granted httpx.Pushed
-		err := Until(ctx, startTimeout, "a gate grants a key", func(ctx context.Context) error {
-			return callJSON(ctx, r.client, http.MethodPost, addrs.Ops[0], "/keys?team="+string(team), "", nil, &granted)
+		var granted httpx.ChangeResult
+		err := WaitUntil(ctx, startTimeout, "a gate grants a key", func(ctx context.Context) error {
+			return callJSON(ctx, r.client, http.MethodPost, addrs.GateOps[0], "/keys?team="+string(team), "", nil, &granted)
 		})
 		if err != nil {
 			return nil, err
@@ -174,11 +174,11 @@
 }
 
 // Caller returns the caller of a team.
-func (r *Run) Caller(t core.Team) *Caller { return r.callers[t] }
+func (r *Driver) Caller(t core.Team) *Caller { return r.callers[t] }
 
 // AddResult adds the result of a request to those that Summary and Violations
 // use. Tests call it for requests that they send themselves.
-func (r *Run) AddResult(res Result) {
+func (r *Driver) AddResult(res Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, res)
@@ -186,9 +186,9 @@
 
 // waitReady waits until every process is ready and has the rules and all keys. The
 // rules and each team's key add one version each to the configuration.
-func (r *Run) waitReady(ctx context.Context) error {
-	for _, addr := range append(append([]netip.AddrPort{}, r.addrs.Ops...), r.addrs.Scheds...) {
-		err := Until(ctx, startTimeout, "all processes are ready", func(ctx context.Context) error {
+func (r *Driver) waitReady(ctx context.Context) error {
+	for _, addr := range append(append([]netip.AddrPort{}, r.addrs.GateOps...), r.addrs.SchedOps...) {
+		err := WaitUntil(ctx, startTimeout, "all processes are ready", func(ctx context.Context) error {
 			var c httpx.Config
 			if err := callJSON(ctx, r.client, http.MethodGet, addr, "/config", "", nil, &c); err != nil {
 				return err
@@ -207,19 +207,19 @@
 
 // RunWorkload sends a workload and waits until its requests are answered and its
 // jobs have ended.
-func (r *Run) RunWorkload(ctx context.Context, w Workload) error {
-	if err := r.Submit(ctx, w); err != nil {
+func (r *Driver) RunWorkload(ctx context.Context, w Workload) error {
+	if err := r.SendWorkload(ctx, w); err != nil {
 		return err
 	}
 	return r.WaitJobs(ctx)
 }
 
-// Submit sends a workload and waits until its requests are answered, but not until
+// SendWorkload sends a workload and waits until its requests are answered, but not until
 // its jobs have ended.
-func (r *Run) Submit(ctx context.Context, w Workload) error {
+func (r *Driver) SendWorkload(ctx context.Context, w Workload) error {
 	r.offerStart = time.Now()
 	group, gctx := errgroup.WithContext(ctx)
-	for i, stream := range w.Calls {
+	for i, stream := range w.Requests {
 		group.Go(func() error {
 			r.sendRequests(gctx, stream, w.Duration, rand.New(rand.NewPCG(w.Seed, uint64(i))))
 			return nil
@@ -237,14 +237,14 @@
 
 // sendRequests sends the requests of a stream, each on a goroutine of its own, and
 // waits for the answers.
-func (r *Run) sendRequests(ctx context.Context, s RequestStream, duration time.Duration, rng *rand.Rand) {
-	ticker := time.NewTicker(s.Every)
+func (r *Driver) sendRequests(ctx context.Context, s RequestStream, duration time.Duration, rng *rand.Rand) {
+	ticker := time.NewTicker(s.Interval)
 	defer ticker.Stop()
 	group, ctx := errgroup.WithContext(ctx)
 	c := r.callers[s.Team]
 	for n := 0; time.Since(r.offerStart) < duration; n++ {
 		gateAddr := r.addrs.Callers[rng.IntN(len(r.addrs.Callers))]
-		workTime := time.Duration((0.5 + rng.Float64()) * float64(s.Work))
+		workTime := time.Duration((0.5 + rng.Float64()) * float64(s.WorkTime))
 		id := fmt.Sprintf("%s-%s-%d", s.Queue, s.Team, n)
 		group.Go(func() error {
 			r.AddResult(c.Call(ctx, gateAddr, s.Queue, id, workTime, nil))
@@ -260,8 +260,8 @@
 }
 
 // submitJobs submits the jobs of a stream.
-func (r *Run) submitJobs(ctx context.Context, s JobStream, duration time.Duration, rng *rand.Rand) error {
-	ticker := time.NewTicker(s.Every)
+func (r *Driver) submitJobs(ctx context.Context, s JobStream, duration time.Duration, rng *rand.Rand) error {
+	ticker := time.NewTicker(s.Interval)
 	defer ticker.Stop()
 	for time.Since(r.offerStart) < duration {
 		gateAddr := r.addrs.Callers[rng.IntN(len(r.addrs.Callers))]
@@ -278,14 +278,14 @@
 }
 
 // submitJob submits one job. A refusal is counted and is not an error.
-func (r *Run) submitJob(ctx context.Context, gateAddr netip.AddrPort, s JobStream, rng *rand.Rand) error {
+func (r *Driver) submitJob(ctx context.Context, gateAddr netip.AddrPort, s JobStream, rng *rand.Rand) error {
 	estimateFactor := 1.0
 	if s.EstimateError > 1 {
 		estimateFactor = 1 / s.EstimateError * pow(s.EstimateError*s.EstimateError, rng.Float64())
 	}
-	runTime := time.Duration((0.5 + rng.Float64()) * float64(s.Run))
+	runTime := time.Duration((0.5 + rng.Float64()) * float64(s.RunTime))
 	job := gate.JobRequest{Queue: string(s.Queue), Tasks: []gate.TaskRequest{{
-		Count: s.Count, Cores: s.Cores, Memory: s.Memory,
+		Count: s.TasksPerJob, Cores: s.Cores, Memory: s.Memory,
 		Run: time.Duration(float64(runTime) * estimateFactor).Round(time.Millisecond).String(), Command: "sleep " + runTime.String(),
 	}}}
 	submittedAt := time.Now()
@@ -296,19 +296,19 @@
 		r.refused[s.Queue]++
 		return nil
 	}
-	r.jobs = append(r.jobs, submittedJob{id, s, submittedAt, s.Count})
+	r.jobs = append(r.jobs, submittedJob{id, s, submittedAt, s.TasksPerJob})
 	return nil
 }
 
 // WaitJobs waits until all accepted jobs have ended, except those of daemon queues.
-func (r *Run) WaitJobs(ctx context.Context) error {
+func (r *Driver) WaitJobs(ctx context.Context) error {
 	for _, j := range r.jobs {
 		if r.rules.Queues[j.stream.Queue].Kind == rules.Daemon {
 			continue
 		}
 		c := r.callers[j.stream.Team]
-		err := Until(ctx, endTimeout, "job "+j.id+" ends", func(ctx context.Context) error {
-			v, err := c.Show(ctx, c.randomGate(), j.id)
+		err := WaitUntil(ctx, endTimeout, "job "+j.id+" ends", func(ctx context.Context) error {
+			v, err := c.Job(ctx, c.randomGate(), j.id)
 			if err != nil {
 				return err
 			}
@@ -325,7 +325,7 @@
 }
 
 // Violations returns all violations of invariants during the run.
-func (r *Run) Violations() []check.Violation {
+func (r *Driver) Violations() []check.Violation {
 	coreLimits, requestLimits := map[core.Team]int64{}, map[core.Team]int64{}
 	for name, t := range r.rules.Teams {
 		coreLimits[name], requestLimits[name] = t.Cores, t.Slots
@@ -334,28 +334,28 @@
 	violations := log.Violations(coreLimits)
 	notRepeatable := core.NewSet[string]()
 	for _, res := range r.results {
-		if !r.rules.Queues[res.Queue].Repeat {
+		if !r.rules.Queues[res.Queue].Retry {
 			notRepeatable.Add(res.ID)
 		}
 	}
 	targets := r.fleet.TargetRecords()
-	violations = append(violations, check.Targets(targets, notRepeatable)...)
-	violations = append(violations, check.Calls(targets, requestLimits)...)
+	violations = append(violations, check.TargetViolations(targets, notRepeatable)...)
+	violations = append(violations, check.RequestViolations(targets, requestLimits)...)
 	done := log.Done()
 	for _, j := range r.jobs {
 		for i := range j.taskCount {
 			id := core.TaskID{Job: core.JobID(j.id), Index: i}.String()
 			if !done.Has(id) && r.rules.Queues[j.stream.Queue].Kind != rules.Daemon {
-				violations = append(violations, check.Violation{Invariant: check.Lost, What: "task " + id, At: j.submittedAt})
+				violations = append(violations, check.Violation{Invariant: check.LostTask, Detail: "task " + id, At: j.submittedAt})
 			}
 		}
 	}
 	return violations
 }
 
-// Show starts a deployment, runs a workload on it and prints the report. It returns
+// RunDemo starts a deployment, runs a workload on it and prints the report. It returns
 // an *InvariantError if an invariant was violated.
-func Show(ctx context.Context, out io.Writer, p deploy.Plan, w Workload) error {
+func RunDemo(ctx context.Context, out io.Writer, p deploy.Plan, w Workload) error {
 	fmt.Fprintf(out, "%s: starting %d gates, %d scheds, %d workers, %d targets\n", p.Name,
 		p.Gates*len(p.Regions), p.Scheds*len(p.Regions), p.Workers, p.Targets)
 	d, err := deploy.Start(ctx, p)
@@ -383,8 +383,8 @@
 	return nil
 }
 
-// AcceptedIn returns the IDs of the accepted jobs of a queue.
-func (r *Run) AcceptedIn(q core.Queue) []string {
+// AcceptedJobs returns the IDs of the accepted jobs of a queue.
+func (r *Driver) AcceptedJobs(q core.Queue) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
@@ -397,7 +397,7 @@
 }
 
 // Results returns the results of all requests so far.
-func (r *Run) Results() []Result {
+func (r *Driver) Results() []Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Result{}, r.results...)
--- a/io/demo/fairness.go
+++ b/io/demo/fairness.go
@@ -12,15 +12,15 @@
 // their fair core time, as a fraction of the core time of all teams.
 type ShareDeviation struct {
 	Mean, Largest float64
-	// Team is the team with the largest difference.
-	Team core.Team
+	// WorstTeam is the team with the largest difference.
+	WorstTeam core.Team
 }
 
-// Nearness compares, in each window of time, the core time that each team used
+// ShareDeviation compares, in each window of time, the core time that each team used
 // with its max-min fair part of all core time used. The fair part is proportional
 // to the team's share and at most the team's demand: the core time that its tasks
 // used plus the core time for which they waited.
-func (r *Run) Nearness(window time.Duration) ShareDeviation {
+func (r *Driver) ShareDeviation(window time.Duration) ShareDeviation {
 	log := check.NewLog(r.fleet.WorkerRecords())
 	starts := log.Starts()
 	var out ShareDeviation
@@ -29,7 +29,7 @@
 		to := from.Add(window)
 		used := map[core.Team]float64{}
 		demand := map[core.Team]float64{}
-		for team, use := range log.Use(from, to) {
+		for team, use := range log.Usage(from, to) {
 			used[team] = float64(use.Cores)
 			demand[team] = float64(use.Cores)
 		}
@@ -47,7 +47,7 @@
 			sum += deviation
 			count++
 			if deviation > out.Largest {
-				out.Largest, out.Team = deviation, team
+				out.Largest, out.WorstTeam = deviation, team
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 
 // addWaitingDemand adds to each team's demand the cores of its waiting tasks times
 // the time that they waited within a window.
-func (r *Run) addWaitingDemand(starts map[string]time.Time, from, to time.Time, demand map[core.Team]float64) {
+func (r *Driver) addWaitingDemand(starts map[string]time.Time, from, to time.Time, demand map[core.Team]float64) {
 	for _, j := range r.jobs {
 		for i := range j.taskCount {
 			until, ok := starts[core.TaskID{Job: core.JobID(j.id), Index: i}.String()]
@@ -79,7 +79,7 @@
 
 // fairUse divides a total by the teams' shares and gives no team more than its
 // demand. What one team does not need is divided among the others.
-func (r *Run) fairUse(total float64, demand map[core.Team]float64) map[core.Team]float64 {
+func (r *Driver) fairUse(total float64, demand map[core.Team]float64) map[core.Team]float64 {
 	out := map[core.Team]float64{}
 	unsatisfied := core.NewSet[core.Team]()
 	for t := range demand {
@@ -114,8 +114,8 @@
 	return out
 }
 
-// Waits returns two percentiles, low and high, of a queue's waiting times.
-func (s *Summary) Waits(q core.Queue, low, high float64) (atLow, atHigh time.Duration) {
+// WaitPercentiles returns two percentiles, low and high, of a queue's waiting times.
+func (s *Summary) WaitPercentiles(q core.Queue, low, high float64) (atLow, atHigh time.Duration) {
 	w := s.Queues[q]
 	if w == nil {
 		return 0, 0
--- a/io/demo/report.go
+++ b/io/demo/report.go
@@ -44,9 +44,9 @@
 type Summary struct {
 	Queues map[core.Queue]*waitStats
 	Teams  map[core.Team]TeamSummary
-	// PackCores and PackMemory are the fractions of the workers' cores and memory
+	// CorePacking and PackMemory are the fractions of the workers' cores and memory
 	// that were in use while work was offered.
-	PackCores, PackMemory float64
+	CorePacking, MemoryPacking float64
 	// Tasks is the number of tasks of all accepted jobs.
 	Tasks int
 }
@@ -72,7 +72,7 @@
 
 // Summary computes the measurements of the run. The waiting time of a request is
 // its duration without the work time; that of a task ends at its first start.
-func (r *Run) Summary() *Summary {
+func (r *Driver) Summary() *Summary {
 	s := &Summary{Queues: map[core.Queue]*waitStats{}, Teams: map[core.Team]TeamSummary{}}
 	for _, res := range r.results {
 		w := s.statsOf(res.Queue)
@@ -81,7 +81,7 @@
 			w.refused++
 			continue
 		}
-		w.add(res.Took - res.WorkTime)
+		w.add(res.Elapsed - res.WorkTime)
 	}
 	log := check.NewLog(r.fleet.WorkerRecords())
 	starts := log.Starts()
@@ -103,15 +103,15 @@
 }
 
 // addTeams computes the packing and the teams' use.
-func (r *Run) addTeams(s *Summary, log *check.Log) {
-	useByTeam := log.Use(r.offerStart, r.offerEnd)
+func (r *Driver) addTeams(s *Summary, log *check.Log) {
+	useByTeam := log.Usage(r.offerStart, r.offerEnd)
 	sum := core.Resources{}
 	for _, use := range useByTeam {
 		sum = sum.Add(use)
 	}
 	span := r.offerEnd.Sub(r.offerStart).Seconds()
-	s.PackCores = float64(sum.Cores) / (float64(r.capacity.Cores) * span)
-	s.PackMemory = float64(sum.Memory) / (float64(r.capacity.Memory) * span)
+	s.CorePacking = float64(sum.Cores) / (float64(r.capacity.Cores) * span)
+	s.MemoryPacking = float64(sum.Memory) / (float64(r.capacity.Memory) * span)
 	for name, t := range r.rules.Teams {
 		used := 0.0
 		if sum.Cores > 0 {
@@ -122,7 +122,7 @@
 }
 
 // Report prints the measurements of the run as tables.
-func (r *Run) Report(out io.Writer) {
+func (r *Driver) Report(out io.Writer) {
 	s := r.Summary()
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "queue\tkind\tcount\trefused\twait p50\twait p99\t")
@@ -138,7 +138,7 @@
 	}
 	_ = t.Flush()
 	fmt.Fprintf(out, "packing while work was offered: %.0f%% of cores, %.0f%% of memory; %d tasks\n",
-		s.PackCores*100, s.PackMemory*100, s.Tasks)
+		s.CorePacking*100, s.MemoryPacking*100, s.Tasks)
 }
 
 func round(d time.Duration) time.Duration {
@@ -159,7 +159,7 @@
 
 // Refused returns the number of refused or failed requests and refused jobs of
 // each queue that had any.
-func (r *Run) Refused() map[core.Queue]int {
+func (r *Driver) Refused() map[core.Queue]int {
 	out := map[core.Queue]int{}
 	for q, w := range r.Summary().Queues {
 		if w.refused > 0 {
--- a/io/deploy/deployment.go
+++ b/io/deploy/deployment.go
@@ -38,25 +38,25 @@
 	Gates, Scheds int
 	// Workers and Targets are numbers of VMs in all regions together.
 	Workers, Targets int
-	// Room is the room of each worker.
-	Room work.Room
-	// Slots is the number of slots of each target.
-	Slots int
+	// WorkerRoom is the room of each worker.
+	WorkerRoom work.Room
+	// TargetSlots is the number of slots of each target.
+	TargetSlots int
 	// Services are assigned to the targets in turn.
 	Services []string
 	// SessionTTL and WorkerTTL are the durations of the leases of processes and
 	// workers.
 	SessionTTL, WorkerTTL time.Duration
 	LogLevel              string
-	// Options are passed to each sched.
-	Options []sched.Option
+	// SchedOptions are passed to each sched.
+	SchedOptions []sched.Option
 }
 
 // Glaze returns the plan of Southern Glaze's deployment at its present size.
 func Glaze() Plan {
 	return Plan{
 		Name: "glaze", Regions: []string{"hobart", "launceston", "burnie"}, Gates: 3, Scheds: 3,
-		Workers: 50, Targets: 50, Room: work.Room{Cores: 64000, Memory: 262144}, Slots: 8,
+		Workers: 50, Targets: 50, WorkerRoom: work.Room{Cores: 64000, Memory: 262144}, TargetSlots: 8,
 		Services: []string{"fit", "angle"}, SessionTTL: 2 * time.Second, WorkerTTL: 6 * time.Second, LogLevel: "error",
 	}
 }
@@ -65,7 +65,7 @@
 func Bagmati() Plan {
 	p := Glaze()
 	p.Name, p.Regions = "bagmati", []string{"kathmandu", "pokhara", "biratnagar"}
-	p.Room = work.Room{Cores: 16000, Memory: 32768}
+	p.WorkerRoom = work.Room{Cores: 16000, Memory: 32768}
 	p.Services = []string{"sheet", "barcode"}
 	return p
 }
@@ -79,17 +79,17 @@
 	return text
 }
 
-// Total returns the room of all workers together.
-func (p Plan) Total() core.Resources {
+// Capacity returns the room of all workers together.
+func (p Plan) Capacity() core.Resources {
 	n := int64(p.Workers)
-	return core.Resources{Cores: p.Room.Cores * n, Memory: p.Room.Memory * n, Accel: p.Room.Accel * n}
+	return core.Resources{Cores: p.WorkerRoom.Cores * n, Memory: p.WorkerRoom.Memory * n, Accel: p.WorkerRoom.Accel * n}
 }
 
 // Addresses holds the addresses of a deployment's processes.
 type Addresses struct {
 	// Callers and Ops are the callers' and the operators' addresses of the gates;
 	// Scheds are the operators' addresses of the scheds.
-	Callers, Ops, Scheds []netip.AddrPort
+	Callers, GateOps, SchedOps []netip.AddrPort
 }
 
 // Deployment is a running deployment.
@@ -251,13 +251,13 @@
 	}
 	region, zone := d.regionAndZone(i)
 	name := fmt.Sprintf("worker%d", i)
-	w := fakes.NewWorker(ctx, name, d.Plan.Room)
+	w := fakes.NewWorker(ctx, name, d.Plan.WorkerRoom)
 	d.group.Go(w.Run)
 	proc.Serve(ctx, d.group, l, w.Handler())
 	d.Workers = append(d.Workers, w)
 	d.VMs = append(d.VMs, store.VM{
 		Name: name, Kind: "worker", Addr: addr.String(), Region: region, Zone: zone,
-		Rack: fmt.Sprintf("%s-r%d", region, i/len(d.Plan.Regions)/workersPerRack), Cores: d.Plan.Room.Cores, Memory: d.Plan.Room.Memory, Accel: d.Plan.Room.Accel,
+		Rack: fmt.Sprintf("%s-r%d", region, i/len(d.Plan.Regions)/workersPerRack), Cores: d.Plan.WorkerRoom.Cores, Memory: d.Plan.WorkerRoom.Memory, Accel: d.Plan.WorkerRoom.Accel,
 	})
 	return nil
 }
@@ -269,13 +269,13 @@
 	}
 	region, zone := d.regionAndZone(i)
 	name := fmt.Sprintf("target%d", i)
-	t := fakes.NewTarget(ctx, name, d.Plan.Slots)
+	t := fakes.NewTarget(ctx, name, d.Plan.TargetSlots)
 	d.group.Go(t.Run)
 	proc.Serve(ctx, d.group, l, t.Handler())
 	d.Targets = append(d.Targets, t)
 	service := d.Plan.Services[(i/len(d.Plan.Regions))%len(d.Plan.Services)]
 	d.VMs = append(d.VMs, store.VM{
-		Name: name, Kind: "target", Addr: addr.String(), Region: region, Zone: zone, Service: service, Slots: int64(d.Plan.Slots),
+		Name: name, Kind: "target", Addr: addr.String(), Region: region, Zone: zone, Service: service, Slots: int64(d.Plan.TargetSlots),
 	})
 	return nil
 }
@@ -293,16 +293,16 @@
 		VM: fmt.Sprintf("entry%d", d.processCount), Region: core.Region(region),
 		Zone: core.Zone(fmt.Sprintf("%s-%c", region, 'a'+d.processCount%zonesPerRegion)), Platform: d.platformAddr,
 		Callers: addrs[0], Peers: addrs[1], Public: addrs[1], Ops: addrs[2], Cells: 1,
-		Session: d.Plan.SessionTTL, Worker: d.Plan.WorkerTTL, Drain: 10 * time.Second, Level: d.Plan.LogLevel, Form: "text",
+		SessionTTL: d.Plan.SessionTTL, WorkerTTL: d.Plan.WorkerTTL, DrainTimeout: 10 * time.Second, LogLevel: d.Plan.LogLevel, LogFormat: "text",
 	}
 	d.VMs = append(d.VMs, store.VM{Name: settings.VM, Kind: "entry", Addr: settings.Peers.String(), Region: region, Zone: string(settings.Zone)})
 	if role == core.RoleSched {
-		d.Addresses.Scheds = append(d.Addresses.Scheds, settings.Ops)
-		d.group.Go(func() error { return proc.Sched(ctx, settings, nil, d.Plan.Options...) })
+		d.Addresses.SchedOps = append(d.Addresses.SchedOps, settings.Ops)
+		d.group.Go(func() error { return proc.Sched(ctx, settings, nil, d.Plan.SchedOptions...) })
 		return nil
 	}
 	d.Addresses.Callers = append(d.Addresses.Callers, settings.Callers)
-	d.Addresses.Ops = append(d.Addresses.Ops, settings.Ops)
+	d.Addresses.GateOps = append(d.Addresses.GateOps, settings.Ops)
 	d.group.Go(func() error { return proc.Gate(ctx, settings, nil) })
 	return nil
 }
--- a/io/entry/advice_test.go
+++ b/io/entry/advice_test.go
@@ -23,11 +23,11 @@
 	e := newEntry(deps)
 	e.SetPolicy(policy.New(1, []policy.Queue{{
 		Name: "q", Host: "h", Prefix: "/", Service: "s",
-		Advice: core.Some(policy.Advice{Base: 10 * time.Millisecond, PerWorker: 500 * time.Microsecond, Valid: time.Second}),
+		Advisor: core.Some(policy.Advisor{Base: 10 * time.Millisecond, PerWorker: 500 * time.Microsecond, TicketTTL: time.Second}),
 	}}, nil, []policy.Service{{Name: "s"}}, 0))
 	var workers []fleet.WorkerInfo
 	for i := range 350 {
-		workers = append(workers, fleet.WorkerInfo{VM: core.VM{Name: fmt.Sprintf("w%03d", i), Service: "s", Room: core.Resources{Cores: 64000}}})
+		workers = append(workers, fleet.WorkerInfo{VM: core.VM{Name: fmt.Sprintf("w%03d", i), Service: "s", Capacity: core.Resources{Cores: 64000}}})
 	}
 	e.SetWorkers(workers)
 	submit := func(id string) []core.WorkerID {
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -49,13 +49,13 @@
 
 // OwnerLink connects the VM to the owner.
 type OwnerLink interface {
-	// Accepted notifies the owner of a stored job. AdvicePending reports that this VM
+	// JobAccepted notifies the owner of a stored job. AdvicePending reports that this VM
 	// has an advice request for the job's first phase in flight.
-	Accepted(spec jobs.Spec, advicePending bool)
-	// Advised sends the result of that request to the owner.
-	Advised(r advice.Result)
-	// Cancelled notifies the owner of a stored cancellation.
-	Cancelled(id core.JobID)
+	JobAccepted(spec jobs.Spec, advicePending bool)
+	// ReportAdvice sends the result of that request to the owner.
+	ReportAdvice(r advice.Result)
+	// JobCancelled notifies the owner of a stored cancellation.
+	JobCancelled(id core.JobID)
 	// State returns the state of a job; known reports whether the owner has the job.
 	State(ctx context.Context, id core.JobID) (state jobs.State, known bool, err error)
 	// Pending returns how many jobs of a queue wait for their first start; known is
@@ -153,7 +153,7 @@
 		maps.Copy(maxRoom, *old)
 	}
 	for _, w := range workers {
-		maxRoom[w.Service] = maxRoom[w.Service].Max(w.Room)
+		maxRoom[w.Service] = maxRoom[w.Service].Max(w.Capacity)
 	}
 	e.maxRoom.Store(&maxRoom)
 }
@@ -180,12 +180,12 @@
 	return 0
 }
 
-// Visit returns the queue, the team and the remaining path of a call. It refuses calls
+// Authorize returns the queue, the team and the remaining path of a call. It refuses calls
 // without a queue, and calls without a valid key unless the queue is public.
-func (e *Entry) Visit(host, path, key string) (*policy.Queue, core.Team, string, error) {
+func (e *Entry) Authorize(host, path, key string) (*policy.Queue, core.Team, string, error) {
 	p := e.policy.Load()
 	if p == nil {
-		refusal := core.Refuse(core.CodeConfig, "this VM has no configuration yet")
+		refusal := core.Refuse(core.CodeConfigUnconfirmed, "this VM has no configuration yet")
 		refusal.RetryAfter = clientRetryAfter
 		return nil, "", "", refusal
 	}
@@ -194,9 +194,9 @@
 	}
 	q, rest, ok := p.Route(host, path)
 	if !ok {
-		return nil, "", "", core.Refuse(core.CodeNoQueue, "no queue for %s%s in version %d", host, path, p.Version)
+		return nil, "", "", core.Refuse(core.CodeUnknownQueue, "no queue for %s%s in version %d", host, path, p.Version)
 	}
-	t, known := p.Key(key)
+	t, known := p.TeamOf(key)
 	switch {
 	case known:
 		return q, t.Name, rest, nil
@@ -248,9 +248,9 @@
 		if err != nil {
 			return "", err
 		}
-		e.link.Accepted(stored, early != nil)
+		e.link.JobAccepted(stored, early != nil)
 		if early != nil {
-			go func() { e.link.Advised(<-early) }()
+			go func() { e.link.ReportAdvice(<-early) }()
 		}
 		return "accepted", nil
 	})
@@ -265,7 +265,7 @@
 	}
 	room, known := (*maxRoom)[q.Service]
 	for i, ph := range spec.Phases {
-		if known && !ph.Need.Fits(room) {
+		if known && !ph.Need.FitsIn(room) {
 			return core.Refuse(core.CodeTooLarge, "no worker of the service has room for a task of phase %d", i)
 		}
 	}
@@ -282,7 +282,7 @@
 	if q == nil || workers == nil || spec.Repeat > 0 {
 		return nil
 	}
-	a, ok := q.Advice.Get()
+	a, ok := q.Advisor.Get()
 	if !ok || e.advisor.Delay() > maxEarlyDelay {
 		return nil
 	}
@@ -327,7 +327,7 @@
 	if err == nil || errors.As(err, &refusal) {
 		return err
 	}
-	unavailable := core.Refuse(core.CodeStore, "the store does not answer")
+	unavailable := core.Refuse(core.CodeStoreUnavailable, "the store does not answer")
 	unavailable.Err, unavailable.RetryAfter = err, clientRetryAfter
 	return unavailable
 }
@@ -340,14 +340,14 @@
 			err := e.records.Cancel(ctx, id, time.Now())
 			var refusal *core.RefusalError
 			if err == nil {
-				e.link.Cancelled(id)
+				e.link.JobCancelled(id)
 				return "cancelled", nil
 			}
 			if errors.As(err, &refusal) {
 				return "", err
 			}
 			if !clock.Sleep(ctx, cancelRetryDelay) {
-				return "", core.RefuseUnknown(core.CodeStore, err, "the cancellation is not confirmed")
+				return "", core.RefuseUnknown(core.CodeStoreUnavailable, err, "the cancellation is not confirmed")
 			}
 		}
 	})
@@ -361,7 +361,7 @@
 		var err error
 		n, known, err = e.link.Pending(ctx, q)
 		if err != nil || !known {
-			refusal := core.Refuse(core.CodeOwner, "no owner answers at present")
+			refusal := core.Refuse(core.CodeNoOwner, "no owner answers at present")
 			refusal.Err, refusal.RetryAfter = err, clientRetryAfter
 			return "", refusal
 		}
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -60,18 +60,18 @@
 	if s, ok := r.storedStates[id]; ok {
 		return s, nil
 	}
-	return "", core.Refuse(core.CodeNoJob, "no job")
+	return "", core.Refuse(core.CodeUnknownJob, "no job")
 }
 
-func (d *fakeDeps) Accepted(s jobs.Spec, _ bool) { d.notified = append(d.notified, s.ID) }
+func (d *fakeDeps) JobAccepted(s jobs.Spec, _ bool) { d.notified = append(d.notified, s.ID) }
 
-func (d *fakeDeps) Advised(advice.Result) {}
+func (d *fakeDeps) ReportAdvice(advice.Result) {}
 
 func (d *fakeDeps) Connected() bool { return d.connected }
 
 func (d *fakeDeps) Unreachable() bool { return d.unreachable }
 
-func (d *fakeDeps) Cancelled(id core.JobID) { d.notified = append(d.notified, id) }
+func (d *fakeDeps) JobCancelled(id core.JobID) { d.notified = append(d.notified, id) }
 
 func (d *fakeDeps) State(_ context.Context, id core.JobID) (jobs.State, bool, error) {
 	if !d.connected {
@@ -142,33 +142,33 @@
 func TestVisit(t *testing.T) {
 	is := is.New(t)
 	e := newEntry(&fakeDeps{})
-	_, _, _, err := e.Visit("h", "/q/1", "k")
-	is.Equal(code(err), core.CodeConfig)
+	_, _, _, err := e.Authorize("h", "/q/1", "k")
+	is.Equal(code(err), core.CodeConfigUnconfirmed)
 	is.True(!e.Ready())
 	e.SetPolicy(newPolicy(5, "k"))
 	is.True(e.Ready())
-	q, team, rest, err := e.Visit("h:80", "/q/1", "k")
+	q, team, rest, err := e.Authorize("h:80", "/q/1", "k")
 	is.NoErr(err)
 	is.Equal(q.Name, core.Queue("q"))
 	is.Equal(team, core.Team("t"))
 	is.Equal(rest, "1")
-	q, team, _, err = e.Visit("h", "/q/deep/1", "")
+	q, team, _, err = e.Authorize("h", "/q/deep/1", "")
 	is.NoErr(err) // the longest prefix wins, and a public queue needs no key
 	is.Equal(q.Name, core.Queue("deep"))
 	is.Equal(team, core.Team(""))
-	_, _, _, err = e.Visit("h", "/q/1", "other")
+	_, _, _, err = e.Authorize("h", "/q/1", "other")
 	is.Equal(code(err), core.CodeBadKey)
-	_, _, _, err = e.Visit("other", "/q/1", "k")
-	is.Equal(code(err), core.CodeNoQueue)
+	_, _, _, err = e.Authorize("other", "/q/1", "k")
+	is.Equal(code(err), core.CodeUnknownQueue)
 	e.SetPolicy(newPolicy(4, "old")) // an older one changes nothing
-	_, _, _, err = e.Visit("h", "/q/1", "old")
+	_, _, _, err = e.Authorize("h", "/q/1", "old")
 	is.Equal(code(err), core.CodeBadKey)
 }
 
 func TestSubmit(t *testing.T) {
 	spec := jobs.Spec{ID: "a", Team: "t", Queue: "q", Phases: []jobs.Phase{{Count: 1, Need: core.Resources{Cores: 900}}}}
 	room := func(cores int64) []fleet.WorkerInfo {
-		return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s", Room: core.Resources{Cores: cores}}}}
+		return []fleet.WorkerInfo{{VM: core.VM{Name: "w", Service: "s", Capacity: core.Resources{Cores: cores}}}}
 	}
 	for name, c := range map[string]struct {
 		workers []fleet.WorkerInfo
@@ -178,7 +178,7 @@
 		"accepted":          {workers: room(1000)},
 		"no list yet":       {},
 		"larger than any":   {workers: room(800), code: core.CodeTooLarge},
-		"the store refuses": {workers: room(1000), err: core.Refuse(core.CodeStore, "away"), code: core.CodeStore},
+		"the store refuses": {workers: room(1000), err: core.Refuse(core.CodeStoreUnavailable, "away"), code: core.CodeStoreUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -208,16 +208,16 @@
 	is.NoErr(err)
 	is.Equal(s, jobs.Completed)
 	_, err = e.State(ctx, "c")
-	is.Equal(code(err), core.CodeNoJob)
+	is.Equal(code(err), core.CodeUnknownJob)
 	deps.connected = false
 	s, err = e.State(ctx, "a")
 	is.NoErr(err)
 	is.Equal(s, jobs.Queued)
 	_, err = e.Pending(ctx, "q")
-	is.Equal(code(err), core.CodeOwner)
+	is.Equal(code(err), core.CodeNoOwner)
 	deps.err = context.DeadlineExceeded
 	_, err = e.State(ctx, "c")
-	is.Equal(code(err), core.CodeStore) // a failed read must not report that the job does not exist
+	is.Equal(code(err), core.CodeStoreUnavailable) // a failed read must not report that the job does not exist
 }
 
 // TestReadyWhileUnreachable checks that a VM is not ready only if it can reach neither
--- a/io/fakes/platform.go
+++ b/io/fakes/platform.go
@@ -27,9 +27,9 @@
 	Down bool `json:"down"`
 	// Delay is the duration by which every answer is delayed; empty means none.
 	Delay string `json:"delay"`
-	// Lose is a number of writes: the next ones are applied, but their connections
+	// LostReplies is a number of writes: the next ones are applied, but their connections
 	// are closed without an answer.
-	Lose int `json:"lose"`
+	LostReplies int `json:"lose"`
 }
 
 // Platform fakes the platform's table service, object store and list of VMs.
@@ -104,15 +104,15 @@
 	}
 	r := req.do(p)
 	r.delay = p.delay
-	if req.isWrite && p.faults.Lose > 0 {
-		p.faults.Lose--
+	if req.isWrite && p.faults.LostReplies > 0 {
+		p.faults.LostReplies--
 		r.connectionLost = true
 	}
 	req.reply <- r
 }
 
-// Wake implements loop.Handler.
-func (p *Platform) Wake(now time.Time) time.Time { return now.Add(idleInterval) }
+// Tick implements loop.Handler.
+func (p *Platform) Tick(now time.Time) time.Time { return now.Add(idleInterval) }
 
 // Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
@@ -199,7 +199,7 @@
 	for _, put := range t.Puts {
 		p.rows[put.Key] = store.Row{Key: put.Key, Val: put.Val, Version: p.lastVersion}
 	}
-	for _, key := range t.Dels {
+	for _, key := range t.Deletes {
 		delete(p.rows, key)
 	}
 	return a
@@ -301,9 +301,9 @@
 	Writes uint64 `json:"writes"`
 	Reads  uint64 `json:"reads"`
 	Rows   int    `json:"rows"`
-	// Sent and Received count bytes of HTTP bodies.
-	Sent     uint64 `json:"sent"`
-	Received uint64 `json:"received"`
+	// SentBytes and Received count bytes of HTTP bodies.
+	SentBytes     uint64 `json:"sent"`
+	ReceivedBytes uint64 `json:"received"`
 }
 
 // Counts returns the platform's counters.
--- a/io/fakes/proxy.go
+++ b/io/fakes/proxy.go
@@ -22,16 +22,16 @@
 	Delay string `json:"delay"`
 	// Cut holds back data in both directions; connections stay open.
 	Cut bool `json:"cut"`
-	// Up holds back data from the client to the server, Down data from the
+	// CutUp holds back data from the client to the server, Down data from the
 	// server to the client.
-	Up   bool `json:"up"`
-	Down bool `json:"down"`
+	CutUp   bool `json:"up"`
+	CutDown bool `json:"down"`
 	// Truncate closes a connection after this number of bytes from the server;
 	// 0 means never.
 	Truncate int64 `json:"truncate"`
-	// Half closes the sending side of the connection to the server after the
+	// HalfClose closes the sending side of the connection to the server after the
 	// first chunk from the client.
-	Half bool `json:"half"`
+	HalfClose bool `json:"half"`
 }
 
 // linkState is the current faults of a link with the delay parsed.
@@ -63,8 +63,8 @@
 	return p
 }
 
-// Set replaces the link's faults, also for open connections.
-func (p *Proxy) Set(f LinkFaults) error {
+// SetFaults replaces the link's faults, also for open connections.
+func (p *Proxy) SetFaults(f LinkFaults) error {
 	s := &linkState{LinkFaults: f}
 	if f.Delay != "" {
 		d, err := time.ParseDuration(f.Delay)
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// Bytes returns the number of bytes forwarded in both directions.
-func (p *Proxy) Bytes() int64 { return p.forwarded.Load() }
+// ForwardedBytes returns the number of bytes forwarded in both directions.
+func (p *Proxy) ForwardedBytes() int64 { return p.forwarded.Load() }
 
 // Handler returns the HTTP interface that sets the faults and returns the number
 // of forwarded bytes.
@@ -88,12 +88,12 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /stand/link", func(w http.ResponseWriter, r *http.Request) {
 		var f LinkFaults
-		if json.NewDecoder(r.Body).Decode(&f) != nil || p.Set(f) != nil {
+		if json.NewDecoder(r.Body).Decode(&f) != nil || p.SetFaults(f) != nil {
 			http.Error(w, "malformed link faults", http.StatusBadRequest)
 		}
 	})
 	mux.HandleFunc("GET /stand/bytes", func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(p.Bytes())
+		_ = json.NewEncoder(w).Encode(p.ForwardedBytes())
 	})
 	return mux
 }
@@ -171,7 +171,7 @@
 		n, err := from.Read(buf)
 		if n > 0 {
 			sleep(ctx, p.state.Load().delay)
-			if !p.waitUnblocked(ctx, func(s *linkState) bool { return s.Cut || (isUp && s.Up) || (!isUp && s.Down) }) {
+			if !p.waitUnblocked(ctx, func(s *linkState) bool { return s.Cut || (isUp && s.CutUp) || (!isUp && s.CutDown) }) {
 				return false
 			}
 			s := p.state.Load()
@@ -184,7 +184,7 @@
 			}
 			copied += int64(n)
 			p.forwarded.Add(int64(n))
-			if c, ok := to.(*net.TCPConn); ok && isUp && s.Half {
+			if c, ok := to.(*net.TCPConn); ok && isUp && s.HalfClose {
 				_ = c.CloseWrite()
 			}
 		}
--- a/io/fakes/target.go
+++ b/io/fakes/target.go
@@ -24,10 +24,10 @@
 // TargetRecord is the log of a target. Most is the largest number of requests in
 // flight; Overfull counts the requests that arrived when all slots were in use.
 type TargetRecord struct {
-	Slots    int   `json:"slots"`
-	Most     int   `json:"most"`
-	Overfull int   `json:"overfull"`
-	Hits     []Hit `json:"hits"`
+	Slots       int   `json:"slots"`
+	MaxInFlight int   `json:"most"`
+	Overfull    int   `json:"overfull"`
+	Hits        []Hit `json:"hits"`
 }
 
 // Target fakes a VM that answers requests. It records when there are more
@@ -66,8 +66,8 @@
 	}
 }
 
-// Wake implements loop.Handler.
-func (t *Target) Wake(now time.Time) time.Time { return now.Add(idleInterval) }
+// Tick implements loop.Handler.
+func (t *Target) Tick(now time.Time) time.Time { return now.Add(idleInterval) }
 
 // runInLoop calls do on the control goroutine and returns its result.
 func (t *Target) runInLoop(do func(now time.Time, t *Target) TargetRecord) TargetRecord {
@@ -99,7 +99,7 @@
 	index := 0
 	t.runInLoop(func(now time.Time, t *Target) TargetRecord {
 		t.inFlight++
-		t.record.Most = max(t.record.Most, t.inFlight)
+		t.record.MaxInFlight = max(t.record.MaxInFlight, t.inFlight)
 		if t.inFlight > t.record.Slots {
 			t.record.Overfull++
 			fmt.Printf("target %s: OVERFULL: %d requests in flight on %d slots\n", t.name, t.inFlight, t.record.Slots)
--- a/io/fakes/worker.go
+++ b/io/fakes/worker.go
@@ -248,12 +248,12 @@
 	}
 	for _, s := range hb.Stops {
 		if t := w.runs[s.Task]; t != nil && t.state == "running" {
-			if s.How == "slow" {
+			if s.Kind == "slow" {
 				w.throttle(t)
 				continue
 			}
 			state := "stopped"
-			if s.How == "saved" {
+			if s.Kind == "saved" {
 				state = "saved"
 			}
 			w.endRun(now, t, state)
@@ -275,7 +275,7 @@
 	if d, err := time.ParseDuration(arg); err == nil {
 		length = d
 	}
-	if checkpoint, err := time.ParseDuration(s.Saved); err == nil {
+	if checkpoint, err := time.ParseDuration(s.Checkpoint); err == nil {
 		length = max(length-checkpoint, 0)
 	}
 	switch {
@@ -287,7 +287,7 @@
 	t.endsAt = now.Add(length)
 	w.runs[s.Task] = t
 	w.record(now, t, "start")
-	if !w.reserved().Fits(w.room.Core()) {
+	if !w.reserved().FitsIn(w.room.Core()) {
 		w.overfull++
 		fmt.Printf("worker %s: OVERFULL: running tasks need %+v of %+v\n", w.name, w.reserved(), w.room)
 	}
@@ -400,8 +400,8 @@
 	w.longPolls = nil
 }
 
-// Wake implements loop.Handler.
-func (w *Worker) Wake(now time.Time) time.Time {
+// Tick implements loop.Handler.
+func (w *Worker) Tick(now time.Time) time.Time {
 	w.updateRuns(now)
 	next := now.Add(idleInterval)
 	for _, t := range w.runs {
--- a/io/gate/call.go
+++ b/io/gate/call.go
@@ -154,7 +154,7 @@
 		c.path += "?" + r.URL.RawQuery
 	}
 	if c.requestID == "" {
-		c.requestID = fmt.Sprintf("%s-%d", g.Agent.Name(), c.id)
+		c.requestID = fmt.Sprintf("%s-%d", g.Agent.InitialSession(), c.id)
 	}
 	return c, nil
 }
@@ -218,7 +218,7 @@
 	if resp != nil {
 		bytes += len(resp.body)
 	}
-	c.gate.meter.Crossed(c.queue, bytes)
+	c.gate.meter.AddCrossRegionBytes(c.queue, bytes)
 }
 
 // post sends a message to the control goroutine.
@@ -232,22 +232,22 @@
 // recorded by any gate before.
 func (c *call) recordFirstUse(r *http.Request) error {
 	key := r.Header.Get(idempotencyHeader)
-	if c.rule.Repeat || key == "" {
+	if c.rule.Retry || key == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), c.rule.Wait)
+	ctx, cancel := context.WithTimeout(r.Context(), c.rule.MaxWait)
 	defer cancel()
 	result := c.gate.intents.record(ctx, intentKey("call", c.team, key), intent{
-		Gate: c.gate.Agent.Name(), Nonce: rand.Text(), At: time.Now().UTC(),
+		Gate: c.gate.Agent.InitialSession(), Nonce: rand.Text(), At: time.Now().UTC(),
 	})
 	if result.err != nil {
-		e := core.Refuse(core.CodeStore, "the idempotency key cannot be recorded")
+		e := core.Refuse(core.CodeStoreUnavailable, "the idempotency key cannot be recorded")
 		e.Err = result.err
 		e.RetryAfter = time.Second
 		return e
 	}
 	if !result.isFirst {
-		e := core.RefuseUnknown(core.CodeRepeat, nil, "the request with this key was first sent through %s at %s",
+		e := core.RefuseUnknown(core.CodeAlreadySent, nil, "the request with this key was first sent through %s at %s",
 			result.earlier.Gate, result.earlier.At.Format(time.RFC3339))
 		return e
 	}
@@ -264,7 +264,7 @@
 // write passes the response on to the caller.
 func (r *response) write(w http.ResponseWriter) {
 	copyHeader(w.Header(), r.header)
-	w.Header().Set(httpx.RunHeader, string(core.Executed))
+	w.Header().Set(httpx.ExecutionHeader, string(core.Executed))
 	w.WriteHeader(r.status)
 	_, _ = w.Write(r.body)
 }
@@ -281,7 +281,7 @@
 // send sends the call to a target once and reads the response. A response of at
 // least bufferLimit bytes is passed on while it is read; send then returns nil.
 func (c *call) send(ctx context.Context, w http.ResponseWriter, target core.VM) (*response, admit.Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.rule.Run)
+	ctx, cancel := context.WithTimeout(ctx, c.rule.RunTimeout)
 	defer cancel()
 	var conn *trackedConn
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -44,9 +44,9 @@
 	Request(queue core.Queue, team core.Team, result string, took time.Duration)
 	// RequestWait records the time that a request waited for its slot.
 	RequestWait(queue core.Queue, wait time.Duration)
-	// Crossed records the bytes of a request and its response that were sent
+	// AddCrossRegionBytes records the bytes of a request and its response that were sent
 	// between regions.
-	Crossed(queue core.Queue, bytes int)
+	AddCrossRegionBytes(queue core.Queue, bytes int)
 }
 
 // Gate is the control state of the process, with the clients that its traffic
@@ -94,8 +94,8 @@
 	return g
 }
 
-// Left returns a channel that is closed once the drain is complete.
-func (g *Gate) Left() <-chan struct{} { return g.drained }
+// Drained returns a channel that is closed once the drain is complete.
+func (g *Gate) Drained() <-chan struct{} { return g.drained }
 
 // Messages to the control goroutine, and the replies to them.
 type (
@@ -183,8 +183,8 @@
 	Targets          []admit.TargetView
 }
 
-// Leave starts the drain.
-func (g *Gate) Leave() { _ = g.loop.Post(drainRequest{}) }
+// Drain starts the drain.
+func (g *Gate) Drain() { _ = g.loop.Post(drainRequest{}) }
 
 // Handle implements loop.Handler.
 func (g *Gate) Handle(now time.Time, m loop.Message) {
@@ -195,7 +195,7 @@
 	case authRequest:
 		m.reply <- g.handleAuth(now, m)
 	case teamRequest:
-		team, err := g.Agent.Conf.TeamOf(now, m.key)
+		team, err := g.Agent.Config.TeamOf(now, m.key)
 		m.reply <- authResult{team: team, err: err}
 	case slotRequest:
 		g.eventChans[m.request.ID] = m.events
@@ -241,12 +241,12 @@
 		r.RetryAfter = time.Second
 		return authResult{err: r}
 	}
-	team, rule, err := g.Agent.Conf.Admit(now, m.queue, m.team, m.key)
+	team, rule, err := g.Agent.Config.Admit(now, m.queue, m.team, m.key)
 	return authResult{team, rule, err}
 }
 
-// Wake implements loop.Handler.
-func (g *Gate) Wake(now time.Time) time.Time {
+// Tick implements loop.Handler.
+func (g *Gate) Tick(now time.Time) time.Time {
 	if !now.Before(g.nextTick) {
 		g.nextTick = now.Add(tickInterval)
 		g.deliver(g.admission.Tick(now))
@@ -300,7 +300,7 @@
 }
 
 // ConfigChanged implements agent.Host.
-func (g *Gate) ConfigChanged(time.Time) { g.admission.SetRules(g.Agent.Conf.Rules()) }
+func (g *Gate) ConfigChanged(time.Time) { g.admission.SetRules(g.Agent.Config.Rules()) }
 
 // VMsChanged implements agent.Host.
 func (g *Gate) VMsChanged(now time.Time, vms []core.VM) {
@@ -313,13 +313,13 @@
 	g.deliver(g.admission.SetTargets(now, targets))
 }
 
-// BookRead implements agent.Host. It grants slots that the gate now holds to
+// LedgerRead implements agent.Host. It grants slots that the gate now holds to
 // waiting requests.
-func (g *Gate) BookRead(now time.Time) { g.deliver(g.admission.Tick(now)) }
+func (g *Gate) LedgerRead(now time.Time) { g.deliver(g.admission.Tick(now)) }
 
 func (g *Gate) dump() Dump {
 	d := Dump{Agent: g.Agent.Dump(), Mailbox: g.loop.Depth(), Targets: g.admission.Targets()}
-	d.Waiting, d.Sending = g.admission.Waiting()
+	d.Waiting, d.Sending = g.admission.RequestCounts()
 	return d
 }
 
@@ -343,7 +343,7 @@
 	if !g.draining || g.sessionEnded {
 		return
 	}
-	if waiting, sending := g.admission.Waiting(); waiting+sending > 0 || g.intents.inFlight() > 0 {
+	if waiting, sending := g.admission.RequestCounts(); waiting+sending > 0 || g.intents.inFlight() > 0 {
 		return
 	}
 	g.ledger.ZeroTotals(func(string) bool { return false })
@@ -360,13 +360,13 @@
 // Alive implements peer.Backend.
 func (g *Gate) Alive(ctx context.Context) (peer.Alive, error) { return g.Agent.Alive(ctx) }
 
-// Hold implements peer.Backend.
-func (g *Gate) Hold(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
+// RenewOrPromise implements peer.Backend.
+func (g *Gate) RenewOrPromise(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
 	return g.Agent.RenewOrPromise(ctx, row, version, resign)
 }
 
 // notSched returns the refusal of all calls that only a sched serves.
-func notSched() error { return core.Refuse(core.CodeOwner, "a gate owns no cells") }
+func notSched() error { return core.Refuse(core.CodeNoOwner, "a gate owns no cells") }
 
 // Submit implements peer.Backend.
 func (g *Gate) Submit(context.Context, cell.JobSpec) (bool, error) { return false, notSched() }
--- a/io/gate/jobs.go
+++ b/io/gate/jobs.go
@@ -213,10 +213,10 @@
 		return nil
 	}
 	result := g.intents.record(r.Context(), intentKey("job", spec.Team, key), intent{
-		Gate: g.Agent.Name(), Nonce: rand.Text(), Job: spec.ID, At: spec.Submitted,
+		Gate: g.Agent.InitialSession(), Nonce: rand.Text(), Job: spec.ID, At: spec.Submitted,
 	})
 	if result.err != nil {
-		e := core.Refuse(core.CodeStore, "the idempotency key cannot be recorded")
+		e := core.Refuse(core.CodeStoreUnavailable, "the idempotency key cannot be recorded")
 		e.Err = result.err
 		return e
 	}
@@ -234,9 +234,9 @@
 	sizes := map[core.CellID][]core.Resources{}
 	for _, vm := range g.Agent.VMs() {
 		if vm.Kind == "worker" && !vm.Leaving {
-			id := core.CellID{Region: vm.Region, Index: cell.IndexOf(core.WorkerID(vm.Name), g.Agent.Member.Cells())}
-			if !slices.Contains(sizes[id], vm.Room) {
-				sizes[id] = append(sizes[id], vm.Room)
+			id := core.CellID{Region: vm.Region, Index: cell.IndexOf(core.WorkerID(vm.Name), g.Agent.Member.CellCount())}
+			if !slices.Contains(sizes[id], vm.Capacity) {
+				sizes[id] = append(sizes[id], vm.Capacity)
 			}
 		}
 	}
@@ -255,7 +255,9 @@
 }
 
 // rotated returns a cell's position in the current rotation.
-func (g *Gate) rotated(id core.CellID) int { return (id.Index + g.rotation) % g.Agent.Member.Cells() }
+func (g *Gate) rotated(id core.CellID) int {
+	return (id.Index + g.rotation) % g.Agent.Member.CellCount()
+}
 
 // remoteRank returns 0 for a cell of the own region and 1 for any other.
 func remoteRank(id core.CellID, self core.Region) int {
@@ -268,7 +270,7 @@
 // allFit reports whether each need fits into at least one of the sizes.
 func allFit(needs, sizes []core.Resources) bool {
 	for _, n := range needs {
-		if !slices.ContainsFunc(sizes, n.Fits) {
+		if !slices.ContainsFunc(sizes, n.FitsIn) {
 			return false
 		}
 	}
@@ -288,11 +290,11 @@
 		return err
 	})
 	var r *core.RefusalError
-	if errors.As(err, &r) && r.Code == core.CodeOwner {
+	if errors.As(err, &r) && r.Code == core.CodeNoOwner {
 		if !sent {
-			return false, core.Refuse(core.CodeOwner, "no process owns the cell of job %s", spec.ID)
+			return false, core.Refuse(core.CodeNoOwner, "no process owns the cell of job %s", spec.ID)
 		}
-		return false, core.RefuseUnknown(core.CodeOwner, err, "job %s may or may not have been recorded; look it up by its ID", spec.ID)
+		return false, core.RefuseUnknown(core.CodeNoOwner, err, "job %s may or may not have been recorded; look it up by its ID", spec.ID)
 	}
 	return repeated, err
 }
@@ -303,23 +305,23 @@
 func (g *Gate) callOwner(ctx context.Context, id core.JobID, do func(ctx context.Context, owner core.Process) error) error {
 	cellID, ok := id.Cell()
 	if !ok {
-		return core.Refuse(core.CodeNoJob, "%q is not the name of a job", id)
+		return core.Refuse(core.CodeUnknownJob, "%q is not the name of a job", id)
 	}
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	for {
 		owners, err := loop.Ask(ctx, g.loop, func(r chan<- ownersReply) loop.Message { return ownersRequest{r} })
 		if err != nil {
-			return core.Refuse(core.CodeOwner, "no process owns cell %s", cellID)
+			return core.Refuse(core.CodeNoOwner, "no process owns cell %s", cellID)
 		}
-		lastErr := error(core.Refuse(core.CodeOwner, "no process owns cell %s", cellID))
+		lastErr := error(core.Refuse(core.CodeNoOwner, "no process owns cell %s", cellID))
 		if owner, ok := owners.cells[cellID]; ok {
 			callCtx, cancelCall := context.WithTimeout(ctx, ownerCallTimeout)
 			lastErr = do(callCtx, owner)
 			cancelCall()
 		}
 		var r *core.RefusalError
-		if !errors.As(lastErr, &r) || r.Code != core.CodeOwner {
+		if !errors.As(lastErr, &r) || r.Code != core.CodeNoOwner {
 			return lastErr
 		}
 		if !sleep(ctx, ownerRetryInterval) {
@@ -374,7 +376,7 @@
 		return err
 	})
 	if err == nil && v.Team != team {
-		err = core.Refuse(core.CodeNoJob, "no job %q", id)
+		err = core.Refuse(core.CodeUnknownJob, "no job %q", id)
 	}
 	return v, err
 }
--- a/io/httpx/httpx.go
+++ b/io/httpx/httpx.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// RunHeader is the response header that says whether the request was executed:
+	// ExecutionHeader is the response header that says whether the request was executed:
 	// yes, no or unknown.
-	RunHeader = "Run"
+	ExecutionHeader = "Run"
 	// HeaderTimeout is the time within which a client must send its headers.
 	HeaderTimeout = 10 * time.Second
 	// IdleTimeout is how long a connection is kept open without a request.
@@ -33,31 +33,31 @@
 
 // Refusal is the body of the answer to a refused request.
 type Refusal struct {
-	Code   string `json:"code"`
-	Run    string `json:"run"`
-	Reason string `json:"reason"`
+	Code      string `json:"code"`
+	Execution string `json:"run"`
+	Reason    string `json:"reason"`
 	// Lines are the errors of a refused file, one per entry.
 	Lines []string `json:"lines,omitempty"`
 }
 
 var statusByCode = map[core.Code]int{
-	core.CodeBadInput: http.StatusBadRequest,
-	core.CodeBadKey:   http.StatusForbidden,
-	core.CodeNoQueue:  http.StatusNotFound,
-	core.CodeNoTeam:   http.StatusNotFound,
-	core.CodeNoJob:    http.StatusNotFound,
-	core.CodeTooLarge: http.StatusUnprocessableEntity,
-	core.CodeBusy:     http.StatusTooManyRequests,
-	core.CodeLimit:    http.StatusTooManyRequests,
-	core.CodeTimeout:  http.StatusServiceUnavailable,
-	core.CodeLeaving:  http.StatusServiceUnavailable,
-	core.CodeStore:    http.StatusServiceUnavailable,
-	core.CodeOwner:    http.StatusServiceUnavailable,
-	core.CodeConfig:   http.StatusServiceUnavailable,
-	core.CodeStale:    http.StatusConflict,
-	core.CodeConflict: http.StatusConflict,
-	core.CodeRepeat:   http.StatusConflict,
-	core.CodeTarget:   http.StatusBadGateway,
+	core.CodeBadInput:          http.StatusBadRequest,
+	core.CodeBadKey:            http.StatusForbidden,
+	core.CodeUnknownQueue:      http.StatusNotFound,
+	core.CodeUnknownTeam:       http.StatusNotFound,
+	core.CodeUnknownJob:        http.StatusNotFound,
+	core.CodeTooLarge:          http.StatusUnprocessableEntity,
+	core.CodeBusy:              http.StatusTooManyRequests,
+	core.CodeOverLimit:         http.StatusTooManyRequests,
+	core.CodeTimeout:           http.StatusServiceUnavailable,
+	core.CodeLeaving:           http.StatusServiceUnavailable,
+	core.CodeStoreUnavailable:  http.StatusServiceUnavailable,
+	core.CodeNoOwner:           http.StatusServiceUnavailable,
+	core.CodeConfigUnconfirmed: http.StatusServiceUnavailable,
+	core.CodeStaleEpoch:        http.StatusConflict,
+	core.CodeConflict:          http.StatusConflict,
+	core.CodeAlreadySent:       http.StatusConflict,
+	core.CodeTargetFailed:      http.StatusBadGateway,
 }
 
 // Status returns the HTTP status of a refusal code.
@@ -74,7 +74,7 @@
 	var lines core.LineErrors
 	var r *core.RefusalError
 	if errors.As(err, &lines) {
-		body := Refusal{Code: string(core.CodeBadInput), Run: string(core.NotExecuted), Reason: "the file has errors; nothing was changed"}
+		body := Refusal{Code: string(core.CodeBadInput), Execution: string(core.NotExecuted), Reason: "the file has errors; nothing was changed"}
 		for _, l := range lines {
 			body.Lines = append(body.Lines, l.Error())
 		}
@@ -82,7 +82,7 @@
 		return
 	}
 	if !errors.As(err, &r) {
-		r = core.RefuseUnknown(core.CodeStore, err, "the request failed")
+		r = core.RefuseUnknown(core.CodeStoreUnavailable, err, "the request failed")
 	}
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(max(r.RetryAfter, time.Second)/time.Second)))
@@ -91,11 +91,11 @@
 	if r.Err != nil {
 		reason += ": " + r.Err.Error()
 	}
-	writeRefusal(w, Status(r.Code), Refusal{Code: string(r.Code), Run: string(r.Execution), Reason: reason})
+	writeRefusal(w, Status(r.Code), Refusal{Code: string(r.Code), Execution: string(r.Execution), Reason: reason})
 }
 
 func writeRefusal(w http.ResponseWriter, status int, body Refusal) {
-	w.Header().Set(RunHeader, body.Run)
+	w.Header().Set(ExecutionHeader, body.Execution)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
@@ -172,8 +172,8 @@
 // operatorName returns the name that the operator gives for the history of changes.
 func operatorName(r *http.Request) string { return strings.TrimSpace(r.Header.Get("Operator")) }
 
-// Pushed is the answer to an accepted change of the configuration.
-type Pushed struct {
+// ChangeResult is the answer to an accepted change of the configuration.
+type ChangeResult struct {
 	// Version is the version of the configuration with the change.
 	Version core.Version `json:"version"`
 	// Key is a newly granted key. No other answer contains it.
@@ -188,7 +188,7 @@
 	}
 	base, _ := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
 	v, err := o.agent.PushRules(r.Context(), text, core.Version(base), operatorName(r))
-	respond(w)(Pushed{Version: v}, err)
+	respond(w)(ChangeResult{Version: v}, err)
 }
 
 func (o opsHandlers) checkRules(w http.ResponseWriter, r *http.Request) {
@@ -222,7 +222,7 @@
 
 func (o opsHandlers) showConfig(w http.ResponseWriter, r *http.Request) {
 	v, err := o.agent.View(r.Context())
-	respond(w)(Config{v.Version, v.Lowest}, err)
+	respond(w)(Config{v.Version, v.LowestVersion}, err)
 }
 
 // Key describes a key without its secret, which is not stored.
@@ -243,10 +243,10 @@
 
 func (o opsHandlers) grantKey(w http.ResponseWriter, r *http.Request) {
 	key, v, err := o.agent.GrantKey(r.Context(), core.Team(r.URL.Query().Get("team")), operatorName(r))
-	respond(w)(Pushed{v, key}, err)
+	respond(w)(ChangeResult{v, key}, err)
 }
 
 func (o opsHandlers) withdrawKey(w http.ResponseWriter, r *http.Request) {
 	v, err := o.agent.WithdrawKey(r.Context(), r.PathValue("id"), operatorName(r))
-	respond(w)(Pushed{Version: v}, err)
+	respond(w)(ChangeResult{Version: v}, err)
 }
--- a/io/link/client.go
+++ b/io/link/client.go
@@ -266,7 +266,7 @@
 		if err != nil {
 			return err
 		}
-		c.advisor.Request(a, c.Advised)
+		c.advisor.Request(a, c.ReportAdvice)
 	case *wire.Down_Roomy:
 		c.onRoomHint(workerIDs(k.Roomy.Workers))
 	case *wire.Down_Reply:
@@ -307,18 +307,18 @@
 	}
 }
 
-// Advised sends the result of an advice request to the owner. If the result is
+// ReportAdvice sends the result of an advice request to the owner. If the result is
 // lost, the owner repeats the request after a time-out.
-func (c *Client) Advised(r advice.Result) {
+func (c *Client) ReportAdvice(r advice.Result) {
 	if !c.send(&wire.Up{Kind: &wire.Up_Advised{Advised: fromResult(r)}}) {
 		c.log.WithField("job", r.Request.Phase.Job).Warn("advice result not sent to the owner")
 	}
 }
 
-// Accepted notifies the owner of a job that has been stored. requestsAdvice is set
+// JobAccepted notifies the owner of a job that has been stored. requestsAdvice is set
 // if this VM requests advice for the job's first phase. If the message is lost,
 // the owner reads the job from the store.
-func (c *Client) Accepted(spec jobs.Spec, requestsAdvice bool) {
+func (c *Client) JobAccepted(spec jobs.Spec, requestsAdvice bool) {
 	text, err := json.Marshal(spec)
 	if err != nil {
 		c.log.WithError(err).WithField("job", spec.ID).Error("job not passed on")
@@ -329,9 +329,9 @@
 	}
 }
 
-// Cancelled notifies the owner of a cancellation that has been stored. If the
+// JobCancelled notifies the owner of a cancellation that has been stored. If the
 // message is lost, the owner reads the cancellation from the store.
-func (c *Client) Cancelled(id core.JobID) {
+func (c *Client) JobCancelled(id core.JobID) {
 	if !c.send(&wire.Up{Kind: &wire.Up_Cancelled{Cancelled: string(id)}}) {
 		c.log.WithField("job", id).Info("cancellation not sent to the owner, which reads it from the store")
 	}
--- a/io/link/link_test.go
+++ b/io/link/link_test.go
@@ -28,8 +28,8 @@
 
 func (o *fakeOwner) AddPeer(owner.Peer)                 { o.peers.Add(1) }
 func (o *fakeOwner) RemovePeer(owner.Peer)              { o.peers.Add(-1) }
-func (*fakeOwner) Accepted(jobs.Spec, string)           {}
-func (*fakeOwner) Cancelled(core.JobID)                 {}
+func (*fakeOwner) JobAccepted(jobs.Spec, string)        {}
+func (*fakeOwner) JobCancelled(core.JobID)              {}
 func (*fakeOwner) AdviceReceived(string, advice.Result) {}
 func (o *fakeOwner) OwnerLost(core.SessionID, bool)     { o.lost.Add(1) }
 func (o *fakeOwner) OwnerFound()                        { o.found.Add(1) }
@@ -81,7 +81,7 @@
 	log := discardLog()
 	o := &fakeOwner{}
 	srv, addr := serveOwner(t, o, log)
-	tables := []*fakeTable{{outcome: table.Outcome{RefusedStatus: 503}}, {outcome: table.NotSent()}, {outcome: table.Outcome{Done: &table.Done{Version: 7}}}}
+	tables := []*fakeTable{{outcome: table.Outcome{RefusedStatus: 503}}, {outcome: table.NotSent()}, {outcome: table.Outcome{Done: &table.WriteResult{Version: 7}}}}
 	for i, f := range tables {
 		c := link.NewClient(string(rune('a'+i)), "zone", o, o, f.handle, log)
 		c.SetOwner(link.OwnerAddr{Addr: addr, Session: "owner/1"})
@@ -123,7 +123,7 @@
 	}
 	time.Sleep(1500 * time.Millisecond)
 	is.Equal(watcher.lost.Load(), int64(0)) // the idle owner's empty messages keep the stream open
-	is.NoErr(proxy.Set(fakes.LinkFaults{Cut: true}))
+	is.NoErr(proxy.SetFaults(fakes.LinkFaults{Cut: true}))
 	began := time.Now()
 	for watcher.lost.Load() == 0 {
 		is.True(time.Since(began) < 3*time.Second)
--- a/io/link/server.go
+++ b/io/link/server.go
@@ -23,8 +23,8 @@
 type Owner interface {
 	AddPeer(p owner.Peer)
 	RemovePeer(p owner.Peer)
-	Accepted(spec jobs.Spec, requester string)
-	Cancelled(id core.JobID)
+	JobAccepted(spec jobs.Spec, requester string)
+	JobCancelled(id core.JobID)
 	AdviceReceived(vm string, r advice.Result)
 	State(ctx context.Context, id core.JobID) (state jobs.State, known, isOwner bool, err error)
 	Pending(ctx context.Context, q core.Queue) (n int, ok bool, err error)
@@ -253,7 +253,7 @@
 		if k.Accepted.Asking {
 			requester = p.name
 		}
-		s.owner.Accepted(spec, requester)
+		s.owner.JobAccepted(spec, requester)
 	case *wire.Up_Advised:
 		r, err := toResult(k.Advised)
 		if err != nil {
@@ -261,7 +261,7 @@
 		}
 		s.owner.AdviceReceived(p.name, r)
 	case *wire.Up_Cancelled:
-		s.owner.Cancelled(core.JobID(k.Cancelled))
+		s.owner.JobCancelled(core.JobID(k.Cancelled))
 	case *wire.Up_Carried:
 		return p.forwarder.handleOutcome(k.Carried)
 	case *wire.Up_Call:
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -19,9 +19,9 @@
 type Handler interface {
 	// Handle handles one message.
 	Handle(now time.Time, m Message)
-	// Wake does the work that is due and returns the time of the next call. It is
+	// Tick does the work that is due and returns the time of the next call. It is
 	// also called after messages have been handled.
-	Wake(now time.Time) time.Time
+	Tick(now time.Time) time.Time
 }
 
 // StoppedError reports that the loop has stopped and handles no more messages.
@@ -84,7 +84,7 @@
 		case <-timer.C:
 		}
 		now := time.Now()
-		timer.Reset(time.Until(h.Wake(now)))
+		timer.Reset(time.Until(h.Tick(now)))
 	}
 }
 
--- a/io/meter/meter.go
+++ b/io/meter/meter.go
@@ -44,8 +44,8 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`chicoryturn_request_wait_seconds{queue=%q}`, queue)).Update(wait.Seconds())
 }
 
-// Crossed counts bytes sent to another region.
-func (Meter) Crossed(queue core.Queue, bytes int) {
+// AddCrossRegionBytes counts bytes sent to another region.
+func (Meter) AddCrossRegionBytes(queue core.Queue, bytes int) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`chicoryturn_crossed_bytes_total{queue=%q}`, queue)).Add(bytes)
 }
 
--- a/io/node/meter.go
+++ b/io/node/meter.go
@@ -40,8 +40,8 @@
 	metrics.GetOrCreateHistogram("chicoryturn_plan_seconds").Update(took.Seconds())
 }
 
-// Own sets whether this process owns the fleet.
-func (meter) Own(isOwner bool) {
+// SetOwning sets whether this process owns the fleet.
+func (meter) SetOwning(isOwner bool) {
 	v := 0.0
 	if isOwner {
 		v = 1
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -78,10 +78,10 @@
 	// Policy reads the configuration, nil if there is none, and the version of
 	// the store to pass to Changed.
 	Policy(ctx context.Context) (*policy.Policy, uint64, error)
-	// Changed waits for a change of the configuration after a version of the
+	// AwaitPolicy waits for a change of the configuration after a version of the
 	// store, for at most the duration wait. It returns nil if there was none,
 	// and the version to pass to the next call.
-	Changed(ctx context.Context, after uint64, wait time.Duration) (*policy.Policy, uint64, error)
+	AwaitPolicy(ctx context.Context, after uint64, wait time.Duration) (*policy.Policy, uint64, error)
 }
 
 // Platform is the process's access to the platform.
@@ -91,7 +91,7 @@
 	// Lister returns a Lister that reads through a table client.
 	Lister  func(table.Client) Lister
 	Workers owner.WorkerClient
-	Advice  advice.Advisor
+	Advisor advice.Advisor
 	// CallerHandler and ProbeHandler return the HTTP handlers for clients and
 	// for readiness probes.
 	CallerHandler, ProbeHandler func(*entry.Entry) http.Handler
@@ -134,15 +134,15 @@
 	n.grace.Store(int64(s.Grace))
 	n.log.SetOutput(n.logBuf)
 	n.log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "15:04:05.000"})
-	if level, err := logrus.ParseLevel(s.Level); err == nil {
+	if level, err := logrus.ParseLevel(s.LogLevel); err == nil {
 		n.log.SetLevel(level)
 	}
-	n.advice = advice.New(p.Advice)
+	n.advice = advice.New(p.Advisor)
 	toOwner := &ownerLink{vm: s.VM}
 	store := relay.New(p.Store, toOwner)
 	// The lister has its own adaptive time-outs, since its reads are larger
 	// than those of the record store.
-	n.records, n.lister = record.New(adapt.New(store), record.WithReach(store)), p.Lister(adapt.New(store))
+	n.records, n.lister = record.New(adapt.New(store), record.WithReachability(store)), p.Lister(adapt.New(store))
 	n.entry = entry.New(n.records, toOwner, n.advice, meter{}, n.logger("entry"))
 	n.session = newSessionID(s.VM)
 	candidate := elect.Record{Holder: n.session, VM: s.VM, Addr: s.Peers}
@@ -193,8 +193,8 @@
 // run starts all parts and waits until they have ended; exit ends the context.
 func (n *Node) run(ctx context.Context, stop <-chan struct{}, exit context.CancelFunc) error {
 	debug.SetGCPercent(gcPercent)
-	if n.settings.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryLimitShare * float64(n.settings.Memory)))
+	if n.settings.MemoryBytes > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(n.settings.MemoryBytes)))
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	logCtx, stopLogs := context.WithCancel(context.WithoutCancel(ctx))
@@ -218,7 +218,7 @@
 	g.Go(func() error { return n.watchSettings(ctx) })
 	n.owner.AddPeer(&localPeer{vm: n.settings.VM, advice: n.advice, owner: n.owner, entry: n.entry})
 	n.logger("node").WithFields(logrus.Fields{
-		"callers": n.settings.Callers.String(), "peers": n.settings.Peers.String(), "share": n.settings.CoreShare, "memory": n.settings.Memory,
+		"callers": n.settings.Callers.String(), "peers": n.settings.Peers.String(), "share": n.settings.CoreShare, "memory": n.settings.MemoryBytes,
 	}).Info("started")
 	return g.Wait()
 }
@@ -313,7 +313,7 @@
 		}
 		n.setPolicy(p)
 		for ctx.Err() == nil {
-			p, version, err = n.lister.Changed(ctx, version, policyWait)
+			p, version, err = n.lister.AwaitPolicy(ctx, version, policyWait)
 			if err != nil {
 				var compacted *table.CompactedError
 				if !errors.As(err, &compacted) {
--- a/io/node/ownerlink.go
+++ b/io/node/ownerlink.go
@@ -33,26 +33,26 @@
 	return l.client.Forward(ctx, c)
 }
 
-// Accepted implements entry.OwnerLink.
-func (l *ownerLink) Accepted(spec jobs.Spec, requestsAdvice bool) {
+// JobAccepted implements entry.OwnerLink.
+func (l *ownerLink) JobAccepted(spec jobs.Spec, requestsAdvice bool) {
 	if !l.isOwner.Load() {
-		l.client.Accepted(spec, requestsAdvice)
+		l.client.JobAccepted(spec, requestsAdvice)
 		return
 	}
 	requester := ""
 	if requestsAdvice {
 		requester = l.vm
 	}
-	l.owner.Accepted(spec, requester)
+	l.owner.JobAccepted(spec, requester)
 }
 
-// Advised implements entry.OwnerLink.
-func (l *ownerLink) Advised(r advice.Result) {
+// ReportAdvice implements entry.OwnerLink.
+func (l *ownerLink) ReportAdvice(r advice.Result) {
 	if l.isOwner.Load() {
 		l.owner.AdviceReceived(l.vm, r)
 		return
 	}
-	l.client.Advised(r)
+	l.client.ReportAdvice(r)
 }
 
 // Connected implements entry.OwnerLink.
@@ -63,13 +63,13 @@
 	return l.client.Connected()
 }
 
-// Cancelled implements entry.OwnerLink.
-func (l *ownerLink) Cancelled(id core.JobID) {
+// JobCancelled implements entry.OwnerLink.
+func (l *ownerLink) JobCancelled(id core.JobID) {
 	if l.isOwner.Load() {
-		l.owner.Cancelled(id)
+		l.owner.JobCancelled(id)
 		return
 	}
-	l.client.Cancelled(id)
+	l.client.JobCancelled(id)
 }
 
 // State implements entry.OwnerLink.
--- a/io/node/reload.go
+++ b/io/node/reload.go
@@ -39,11 +39,11 @@
 func (n *Node) applySettings(old, s Settings) {
 	n.grace.Store(int64(s.Grace))
 	n.owner.SetLimits(s.Limits)
-	if level, err := logrus.ParseLevel(s.Level); err == nil {
+	if level, err := logrus.ParseLevel(s.LogLevel); err == nil {
 		n.log.SetLevel(level)
 	}
-	old.Limits, old.Grace, old.Level = s.Limits, s.Grace, s.Level
+	old.Limits, old.Grace, old.LogLevel = s.Limits, s.Grace, s.LogLevel
 	n.logger("node").WithFields(logrus.Fields{
-		"lease": s.Limits.Lease.String(), "grace": s.Grace.String(), "level": s.Level, "restart": old != s,
+		"lease": s.Limits.Lease.String(), "grace": s.Grace.String(), "level": s.LogLevel, "restart": old != s,
 	}).Info("settings in force")
 }
--- a/io/node/settings.go
+++ b/io/node/settings.go
@@ -22,12 +22,12 @@
 	Callers, Probes, Peers, Ops netip.AddrPort
 	// CoreShare is the share of a core that the process may use, Memory its
 	// limit in bytes and LinkMbps the VM's network bandwidth; 0 means not set.
-	CoreShare float64
-	Memory    int64
-	LinkMbps  float64
-	Limits    fleet.Limits
+	CoreShare   float64
+	MemoryBytes int64
+	LinkMbps    float64
+	Limits      fleet.Limits
 	// Grace is the time between the order to stop and a forced stop.
 	Grace time.Duration
-	// Level is the lowest log level that is written.
-	Level string
+	// LogLevel is the lowest log level that is written.
+	LogLevel string
 }
--- a/io/owner/election.go
+++ b/io/owner/election.go
@@ -124,7 +124,7 @@
 	o.log.WithFields(logrus.Fields{"epoch": o.scheduler.Epoch(), "because": reason}).Warn("no longer the owner")
 	o.scheduler = nil
 	o.rosterToStore, o.rosterVersion, o.progressToDelete = nil, 0, nil
-	o.meter.Own(false)
+	o.meter.SetOwning(false)
 	o.peers.resetLoads()
 }
 
@@ -186,7 +186,7 @@
 
 // handleWrite handles the outcome of a write by the owner of an epoch.
 // RosterVersion is the version of the roster in the write.
-func (o *Owner) handleWrite(now time.Time, write record.OwnerWrite, rosterVersion uint64, done table.Done, epoch core.Epoch, err error) {
+func (o *Owner) handleWrite(now time.Time, write record.OwnerWrite, rosterVersion uint64, done table.WriteResult, epoch core.Epoch, err error) {
 	sameEpoch := o.scheduler != nil && o.scheduler.Epoch() == epoch
 	o.nextWrite = now.Add(writeInterval)
 	var conflict *table.ConflictError
@@ -321,9 +321,9 @@
 			opts = append(opts, fleet.WithLostState())
 		}
 		o.scheduler, o.lastOwnedEpoch = fleet.New(now, epoch, o.limits, o.policy, opts...), epoch
-		o.scheduler.Recover(snapshot.Roster, o.absence.Since())
+		o.scheduler.RestoreRoster(snapshot.Roster, o.absence.MissingSince())
 		o.rosterToStore, o.rosterVersion = nil, 0
-		o.meter.Own(true)
+		o.meter.SetOwning(true)
 	}
 	o.scheduler.Load(now, snapshot.Specs, snapshot.Progress)
 	for _, id := range snapshot.Cancelled {
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -51,7 +51,7 @@
 // its methods.
 type RecordStore interface {
 	OwnerRecord(ctx context.Context) (elect.Observation, error)
-	Write(ctx context.Context, r record.OwnerWrite) (table.Done, error)
+	Write(ctx context.Context, r record.OwnerWrite) (table.WriteResult, error)
 	Load(ctx context.Context) (*record.Snapshot, error)
 	Changes(ctx context.Context, after uint64) (record.Snapshot, error)
 	Delete(ctx context.Context, ids []core.JobID) error
@@ -77,7 +77,7 @@
 	Call(kind string, reply string, took time.Duration)
 	Record(rows int, took time.Duration)
 	Placement(took time.Duration)
-	Own(owning bool)
+	SetOwning(owning bool)
 }
 
 // Owner is the control state of one process.
@@ -224,8 +224,8 @@
 	})
 }
 
-// Wake implements loop.Handler.
-func (o *Owner) Wake(now time.Time) time.Time {
+// Tick implements loop.Handler.
+func (o *Owner) Tick(now time.Time) time.Time {
 	running := o.election.CheckSuspension(clock.BootTime(), clock.Monotonic())
 	o.readRecord(now)
 	o.readWorkers(now)
@@ -392,7 +392,7 @@
 		return
 	}
 	o.nextCleanup = now.Add(cleanupInterval)
-	ids := o.scheduler.Expired(now, o.limits.Retention+retentionSlack, cleanupBatch)
+	ids := o.scheduler.ForgetExpired(now, o.limits.Retention+retentionSlack, cleanupBatch)
 	if len(ids) == 0 {
 		return
 	}
@@ -484,9 +484,9 @@
 	})
 }
 
-// Accepted adds a stored job to the scheduler. Advising names the VM that already
+// JobAccepted adds a stored job to the scheduler. Advising names the VM that already
 // has a request for advice on the job's first phase in flight; it may be empty.
-func (o *Owner) Accepted(spec jobs.Spec, advising string) {
+func (o *Owner) JobAccepted(spec jobs.Spec, advising string) {
 	o.post(func(o *Owner, now time.Time) {
 		if o.scheduler == nil {
 			return
@@ -505,8 +505,8 @@
 	})
 }
 
-// Cancelled cancels a job whose cancellation is stored.
-func (o *Owner) Cancelled(id core.JobID) {
+// JobCancelled cancels a job whose cancellation is stored.
+func (o *Owner) JobCancelled(id core.JobID) {
 	o.post(func(o *Owner, now time.Time) {
 		if o.scheduler != nil {
 			o.scheduler.Cancel(now, id)
--- a/io/owner/owner_test.go
+++ b/io/owner/owner_test.go
@@ -35,8 +35,8 @@
 	return elect.Observation{}, nil
 }
 
-func (*fakeDeps) Write(context.Context, record.OwnerWrite) (table.Done, error) {
-	return table.Done{Version: 1}, nil
+func (*fakeDeps) Write(context.Context, record.OwnerWrite) (table.WriteResult, error) {
+	return table.WriteResult{Version: 1}, nil
 }
 
 func (o *fakeDeps) Load(ctx context.Context) (*record.Snapshot, error) {
@@ -78,7 +78,7 @@
 func (*fakeDeps) Call(string, string, time.Duration) {}
 func (*fakeDeps) Record(int, time.Duration)          {}
 func (*fakeDeps) Placement(time.Duration)            {}
-func (*fakeDeps) Own(bool)                           {}
+func (*fakeDeps) SetOwning(bool)                     {}
 
 // allDeps combines the dependencies of an owner.
 type allDeps interface {
@@ -125,15 +125,15 @@
 	return elect.Observation{Record: w.row.record, Version: w.row.version}, nil
 }
 
-func (w *delayedStore) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
+func (w *delayedStore) Write(_ context.Context, r record.OwnerWrite) (table.WriteResult, error) {
 	time.Sleep(w.delay)
 	w.row.mu.Lock()
 	defer w.row.mu.Unlock()
 	if r.Version != w.row.version {
-		return table.Done{}, &table.ConflictError{}
+		return table.WriteResult{}, &table.ConflictError{}
 	}
 	w.row.record, w.row.version = r.Record, w.row.version+1
-	return table.Done{Version: w.row.version}, nil
+	return table.WriteResult{Version: w.row.version}, nil
 }
 
 // TestNearestProcessClaims starts two processes while no process holds the ownership
@@ -205,14 +205,14 @@
 func (l *laggingStore) OwnerRecord(context.Context) (elect.Observation, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return elect.Observation{Record: l.record, Version: uint64(l.record.Beat)}, nil
+	return elect.Observation{Record: l.record, Version: uint64(l.record.WriteNumber)}, nil
 }
 
-func (l *laggingStore) Write(_ context.Context, r record.OwnerWrite) (table.Done, error) {
+func (l *laggingStore) Write(_ context.Context, r record.OwnerWrite) (table.WriteResult, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record = r.Record
-	return table.Done{Version: uint64(r.Record.Beat)}, nil
+	return table.WriteResult{Version: uint64(r.Record.WriteNumber)}, nil
 }
 
 func (l *laggingStore) Changes(context.Context, uint64) (record.Snapshot, error) {
@@ -267,7 +267,7 @@
 	return fleet.RunLists{Clock: time.Second, Incarnation: newIncarnation}, fleet.ReplyOK, nil
 }
 
-func (r *restartedWorker) Write(_ context.Context, rec record.OwnerWrite) (table.Done, error) {
+func (r *restartedWorker) Write(_ context.Context, rec record.OwnerWrite) (table.WriteResult, error) {
 	if rec.Roster != nil {
 		r.once.Do(func() { close(r.rosterWriting) })
 	}
@@ -278,7 +278,7 @@
 	if rec.Roster != nil {
 		r.rosters = append(r.rosters, rec.Roster)
 	}
-	return table.Done{Version: r.version}, nil
+	return table.WriteResult{Version: r.version}, nil
 }
 
 // TestRosterChangesDuringWrite answers a heartbeat with a new incarnation while a
--- a/io/owner/peers.go
+++ b/io/owner/peers.go
@@ -138,12 +138,12 @@
 	return best
 }
 
-// Free implements fleet.Turns. It reports whether a VM accepts a request of the
+// HasCapacity implements fleet.Turns. It reports whether a VM accepts a request of the
 // given cost.
-func (p *peers) Free(cost time.Duration) bool { return p.leastLoaded(cost) != nil }
+func (p *peers) HasCapacity(cost time.Duration) bool { return p.leastLoaded(cost) != nil }
 
-// Spare implements fleet.Turns. It reports whether most VMs are idle.
-func (p *peers) Spare() bool {
+// MostlyIdle implements fleet.Turns. It reports whether most VMs are idle.
+func (p *peers) MostlyIdle() bool {
 	idle := 0
 	for _, s := range p.list {
 		if s.load == 0 {
@@ -153,8 +153,8 @@
 	return idle > len(p.list)/2
 }
 
-// Take implements fleet.Turns. It sends a request to the least loaded VM.
-func (p *peers) Take(r fleet.AdviceRequest) {
+// Send implements fleet.Turns. It sends a request to the least loaded VM.
+func (p *peers) Send(r fleet.AdviceRequest) {
 	s := p.leastLoaded(r.Cost)
 	if s == nil {
 		// The scheduler calls Free before it knows the final cost of the request,
--- a/io/parse/rules.go
+++ b/io/parse/rules.go
@@ -184,16 +184,16 @@
 		source := sources["team."+name]
 		set.Teams[core.Team(name)] = rules.Team{
 			Name: core.Team(name), Share: t.Share, Cores: int64(t.Cores * 1000), Slots: t.Slots,
-			AskedBy: source.requestedBy, Line: source.line,
+			RequestedBy: source.requestedBy, Line: source.line,
 		}
 	}
 	for name, q := range f.Queue {
 		source := sources["queue."+name]
 		out := rules.Queue{
-			Name: core.Queue(name), Kind: rules.Kind(q.Kind), Open: q.Open, Service: core.Service(q.Service),
-			Repeat: q.Repeat, Start: time.Duration(q.Start), Due: time.Duration(q.Due), Cores: int64(q.Cores * 1000),
-			Wait: durationOr(q.Wait, rules.DefaultWait), Run: durationOr(q.Run, rules.DefaultRun), Backlog: rules.DefaultBacklog,
-			AskedBy: source.requestedBy, Line: source.line,
+			Name: core.Queue(name), Kind: rules.Kind(q.Kind), Public: q.Open, Service: core.Service(q.Service),
+			Retry: q.Repeat, Start: time.Duration(q.Start), Due: time.Duration(q.Due), Cores: int64(q.Cores * 1000),
+			MaxWait: durationOr(q.Wait, rules.DefaultWait), RunTimeout: durationOr(q.Run, rules.DefaultRun), Backlog: rules.DefaultBacklog,
+			RequestedBy: source.requestedBy, Line: source.line,
 		}
 		if q.Backlog != nil {
 			out.Backlog = *q.Backlog
--- a/io/parse/rules_test.go
+++ b/io/parse/rules_test.go
@@ -27,7 +27,7 @@
 	set, err := parse.Rules("rules.toml", []byte(validRules))
 	is.NoErr(err)
 	is.Equal(set.Teams["foundry"].Cores, int64(600000))
-	is.Equal(set.Teams["foundry"].AskedBy, "Ruth Tanner, foundry floor")
+	is.Equal(set.Teams["foundry"].RequestedBy, "Ruth Tanner, foundry floor")
 	is.Equal(set.Queues["cure"].Due, 4*time.Hour)
 	is.Equal(set.Queues["angle"].Kind, rules.Answer)
 	is.Equal(set.Queues["angle"].Line, 7)
--- a/io/parse/settings.go
+++ b/io/parse/settings.go
@@ -37,15 +37,15 @@
 	Public netip.AddrPort
 	// Cells is the number of cells of every region. It is the same in all processes.
 	Cells int
-	// Session is the length of the lease of a process.
-	Session time.Duration
-	// Worker is the length of the lease of a worker.
-	Worker time.Duration
-	// Drain is the longest duration of a planned stop.
-	Drain time.Duration
-	// Level is the lowest level of log lines, and Form their form, text or json.
-	Level string
-	Form  string
+	// SessionTTL is the length of the lease of a process.
+	SessionTTL time.Duration
+	// WorkerTTL is the length of the lease of a worker.
+	WorkerTTL time.Duration
+	// DrainTimeout is the longest duration of a planned stop.
+	DrainTimeout time.Duration
+	// LogLevel is the lowest level of log lines, and Form their form, text or json.
+	LogLevel  string
+	LogFormat string
 }
 
 // Setting describes one setting, for help.
@@ -168,9 +168,9 @@
 		VM: c.name("vm", f.VM), Region: core.Region(c.name("region", f.Region)), Zone: core.Zone(c.name("zone", f.Zone)),
 		Platform: c.addr("platform", f.Platform, true), Callers: c.addr("callers", f.Callers, role == core.RoleGate),
 		Peers: c.addr("peers", f.Peers, true), Ops: c.addr("ops", f.Ops, true),
-		Cells: f.Cells, Session: c.duration("session", f.Session), Worker: c.duration("worker", f.Worker),
-		Drain: c.duration("drain", f.Drain), Level: c.oneOf("level", f.Level, "debug, info, warn, error"),
-		Form: c.oneOf("form", f.Form, "text, json"),
+		Cells: f.Cells, SessionTTL: c.duration("session", f.Session), WorkerTTL: c.duration("worker", f.Worker),
+		DrainTimeout: c.duration("drain", f.Drain), LogLevel: c.oneOf("level", f.Level, "debug, info, warn, error"),
+		LogFormat: c.oneOf("form", f.Form, "text, json"),
 	}
 	if s.Public = c.addr("public", f.Public, false); !s.Public.IsValid() {
 		s.Public = s.Peers
--- a/io/parse/settings_test.go
+++ b/io/parse/settings_test.go
@@ -25,7 +25,7 @@
 	is := is.New(t)
 	s, err := parse.ReadSettings("s", []byte(validSettings), core.RoleGate)
 	is.NoErr(err)
-	is.Equal(s.Session, 3*time.Second)
+	is.Equal(s.SessionTTL, 3*time.Second)
 	is.Equal(s.Public, s.Peers)
 	is.Equal(s.Cells, 1)
 }
--- a/io/peer/pool.go
+++ b/io/peer/pool.go
@@ -60,8 +60,8 @@
 	return wire.NewPeerClient(c), nil
 }
 
-// Keep closes the connections to all peers except those in addrs.
-func (p *Pool) Keep(addrs core.Set[netip.AddrPort]) {
+// CloseExcept closes the connections to all peers except those in addrs.
+func (p *Pool) CloseExcept(addrs core.Set[netip.AddrPort]) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, c := range p.conns {
@@ -73,14 +73,14 @@
 }
 
 // Close closes all connections.
-func (p *Pool) Close() { p.Keep(core.NewSet[netip.AddrPort]()) }
+func (p *Pool) Close() { p.CloseExcept(core.NewSet[netip.AddrPort]()) }
 
 // Alive is a peer's answer to a liveness probe.
 type Alive struct {
 	// Session is the ID of the peer's session.
 	Session core.SessionID
-	// Stored is set when the peer can reach the store.
-	Stored bool
+	// StoreReachable is set when the peer can reach the store.
+	StoreReachable bool
 	// Config is the version of the configuration in force in the peer.
 	Config core.Version
 	// Confirmed is the time since the peer last confirmed that Config is the newest
@@ -103,16 +103,16 @@
 	}, nil
 }
 
-// Hold asks a peer to renew the caller's session in the store or, if the peer
+// RenewOrPromise asks a peer to renew the caller's session in the store or, if the peer
 // cannot, to promise not to claim the caller's cells for a while. With resign set,
 // it asks the peer to delete the session instead.
-func (p *Pool) Hold(ctx context.Context, to core.Process, row member.Session, version uint64, resign bool) (member.Answer, error) {
+func (p *Pool) RenewOrPromise(ctx context.Context, to core.Process, row member.Session, version uint64, resign bool) (member.Answer, error) {
 	c, err := p.client(to.Peer)
 	if err != nil {
 		return member.Answer{}, refusalOf(err)
 	}
 	r, err := c.Hold(ctx, &wire.HoldRequest{
-		Process: fromProcess(row.Process), Beat: row.Beat, Config: uint64(row.Config), Version: version, Resign: resign,
+		Process: fromProcess(row.Process), Beat: row.Renewals, Config: uint64(row.Config), Version: version, Resign: resign,
 	})
 	if err != nil {
 		return member.Answer{}, refusalOf(err)
@@ -195,7 +195,7 @@
 	}
 	s, ok := status.FromError(err)
 	if !ok {
-		return core.RefuseUnknown(core.CodeOwner, err, "the call to the peer failed")
+		return core.RefuseUnknown(core.CodeNoOwner, err, "the call to the peer failed")
 	}
 	for _, d := range s.Details() {
 		if r, ok := d.(*wire.Refusal); ok {
@@ -205,7 +205,7 @@
 		}
 	}
 	if s.Code() == codes.Unavailable {
-		return core.RefuseUnknown(core.CodeOwner, &ConnectionError{err}, "the peer is not available")
+		return core.RefuseUnknown(core.CodeNoOwner, &ConnectionError{err}, "the peer is not available")
 	}
-	return core.RefuseUnknown(core.CodeOwner, err, "the call to the peer failed")
+	return core.RefuseUnknown(core.CodeNoOwner, err, "the call to the peer failed")
 }
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -18,7 +18,7 @@
 // Backend handles the calls of peers.
 type Backend interface {
 	Alive(ctx context.Context) (Alive, error)
-	Hold(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error)
+	RenewOrPromise(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error)
 	Submit(ctx context.Context, spec cell.JobSpec) (repeated bool, err error)
 	Cancel(ctx context.Context, id core.JobID) error
 	Show(ctx context.Context, id core.JobID) (cell.View, error)
@@ -60,7 +60,7 @@
 		return nil, statusOf(err)
 	}
 	return &wire.AliveReply{
-		Session: string(a.Session), Stored: a.Stored, Config: uint64(a.Config), Confirmed: durationpb.New(a.Confirmed),
+		Session: string(a.Session), Stored: a.StoreReachable, Config: uint64(a.Config), Confirmed: durationpb.New(a.Confirmed),
 	}, nil
 }
 
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, statusOf(err)
 	}
-	a, err := s.backend.Hold(ctx, member.Session{Process: p, Beat: r.Beat, Config: core.Version(r.Config)}, r.Version, r.Resign)
+	a, err := s.backend.RenewOrPromise(ctx, member.Session{Process: p, Renewals: r.Beat, Config: core.Version(r.Config)}, r.Version, r.Resign)
 	if err != nil {
 		return nil, statusOf(err)
 	}
--- a/io/proc/proc.go
+++ b/io/proc/proc.go
@@ -53,12 +53,12 @@
 func NewLogger(s parse.Settings, part string) *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(os.Stderr)
-	if s.Form == "json" {
+	if s.LogFormat == "json" {
 		l.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	} else {
 		l.SetFormatter(&prefixFormatter{logrus.TextFormatter{FullTimestamp: true, DisableColors: true, TimestampFormat: "15:04:05.000"}})
 	}
-	if level, err := logrus.ParseLevel(s.Level); err == nil {
+	if level, err := logrus.ParseLevel(s.LogLevel); err == nil {
 		l.SetLevel(level)
 	}
 	return l.WithField("part", part)
@@ -86,8 +86,8 @@
 	peer.Backend
 	httpx.Process
 	Run(ctx context.Context) error
-	Leave()
-	Left() <-chan struct{}
+	Drain()
+	Drained() <-chan struct{}
 }
 
 // Serve starts an HTTP server on a listener in the group. The server runs until the
@@ -145,7 +145,7 @@
 // Sched runs a sched until the context ends or until a planned stop, which begins
 // when stop is closed, has released its cells.
 func Sched(ctx context.Context, s parse.Settings, stop <-chan struct{}, opts ...sched.Option) error {
-	opts = append([]sched.Option{sched.WithWorkerTTL(s.Worker)}, opts...)
+	opts = append([]sched.Option{sched.WithWorkerTTL(s.WorkerTTL)}, opts...)
 	return run(ctx, s, core.RoleSched, stop, func(l *loop.Loop, st *store.Client, p *peer.Pool, m *member.Member, log *logrus.Entry) (process, *agent.Agent, http.Handler, net.Listener) {
 		sc := sched.New(l, st, p, work.New(), m, meter.Meter{}, log, opts...)
 		return sc, sc.Agent, nil, nil
@@ -173,7 +173,7 @@
 	l := loop.New(ctx)
 	pool := peer.NewPool()
 	defer pool.Close()
-	m := member.New(newIdentity(s, role), member.WithTTL(s.Session), member.WithCells(s.Cells))
+	m := member.New(newIdentity(s, role), member.WithTTL(s.SessionTTL), member.WithCells(s.Cells))
 	log := NewLogger(s, string(role)+" "+s.VM)
 	st := store.New(s.Platform)
 	p, a, callersHandler, callersListener := build(l, st, pool, m, log)
@@ -203,14 +203,14 @@
 		return nil
 	case <-stop:
 	}
-	p.Leave()
-	timeout := time.NewTimer(s.Drain)
+	p.Drain()
+	timeout := time.NewTimer(s.DrainTimeout)
 	defer timeout.Stop()
 	select {
-	case <-p.Left():
+	case <-p.Drained():
 		log.Info("drained: all requests ended and all cells released")
 	case <-timeout.C:
-		log.Warnf("drain timed out after %s; stopping with work unfinished", s.Drain)
+		log.Warnf("drain timed out after %s; stopping with work unfinished", s.DrainTimeout)
 	case <-ctx.Done():
 	}
 	cancel()
--- a/io/record/accept.go
+++ b/io/record/accept.go
@@ -258,9 +258,9 @@
 		}
 		if j.maybeStored {
 			s.markUnconfirmed(j.spec.ID)
-			j.answer(acceptResult{err: core.RefuseUnknown(core.CodeStore, j.ctx.Err(), "the store has not confirmed the job")})
+			j.answer(acceptResult{err: core.RefuseUnknown(core.CodeStoreUnavailable, j.ctx.Err(), "the store has not confirmed the job")})
 		} else {
-			r := core.Refuse(core.CodeStore, "the store takes no jobs at present")
+			r := core.Refuse(core.CodeStoreUnavailable, "the store takes no jobs at present")
 			r.RetryAfter = clientRetryAfter
 			j.answer(acceptResult{err: s.refusal(j.spec.ID, r)})
 		}
--- a/io/record/store.go
+++ b/io/record/store.go
@@ -85,9 +85,9 @@
 // Option configures a Store.
 type Option func(*Store)
 
-// WithReach makes Accept and State refuse calls at once while the table cannot be
+// WithReachability makes Accept and State refuse calls at once while the table cannot be
 // reached.
-func WithReach(r Reachability) Option { return func(s *Store) { s.reachability = r } }
+func WithReachability(r Reachability) Option { return func(s *Store) { s.reachability = r } }
 
 // New returns a Store on a table. Accept needs Run in another goroutine.
 func New(client table.Client, opts ...Option) *Store {
@@ -104,7 +104,7 @@
 // unreachableError returns the refusal of a call while the table cannot be reached.
 // Clients can retry through another VM instead of waiting for the table.
 func (s *Store) unreachableError() *core.RefusalError {
-	r := core.Refuse(core.CodeStore, "this VM does not reach the store")
+	r := core.Refuse(core.CodeStoreUnavailable, "this VM does not reach the store")
 	r.RetryAfter = clientRetryAfter
 	return r
 }
@@ -151,7 +151,7 @@
 func encode(k table.Key, val any) (table.Put, error) {
 	text, err := json.Marshal(val)
 	if err != nil {
-		return table.Put{}, &table.FormatError{What: k.Table + "/" + k.Name, Err: err}
+		return table.Put{}, &table.FormatError{Subject: k.Table + "/" + k.Name, Err: err}
 	}
 	return table.Put{Key: k, Val: text}, nil
 }
@@ -159,7 +159,7 @@
 // decode parses the JSON value of a row.
 func decode(r table.Row, val any) error {
 	if err := json.Unmarshal(r.Val, val); err != nil {
-		return &table.FormatError{What: r.Table + "/" + r.Name, Err: err}
+		return &table.FormatError{Subject: r.Table + "/" + r.Name, Err: err}
 	}
 	return nil
 }
@@ -203,7 +203,7 @@
 
 // Write executes a transaction of an owner on the condition that the ownership record
 // has not changed since w.Version.
-func (s *Store) Write(ctx context.Context, w OwnerWrite) (table.Done, error) {
+func (s *Store) Write(ctx context.Context, w OwnerWrite) (table.WriteResult, error) {
 	t := table.Txn{Checks: []table.Check{{Key: ownerKey(), Version: w.Version}}}
 	rows := map[table.Key]any{ownerKey(): w.Record}
 	if w.Roster != nil {
@@ -221,7 +221,7 @@
 	for k, val := range rows {
 		p, err := encode(k, val)
 		if err != nil {
-			return table.Done{}, err
+			return table.WriteResult{}, err
 		}
 		t.Puts = append(t.Puts, p)
 	}
@@ -390,7 +390,7 @@
 // VM has failed before it notified the owner.
 func (s *Store) Changes(ctx context.Context, after uint64) (Snapshot, error) {
 	out := Snapshot{Version: after}
-	ch, err := s.client.Feed(ctx, table.Since{Table: jobTable, Version: after})
+	ch, err := s.client.Feed(ctx, table.FeedRequest{Table: jobTable, Version: after})
 	if err != nil {
 		return out, err
 	}
@@ -413,7 +413,7 @@
 		return "", err
 	}
 	if row.Version == 0 {
-		return "", core.Refuse(core.CodeNoJob, "there is no job %s", id)
+		return "", core.Refuse(core.CodeUnknownJob, "there is no job %s", id)
 	}
 	prog, err := s.get(ctx, progressKey(id))
 	if err != nil {
@@ -439,7 +439,7 @@
 		return err
 	}
 	if row.Version == 0 {
-		return core.Refuse(core.CodeNoJob, "there is no job %s", id)
+		return core.Refuse(core.CodeUnknownJob, "there is no job %s", id)
 	}
 	put, err := encode(cancelKey(id), now)
 	if err != nil {
