--- a/io/record/store_test.go
+++ b/io/record/store_test.go
@@ -41,20 +41,20 @@
 	tbl.refuse, tbl.silent, tbl.applied = refuse, silent, applied
 }
 
-func (tbl *fakeTable) Write(_ context.Context, t table.Txn) (table.Done, error) {
+func (tbl *fakeTable) Write(_ context.Context, t table.Txn) (table.WriteResult, error) {
 	tbl.mu.Lock()
 	defer tbl.mu.Unlock()
 	tbl.writes++
 	if tbl.refuse {
-		return table.Done{}, &table.RefusedError{Status: 503}
+		return table.WriteResult{}, &table.RefusedError{Status: 503}
 	}
 	for _, p := range t.Puts {
 		if len(p.Val) > 65536 {
-			return table.Done{}, &table.RefusedError{Status: 400}
+			return table.WriteResult{}, &table.RefusedError{Status: 400}
 		}
 	}
 	if tbl.silent && !tbl.applied {
-		return table.Done{}, &table.UnansweredError{Err: context.DeadlineExceeded}
+		return table.WriteResult{}, &table.UnansweredError{Err: context.DeadlineExceeded}
 	}
 	var present []table.Row
 	differs := false
@@ -66,7 +66,7 @@
 		differs = differs || r.Version != c.Version
 	}
 	if differs {
-		return table.Done{}, &table.ConflictError{Rows: present}
+		return table.WriteResult{}, &table.ConflictError{Rows: present}
 	}
 	tbl.version++
 	for _, k := range t.Deletes {
@@ -76,9 +76,9 @@
 		tbl.rows[p.Key] = table.Row{Key: p.Key, Val: p.Val, Version: tbl.version}
 	}
 	if tbl.silent {
-		return table.Done{}, &table.UnansweredError{Err: context.DeadlineExceeded}
+		return table.WriteResult{}, &table.UnansweredError{Err: context.DeadlineExceeded}
 	}
-	return table.Done{Version: tbl.version}, nil
+	return table.WriteResult{Version: tbl.version}, nil
 }
 
 func (tbl *fakeTable) Read(_ context.Context, r table.Range) (table.Page, error) {
@@ -94,7 +94,7 @@
 	return p, nil
 }
 
-func (tbl *fakeTable) Feed(_ context.Context, s table.Since) (table.Changes, error) {
+func (tbl *fakeTable) Feed(_ context.Context, s table.FeedRequest) (table.Changes, error) {
 	tbl.mu.Lock()
 	defer tbl.mu.Unlock()
 	c := table.Changes{Version: tbl.version}
@@ -154,10 +154,10 @@
 	inFlight sync.WaitGroup
 }
 
-func (tbl *slowTable) Write(ctx context.Context, t table.Txn) (table.Done, error) {
+func (tbl *slowTable) Write(ctx context.Context, t table.Txn) (table.WriteResult, error) {
 	began := time.Now()
 	type result struct {
-		done table.Done
+		done table.WriteResult
 		err  error
 	}
 	out := make(chan result, 1)
@@ -185,7 +185,7 @@
 	case r := <-out:
 		return r.done, r.err
 	case <-ctx.Done():
-		return table.Done{}, &table.UnansweredError{Err: ctx.Err()}
+		return table.WriteResult{}, &table.UnansweredError{Err: ctx.Err()}
 	}
 }
 
@@ -326,7 +326,7 @@
 	is.NoErr(err)
 	p := jobs.Progress{Job: "a", State: jobs.Completed}
 	p.SetDone(0)
-	_, err = s.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "x", Epoch: 1, Beat: 2}, Version: done.Version, Progress: []jobs.Progress{p}})
+	_, err = s.Write(ctx, record.OwnerWrite{Record: elect.Record{Holder: "x", Epoch: 1, WriteNumber: 2}, Version: done.Version, Progress: []jobs.Progress{p}})
 	is.NoErr(err)
 	// A write with an older version of the ownership record has no effect.
 	var conflict *table.ConflictError
@@ -440,7 +440,7 @@
 func TestStoreUnreachable(t *testing.T) {
 	is := is.New(t)
 	tbl, reach := newFakeTable(), &fakeReachability{}
-	s := record.New(tbl, record.WithReach(reach))
+	s := record.New(tbl, record.WithReachability(reach))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = s.Run(ctx) }()
@@ -462,7 +462,7 @@
 	is.Equal(tbl.writeCount(), writes) // nothing was sent
 	_, err := s.State(ctx, "a")
 	is.True(errors.As(err, &r))
-	is.Equal(r.Code, core.CodeStore)
+	is.Equal(r.Code, core.CodeStoreUnavailable)
 }
 
 func (tbl *fakeTable) writeCount() int {
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -240,10 +240,10 @@
 }
 
 // Write implements table.Client.
-func (s *Store) Write(ctx context.Context, t table.Txn) (table.Done, error) {
+func (s *Store) Write(ctx context.Context, t table.Txn) (table.WriteResult, error) {
 	o := s.execute(ctx, table.Call{Write: &t})
 	if err := o.Err(); err != nil {
-		return table.Done{}, err
+		return table.WriteResult{}, err
 	}
 	return *o.Done, nil
 }
@@ -258,7 +258,7 @@
 }
 
 // Feed implements table.Client.
-func (s *Store) Feed(ctx context.Context, f table.Since) (table.Changes, error) {
+func (s *Store) Feed(ctx context.Context, f table.FeedRequest) (table.Changes, error) {
 	o := s.execute(ctx, table.Call{Feed: &f})
 	if err := o.Err(); err != nil {
 		return table.Changes{}, err
--- a/io/relay/relay_test.go
+++ b/io/relay/relay_test.go
@@ -21,9 +21,9 @@
 	calls   int
 }
 
-func (f *fakeTable) Write(context.Context, table.Txn) (table.Done, error) {
+func (f *fakeTable) Write(context.Context, table.Txn) (table.WriteResult, error) {
 	f.calls++
-	return table.Done{Version: f.version}, f.err
+	return table.WriteResult{Version: f.version}, f.err
 }
 
 func (f *fakeTable) Read(context.Context, table.Range) (table.Page, error) {
@@ -31,7 +31,7 @@
 	return table.Page{Version: f.version}, f.err
 }
 
-func (f *fakeTable) Feed(context.Context, table.Since) (table.Changes, error) {
+func (f *fakeTable) Feed(context.Context, table.FeedRequest) (table.Changes, error) {
 	f.calls++
 	return table.Changes{Version: f.version}, f.err
 }
@@ -120,7 +120,7 @@
 		is.True(ok)
 		is.Equal(string(found.Val), "x")
 		remote.err = &table.CompactedError{Version: 3}
-		_, err = s.Feed(ctx, table.Since{})
+		_, err = s.Feed(ctx, table.FeedRequest{})
 		var compacted *table.CompactedError
 		is.True(errors.As(err, &compacted))
 	})
@@ -144,11 +144,11 @@
 	delay time.Duration
 }
 
-func (s *slowTable) Write(ctx context.Context, t table.Txn) (table.Done, error) {
+func (s *slowTable) Write(ctx context.Context, t table.Txn) (table.WriteResult, error) {
 	select {
 	case <-time.After(s.delay):
 	case <-ctx.Done():
-		return table.Done{}, &table.UnansweredError{Err: ctx.Err()}
+		return table.WriteResult{}, &table.UnansweredError{Err: ctx.Err()}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/sched/journal.go
+++ b/io/sched/journal.go
@@ -76,7 +76,7 @@
 		s.log.WithError(m.err).Errorf("cell %s could not be loaded; retrying", id)
 		return
 	}
-	if !s.Agent.Listed() || s.Agent.Conf.Version() == 0 {
+	if !s.Agent.VMsRead() || s.Agent.Config.Version() == 0 {
 		return
 	}
 	owned, loading, _ := s.Agent.Member.Owned()
@@ -89,12 +89,12 @@
 		submitters: map[core.JobID][]chan<- submitReply{},
 		cell:       cell.New(id, m.claim.Epoch, cellLedger, cell.WithWorkerTTL(s.workerTTL), cell.WithPolicy(s.policy)),
 	}
-	oc.cell.Load(now, m.entries)
+	oc.cell.LoadJournal(now, m.entries)
 	s.cells[id] = oc
 	s.applyRules(oc)
 	s.applyVMs(now, oc)
 	s.Agent.AddLedger(cellLedger, "cores/")
-	s.Agent.Member.Loaded(id)
+	s.Agent.Member.CellLoaded(id)
 	s.log.Infof("cell %s loaded: epoch %d, %d journal entries", id, m.claim.Epoch, len(m.entries))
 }
 
@@ -155,7 +155,7 @@
 		s.acknowledge(oc, oc.cell.BatchStored(now))
 	case conflict != nil:
 		s.log.Warnf("cell %s: journal write refused, the cell is owned by a newer epoch", m.cell)
-		s.Agent.Member.Lost(m.cell)
+		s.Agent.Member.CellLost(m.cell)
 		s.syncOwnership(now)
 	default:
 		s.log.WithError(m.err).Debugf("cell %s: outcome of the journal write is unknown; retrying", m.cell)
@@ -192,7 +192,7 @@
 		if m.err = s.store.PutObject(ctx, claim.Snap, data); m.err != nil {
 			return m
 		}
-		txn := store.Txn{Checks: []store.Check{{Key: agent.CellKey(id), Version: version}}, Dels: keys}
+		txn := store.Txn{Checks: []store.Check{{Key: agent.CellKey(id), Version: version}}, Deletes: keys}
 		if m.err = txn.Set(agent.CellKey(id), claim); m.err != nil {
 			return m
 		}
@@ -222,7 +222,7 @@
 		// Either the reply to an earlier write of this snapshot was lost, or a newer
 		// epoch owns the cell. Giving the cell up and loading it again handles both.
 		s.log.Warnf("cell %s: snapshot write refused; giving the cell up", m.cell)
-		s.Agent.Member.Lost(m.cell)
+		s.Agent.Member.CellLost(m.cell)
 		s.syncOwnership(now)
 	default:
 		oc.rowsSinceSnapshot = rowsPerSnapshot / 2
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -121,9 +121,9 @@
 	return s
 }
 
-// Left returns a channel that is closed once a planned stop has released every
+// Drained returns a channel that is closed once a planned stop has released every
 // cell and deleted the session.
-func (s *Sched) Left() <-chan struct{} { return s.drained }
+func (s *Sched) Drained() <-chan struct{} { return s.drained }
 
 // These messages carry the results of I/O to the control goroutine.
 type (
@@ -173,8 +173,8 @@
 // Message implements loop.Message.
 func (drainRequest) Message() {}
 
-// Leave starts a planned stop: the sched releases its cells.
-func (s *Sched) Leave() { _ = s.loop.Post(drainRequest{}) }
+// Drain starts a planned stop: the sched releases its cells.
+func (s *Sched) Drain() { _ = s.loop.Post(drainRequest{}) }
 
 // Handle implements loop.Handler.
 func (s *Sched) Handle(now time.Time, m loop.Message) {
@@ -197,8 +197,8 @@
 	}
 }
 
-// Wake implements loop.Handler.
-func (s *Sched) Wake(now time.Time) time.Time {
+// Tick implements loop.Handler.
+func (s *Sched) Tick(now time.Time) time.Time {
 	next := s.Agent.Tick(now)
 	s.syncOwnership(now)
 	tick := !now.Before(s.nextTick)
@@ -250,7 +250,7 @@
 	s.Agent.RemoveLedger(oc.ledger)
 	for _, list := range oc.submitters {
 		for _, c := range list {
-			c <- submitReply{err: core.RefuseUnknown(core.CodeOwner, nil, "cell %s changed owners before the store confirmed the job", id)}
+			c <- submitReply{err: core.RefuseUnknown(core.CodeNoOwner, nil, "cell %s changed owners before the store confirmed the job", id)}
 		}
 	}
 }
@@ -289,7 +289,7 @@
 // started tasks.
 func (s *Sched) reportMetrics(oc *ownedCell) {
 	s.Agent.LogRefusals(oc.cell.Refusals())
-	for _, w := range oc.cell.Waits() {
+	for _, w := range oc.cell.TaskWaits() {
 		s.meter.TaskWait(w.Queue, w.Team, w.Time)
 	}
 }
@@ -314,7 +314,7 @@
 	switch {
 	case errors.As(m.err, &stale):
 		s.log.WithError(m.err).Warnf("cell %s is owned by a newer epoch", m.cell)
-		s.Agent.Member.Lost(m.cell)
+		s.Agent.Member.CellLost(m.cell)
 		s.syncOwnership(now)
 	case m.err != nil:
 		s.log.WithError(m.err).Debug("heartbeat failed")
@@ -338,17 +338,17 @@
 	}
 }
 
-// BookRead implements agent.Host. It gives each cell the parts of the teams'
+// LedgerRead implements agent.Host. It gives each cell the parts of the teams'
 // limits that other cells hold, and the cores of all VMs.
-func (s *Sched) BookRead(time.Time) {
+func (s *Sched) LedgerRead(time.Time) {
 	fleetCores := int64(0)
 	for _, vm := range s.Agent.VMs() {
-		fleetCores += vm.Room.Cores
+		fleetCores += vm.Capacity.Cores
 	}
 	for _, oc := range s.cells {
-		for team := range s.Agent.Conf.Rules().Teams {
+		for team := range s.Agent.Config.Rules().Teams {
 			name := cell.LimitName(team)
-			oc.cell.SetRemoteUse(team, oc.ledger.Total(name)-oc.ledger.Held(name), fleetCores)
+			oc.cell.SetRemoteUse(team, oc.ledger.Allocated(name)-oc.ledger.Held(name), fleetCores)
 		}
 	}
 }
@@ -356,7 +356,7 @@
 // applyRules gives a cell the rules in force and declares the teams' limits in its
 // ledger.
 func (s *Sched) applyRules(oc *ownedCell) {
-	set := s.Agent.Conf.Rules()
+	set := s.Agent.Config.Rules()
 	oc.cell.SetRules(set)
 	limits := core.NewSet[string]()
 	for name, team := range set.Teams {
@@ -368,10 +368,10 @@
 
 // applyVMs gives a cell its workers from the list of VMs.
 func (s *Sched) applyVMs(now time.Time, oc *ownedCell) {
-	if !s.Agent.Listed() {
+	if !s.Agent.VMsRead() {
 		return
 	}
-	oc.cell.SetWorkers(now, workersOf(s.Agent.VMs(), oc.claim.Cell, s.Agent.Member.Cells()))
+	oc.cell.SetWorkers(now, workersOf(s.Agent.VMs(), oc.claim.Cell, s.Agent.Member.CellCount()))
 }
 
 // workersOf returns the worker VMs that belong to a cell.
--- a/io/sched/serve.go
+++ b/io/sched/serve.go
@@ -67,7 +67,7 @@
 
 // CellDump is the state of one owned cell.
 type CellDump struct {
-	Load    cell.Load
+	Load    cell.Status
 	Pending int
 	Journal uint64
 	Workers []cell.WorkerView
@@ -109,11 +109,11 @@
 func (s *Sched) cellOf(now time.Time, id core.JobID) (*ownedCell, error) {
 	c, ok := id.Cell()
 	if !ok {
-		return nil, core.Refuse(core.CodeNoJob, "%q is not a job ID", id)
+		return nil, core.Refuse(core.CodeUnknownJob, "%q is not a job ID", id)
 	}
 	oc := s.cells[c]
 	if oc == nil || oc.releasing || !s.Agent.Member.SessionValid(now) {
-		r := core.Refuse(core.CodeOwner, "cell %s is not owned by this process", c)
+		r := core.Refuse(core.CodeNoOwner, "cell %s is not owned by this process", c)
 		r.RetryAfter = time.Second
 		return nil, r
 	}
@@ -129,7 +129,7 @@
 		return
 	}
 	added, err := oc.cell.Submit(now, m.spec)
-	if err != nil || (!added && !oc.cell.Recording(m.spec.ID)) {
+	if err != nil || (!added && !oc.cell.IsRecording(m.spec.ID)) {
 		m.reply <- submitReply{repeated: err == nil, err: err}
 		return
 	}
@@ -141,9 +141,9 @@
 	if err != nil {
 		return showReply{err: err}
 	}
-	v, ok := oc.cell.Show(id)
+	v, ok := oc.cell.Job(id)
 	if !ok {
-		return showReply{err: core.Refuse(core.CodeNoJob, "no job %q", id)}
+		return showReply{err: core.Refuse(core.CodeUnknownJob, "no job %q", id)}
 	}
 	return showReply{view: v}
 }
@@ -152,7 +152,7 @@
 	d := Dump{Agent: s.Agent.Dump(), Mailbox: s.loop.Depth()}
 	for _, oc := range s.cells {
 		d.Cells = append(d.Cells, CellDump{
-			Load: oc.cell.State(), Pending: oc.cell.Pending(), Journal: oc.nextRow,
+			Load: oc.cell.Status(), Pending: oc.cell.Pending(), Journal: oc.nextRow,
 			Workers: oc.cell.Workers(), Jobs: oc.cell.List("", dumpJobs),
 		})
 	}
@@ -167,8 +167,8 @@
 // Alive implements peer.Backend.
 func (s *Sched) Alive(ctx context.Context) (peer.Alive, error) { return s.Agent.Alive(ctx) }
 
-// Hold implements peer.Backend.
-func (s *Sched) Hold(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
+// RenewOrPromise implements peer.Backend.
+func (s *Sched) RenewOrPromise(ctx context.Context, row member.Session, version uint64, resign bool) (member.Answer, error) {
 	return s.Agent.RenewOrPromise(ctx, row, version, resign)
 }
 
@@ -176,7 +176,7 @@
 func (s *Sched) Submit(ctx context.Context, spec cell.JobSpec) (bool, error) {
 	r, err := loop.Ask(ctx, s.loop, func(c chan<- submitReply) loop.Message { return submitRequest{spec, c} })
 	if err != nil {
-		return false, core.RefuseUnknown(core.CodeStore, err, "the job may or may not have been stored")
+		return false, core.RefuseUnknown(core.CodeStoreUnavailable, err, "the job may or may not have been stored")
 	}
 	return r.repeated, r.err
 }
--- a/io/store/store.go
+++ b/io/store/store.go
@@ -22,8 +22,8 @@
 const (
 	// Timeout is the time-out of every call.
 	Timeout = 5 * time.Second
-	// Quick is the shorter time-out of the calls that renew or check leases.
-	Quick = time.Second
+	// LeaseTimeout is the shorter time-out of the calls that renew or check leases.
+	LeaseTimeout = time.Second
 	// dialTimeout is the time-out for opening a connection.
 	dialTimeout = 500 * time.Millisecond
 	// maxResponseBytes is how much of a response is read at most.
@@ -55,9 +55,9 @@
 // Txn is a transaction. All of its writes and deletions are applied if every check
 // holds; otherwise none are.
 type Txn struct {
-	Checks []Check  `json:"checks,omitempty"`
-	Puts   []Put    `json:"puts,omitempty"`
-	Dels   []string `json:"dels,omitempty"`
+	Checks  []Check  `json:"checks,omitempty"`
+	Puts    []Put    `json:"puts,omitempty"`
+	Deletes []string `json:"dels,omitempty"`
 }
 
 // Set adds the write of a value, encoded as JSON, to the transaction.
@@ -110,7 +110,7 @@
 	}
 	return core.VM{
 		Name: v.Name, Kind: v.Kind, Addr: addr, Region: core.Region(v.Region), Zone: core.Zone(v.Zone),
-		Rack: v.Rack, Leaving: v.Leaving, Room: core.Resources{Cores: v.Cores, Memory: v.Memory, Accel: v.Accel},
+		Rack: v.Rack, Leaving: v.Leaving, Capacity: core.Resources{Cores: v.Cores, Memory: v.Memory, Accel: v.Accel},
 		Service: core.Service(v.Service), Slots: v.Slots,
 	}, nil
 }
--- a/io/table/call.go
+++ b/io/table/call.go
@@ -7,22 +7,22 @@
 
 // Client makes calls to the table.
 type Client interface {
-	Write(ctx context.Context, t Txn) (Done, error)
+	Write(ctx context.Context, t Txn) (WriteResult, error)
 	Read(ctx context.Context, r Range) (Page, error)
-	Feed(ctx context.Context, s Since) (Changes, error)
+	Feed(ctx context.Context, s FeedRequest) (Changes, error)
 }
 
 // Call is one table call, as it is forwarded to another VM. Exactly one field
 // is set.
 type Call struct {
-	Write *Txn   `json:",omitempty"`
-	Read  *Range `json:",omitempty"`
-	Feed  *Since `json:",omitempty"`
+	Write *Txn         `json:",omitempty"`
+	Read  *Range       `json:",omitempty"`
+	Feed  *FeedRequest `json:",omitempty"`
 }
 
 // Outcome is the result of a call that another VM has made.
 type Outcome struct {
-	Done          *Done           `json:",omitempty"`
+	Done          *WriteResult    `json:",omitempty"`
 	Page          *Page           `json:",omitempty"`
 	Changes       *Changes        `json:",omitempty"`
 	RefusedStatus int             `json:"Refused,omitempty"`
@@ -49,7 +49,7 @@
 	var err error
 	switch {
 	case c.Write != nil:
-		var done Done
+		var done WriteResult
 		done, err = client.Write(ctx, *c.Write)
 		o.Done = &done
 	case c.Read != nil:
--- a/io/table/table.go
+++ b/io/table/table.go
@@ -52,8 +52,8 @@
 	Now     time.Duration
 }
 
-// Done is the result of an applied transaction.
-type Done struct {
+// WriteResult is the result of an applied transaction.
+type WriteResult struct {
 	// Version is the version of the rows written, Now the store's monotonic
 	// clock.
 	Version uint64
@@ -75,8 +75,8 @@
 	Limit int
 }
 
-// Since selects the changes of a table after a version.
-type Since struct {
+// FeedRequest selects the changes of a table after a version.
+type FeedRequest struct {
 	Table   string
 	Version uint64
 	// Wait bounds the wait for the first change.
@@ -140,12 +140,12 @@
 
 // FormatError reports a row or answer that cannot be decoded; What names it.
 type FormatError struct {
-	What string
-	Err  error
+	Subject string
+	Err     error
 }
 
 // Error implements error.
-func (e *FormatError) Error() string { return fmt.Sprintf("%s cannot be read: %v", e.What, e.Err) }
+func (e *FormatError) Error() string { return fmt.Sprintf("%s cannot be read: %v", e.Subject, e.Err) }
 
 // Unwrap returns the cause.
 func (e *FormatError) Unwrap() error { return e.Err }
--- a/io/trace/trace.go
+++ b/io/trace/trace.go
@@ -24,8 +24,8 @@
 	At   string
 	VM   string
 	Part string
-	// What is the log message.
-	What string
+	// Message is the log message.
+	Message string
 	// Fields holds the other fields of the line as text.
 	Fields map[string]string
 }
@@ -80,7 +80,7 @@
 		case "part":
 			l.Part = text
 		case "msg":
-			l.What = text
+			l.Message = text
 		default:
 			l.Fields[name] = text
 		}
@@ -91,7 +91,7 @@
 // String formats the line for printing.
 func (l Line) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %-22s %-6s %s", l.At, l.VM, l.Part, l.What)
+	fmt.Fprintf(&b, "%s %-22s %-6s %s", l.At, l.VM, l.Part, l.Message)
 	for _, f := range printedFields {
 		if v := l.Fields[f]; v != "" {
 			fmt.Fprintf(&b, "  %s=%s", f, v)
@@ -110,17 +110,17 @@
 	failedRuns := 0
 	for _, l := range lines {
 		switch {
-		case l.What == "submit" && l.Fields["result"] == "accepted":
+		case l.Message == "submit" && l.Fields["result"] == "accepted":
 			accepted = l.At
-		case l.What == "submit":
+		case l.Message == "submit":
 			refused = fmt.Sprintf("%s (%s)", l.Fields["result"], l.Fields["error"])
-		case l.What == "waits":
+		case l.Message == "waits":
 			lastWait = fmt.Sprintf("%s after %s", l.Fields["because"], l.Fields["after"])
-		case l.What == "run ended failed":
+		case l.Message == "run ended failed":
 			failedRuns++
 			lastFailedOn = l.Fields["worker"]
-		case strings.HasPrefix(l.What, "job "):
-			ended = strings.TrimSpace(l.What + " after " + l.Fields["after"] + " " + l.Fields["because"])
+		case strings.HasPrefix(l.Message, "job "):
+			ended = strings.TrimSpace(l.Message + " after " + l.Fields["after"] + " " + l.Fields["because"])
 		}
 	}
 	out := []string{}
--- a/io/trace/trace_test.go
+++ b/io/trace/trace_test.go
@@ -25,8 +25,8 @@
 	is.NoErr(err)
 	is.Equal(len(lines), 5)
 	is.Equal(skipped, 1)
-	is.Equal(lines[0].What, "submit")
-	is.Equal(lines[4].What, "job completed")
+	is.Equal(lines[0].Message, "submit")
+	is.Equal(lines[4].Message, "job completed")
 	is.Equal(trace.Summary(lines), "job completed after 4.2s late by 1.1s; last waited for: no worker that may run it has room after 1.1s; 1 runs failed, the last on i-1")
 	is.Equal(trace.Span(lines).String(), "4.2s")
 }
--- a/io/work/work.go
+++ b/io/work/work.go
@@ -40,8 +40,8 @@
 	Need     Room   `json:"need"`
 	Estimate string `json:"run"`
 	Command  string `json:"command"`
-	// Saved is the elapsed time of the task at its newest checkpoint.
-	Saved string `json:"saved,omitempty"`
+	// Checkpoint is the elapsed time of the task at its newest checkpoint.
+	Checkpoint string `json:"saved,omitempty"`
 }
 
 // Ack tells a worker that the end of a run is stored, so that the worker stops
@@ -54,7 +54,7 @@
 // Stop orders a worker to end or throttle a task. How is a cell.StopKind.
 type Stop struct {
 	Task string `json:"task"`
-	How  string `json:"how"`
+	Kind string `json:"how"`
 }
 
 // Heartbeat is the body of a heartbeat. Its fields are described at cell.Heartbeat.
@@ -180,10 +180,10 @@
 		TTL: h.TTL.String(), Incarnation: h.Incarnation, After: h.After, Wait: h.Wait.String(),
 	}
 	for _, s := range h.Starts {
-		out.Starts = append(out.Starts, Start{s.Task.String(), s.Run, string(s.Team), toRoom(s.Need), s.Estimate.String(), s.Command, s.Saved.String()})
+		out.Starts = append(out.Starts, Start{s.Task.String(), s.Run, string(s.Team), toRoom(s.Need), s.Estimate.String(), s.Command, s.Checkpoint.String()})
 	}
 	for _, s := range h.Stops {
-		out.Stops = append(out.Stops, Stop{s.Task.String(), string(s.How)})
+		out.Stops = append(out.Stops, Stop{s.Task.String(), string(s.Kind)})
 	}
 	for _, a := range h.Acks {
 		out.Acks = append(out.Acks, Ack{a.Task.String(), a.Run})
--- a/proof/call_test.go
+++ b/proof/call_test.go
@@ -21,9 +21,9 @@
 
 // requestLoad sends requests to two queues for a given time.
 func requestLoad(d time.Duration) demo.Workload {
-	return demo.Workload{Duration: d, Seed: 11, Calls: []demo.RequestStream{
-		{Queue: "fit", Team: "pewter", Every: 10 * ms, Work: 20 * ms},
-		{Queue: "angle", Team: "press", Every: 10 * ms, Work: 20 * ms},
+	return demo.Workload{Duration: d, Seed: 11, Requests: []demo.RequestStream{
+		{Queue: "fit", Team: "pewter", Interval: 10 * ms, WorkTime: 20 * ms},
+		{Queue: "angle", Team: "press", Interval: 10 * ms, WorkTime: 20 * ms},
 	}}
 }
 
@@ -163,14 +163,14 @@
 	if complete != (breakMode == "") {
 		f.t.Errorf("%s: target was told to fail with %q, but the status is %d and the error is %v", res.ID, breakMode, res.Status, res.Err)
 	}
-	if !complete && res.Err == nil && res.Run != core.ExecutionUnknown {
-		f.t.Errorf("%s: run is %q, but the target had received the request", res.ID, res.Run)
+	if !complete && res.Err == nil && res.Execution != core.ExecutionUnknown {
+		f.t.Errorf("%s: run is %q, but the target had received the request", res.ID, res.Execution)
 	}
 }
 
 // checkNotExecuted fails the test if a target has received a request that was
 // reported as not run.
-func (f *fleet) checkNotExecuted(r *demo.Run) {
+func (f *fleet) checkNotExecuted(r *demo.Driver) {
 	f.t.Helper()
 	received := core.NewSet[string]()
 	for _, target := range f.TargetRecords() {
@@ -179,7 +179,7 @@
 		}
 	}
 	for _, res := range r.Results() {
-		if res.Run == core.NotExecuted && received.Has(res.ID) {
+		if res.Execution == core.NotExecuted && received.Has(res.ID) {
 			f.t.Errorf("request %s was reported as not run, but a target received it", res.ID)
 		}
 	}
@@ -292,14 +292,14 @@
 	<-first
 	res := caller.Call(ctx, f.gates[1].callers, "angle", "one", ms, header)
 	is.NoErr(res.Err)
-	is.Equal(res.Code, core.CodeRepeat)
-	is.Equal(res.Run, core.ExecutionUnknown)
+	is.Equal(res.Code, core.CodeAlreadySent)
+	is.Equal(res.Execution, core.ExecutionUnknown)
 	// The intent of a keyed request is recorded in the store before the request is
 	// sent. Without the store the gate refuses the request, which must not reach a
 	// target.
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
 	res = caller.Call(ctx, f.gates[1].callers, "angle", "two", ms, http.Header{"Idempotency-Key": {"angle-8"}})
-	is.Equal(res.Run, core.NotExecuted)
+	is.Equal(res.Execution, core.NotExecuted)
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
 	r.AddResult(res)
 	f.checkNotExecuted(r)
@@ -314,9 +314,9 @@
 	for _, opts := range [][]option{{}, {directPeers}} {
 		t.Run(fmt.Sprintf("direct %t", len(opts) > 0), func(t *testing.T) {
 			f := newFleet(t, smallPlan(deploy.Glaze()), opts...)
-			load := demo.Workload{Duration: 6 * time.Second, Seed: 2, Calls: []demo.RequestStream{
-				{Queue: "fit", Team: "pewter", Every: 8 * ms, Work: 300 * ms},
-				{Queue: "angle", Team: "press", Every: 8 * ms, Work: 200 * ms},
+			load := demo.Workload{Duration: 6 * time.Second, Seed: 2, Requests: []demo.RequestStream{
+				{Queue: "fit", Team: "pewter", Interval: 8 * ms, WorkTime: 300 * ms},
+				{Queue: "angle", Team: "press", Interval: 8 * ms, WorkTime: 200 * ms},
 			}}
 			r := f.runWithFaults(load, func() {
 				f.gates[0].kill()
--- a/proof/chaos_test.go
+++ b/proof/chaos_test.go
@@ -31,7 +31,7 @@
 	sched := f.scheds[rng.IntN(len(f.scheds))]
 	workerIndex := rng.IntN(len(f.workers))
 	target := fmt.Sprintf("target%d", rng.IntN(len(f.targets)))
-	setLink := func(p *fakes.Proxy, l fakes.LinkFaults) func() { return func() { _ = p.Set(l) } }
+	setLink := func(p *fakes.Proxy, l fakes.LinkFaults) func() { return func() { _ = p.SetFaults(l) } }
 	workerLink := f.proxies[f.workers[workerIndex].name]
 	faults := []fault{
 		{"kill " + anyEntry.name, anyEntry.kill, anyEntry.start},
@@ -39,14 +39,14 @@
 		{"pause " + anyEntry.name, anyEntry.pause, anyEntry.resume},
 		{"pause " + sched.name, sched.pause, sched.resume},
 		{"cut the store from " + anyEntry.name, setLink(anyEntry.storeProxy, fakes.LinkFaults{Cut: true}), setLink(anyEntry.storeProxy, fakes.LinkFaults{})},
-		{"no store replies to " + sched.name, setLink(sched.storeProxy, fakes.LinkFaults{Down: true}), setLink(sched.storeProxy, fakes.LinkFaults{})},
+		{"no store replies to " + sched.name, setLink(sched.storeProxy, fakes.LinkFaults{CutDown: true}), setLink(sched.storeProxy, fakes.LinkFaults{})},
 		{"cut peers from " + sched.name, setLink(sched.peerProxy, fakes.LinkFaults{Cut: true}), setLink(sched.peerProxy, fakes.LinkFaults{})},
 		{"store down", func() { _ = f.setPlatformFaults(fakes.PlatformFaults{Down: true}) }, func() { _ = f.setPlatformFaults(fakes.PlatformFaults{}) }},
 		{"store slow", func() { _ = f.setPlatformFaults(fakes.PlatformFaults{Delay: "300ms"}) }, func() { _ = f.setPlatformFaults(fakes.PlatformFaults{}) }},
-		{"store loses replies", func() { _ = f.setPlatformFaults(fakes.PlatformFaults{Lose: 20}) }, func() { _ = f.setPlatformFaults(fakes.PlatformFaults{}) }},
+		{"store loses replies", func() { _ = f.setPlatformFaults(fakes.PlatformFaults{LostReplies: 20}) }, func() { _ = f.setPlatformFaults(fakes.PlatformFaults{}) }},
 		{"pause " + f.workers[workerIndex].name, f.workers[workerIndex].pause, f.workers[workerIndex].resume},
 		{"cut " + f.workers[workerIndex].name, setLink(workerLink, fakes.LinkFaults{Cut: true}), setLink(workerLink, fakes.LinkFaults{})},
-		{"no replies of " + f.workers[workerIndex].name, setLink(workerLink, fakes.LinkFaults{Down: true}), setLink(workerLink, fakes.LinkFaults{})},
+		{"no replies of " + f.workers[workerIndex].name, setLink(workerLink, fakes.LinkFaults{CutDown: true}), setLink(workerLink, fakes.LinkFaults{})},
 		{"fail all on " + f.workers[workerIndex].name, func() { _ = f.setWorkerFaults(workerIndex, fakes.WorkerFaults{FailAll: true}) }, func() { _ = f.setWorkerFaults(workerIndex, fakes.WorkerFaults{}) }},
 		{"truncate " + target, setLink(f.proxies[target], fakes.LinkFaults{Truncate: 40}), setLink(f.proxies[target], fakes.LinkFaults{})},
 		{"cut " + target, setLink(f.proxies[target], fakes.LinkFaults{Cut: true}), setLink(f.proxies[target], fakes.LinkFaults{})},
@@ -62,11 +62,11 @@
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	load := batchLoad(*chaosDuration)
 	load.Seed = *chaosSeed
-	load.Calls = requestLoad(*chaosDuration).Calls
+	load.Requests = requestLoad(*chaosDuration).Requests
 	r := f.openRun()
 	done := make(chan error, 1)
 	began := time.Now()
-	go func() { done <- r.Submit(context.Background(), load) }()
+	go func() { done <- r.SendWorkload(context.Background(), load) }()
 	for time.Since(began) < *chaosDuration-2*time.Second {
 		first, second := f.randomFault(rng), f.randomFault(rng)
 		t.Logf("%s: %s; %s", time.Since(began).Round(100*ms), first.name, second.name)
@@ -107,11 +107,11 @@
 }
 
 // logResults logs how many requests had each outcome.
-func logResults(t *testing.T, r *demo.Run) {
+func logResults(t *testing.T, r *demo.Driver) {
 	t.Helper()
 	counts := map[string]int{}
 	for _, res := range r.Results() {
-		counts[fmt.Sprintf("%d run=%s %s", res.Status, res.Run, res.Code)]++
+		counts[fmt.Sprintf("%d run=%s %s", res.Status, res.Execution, res.Code)]++
 	}
 	t.Logf("requests: %v", counts)
 }
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -82,7 +82,7 @@
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	f.openRun()
 	for range 3 {
-		is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Lose: 3}))
+		is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{LostReplies: 3}))
 		resp, err := httpClient.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
 		is.NoErr(err)
 		_ = resp.Body.Close()
@@ -149,7 +149,7 @@
 	f.eventually("gate 1 reaches the store again", func() error { return checkReady(f.gates[1].ops) })
 	sleep(time.Second)
 	// One gate cannot reach the store while the key is withdrawn.
-	is.NoErr(f.gates[0].storeProxy.Set(fakes.LinkFaults{Cut: true}))
+	is.NoErr(f.gates[0].storeProxy.SetFaults(fakes.LinkFaults{Cut: true}))
 	req, err := http.NewRequest(http.MethodDelete, "http://"+f.gates[1].ops.String()+"/keys/"+id, nil)
 	is.NoErr(err)
 	resp, err := httpClient.Do(req)
@@ -164,7 +164,7 @@
 		if res.Status == http.StatusOK {
 			t.Errorf("gate %d accepted a key %s after its withdrawal", i, time.Since(began))
 		}
-		is.Equal(res.Run, core.NotExecuted)
+		is.Equal(res.Execution, core.NotExecuted)
 	}
 }
 
--- a/proof/deployment_test.go
+++ b/proof/deployment_test.go
@@ -18,25 +18,25 @@
 	if name == "glaze" {
 		return demo.Workload{
 			Duration: 2 * time.Second, Seed: 1,
-			Calls: []demo.RequestStream{
-				{Queue: "fit", Team: "pewter", Every: 20 * ms, Work: 30 * ms},
-				{Queue: "angle", Team: "press", Every: 20 * ms, Work: 10 * ms},
+			Requests: []demo.RequestStream{
+				{Queue: "fit", Team: "pewter", Interval: 20 * ms, WorkTime: 30 * ms},
+				{Queue: "angle", Team: "press", Interval: 20 * ms, WorkTime: 10 * ms},
 			},
 			Jobs: []demo.JobStream{
-				{Queue: "cure", Team: "foundry", Every: 300 * ms, Count: 10, Cores: 4, Memory: 2048, Run: 300 * ms, EstimateError: 10},
-				{Queue: "mould", Team: "wick", Every: 700 * ms, Count: 4, Cores: 4, Memory: 1024, Run: 200 * ms},
+				{Queue: "cure", Team: "foundry", Interval: 300 * ms, TasksPerJob: 10, Cores: 4, Memory: 2048, RunTime: 300 * ms, EstimateError: 10},
+				{Queue: "mould", Team: "wick", Interval: 700 * ms, TasksPerJob: 4, Cores: 4, Memory: 1024, RunTime: 200 * ms},
 			},
 		}
 	}
 	return demo.Workload{
 		Duration: 2 * time.Second, Seed: 1,
-		Calls: []demo.RequestStream{
-			{Queue: "sheet", Team: "valley", Every: 10 * ms, Work: 30 * ms},
-			{Queue: "barcode", Team: "lakeside", Every: 20 * ms, Work: 5 * ms},
+		Requests: []demo.RequestStream{
+			{Queue: "sheet", Team: "valley", Interval: 10 * ms, WorkTime: 30 * ms},
+			{Queue: "barcode", Team: "lakeside", Interval: 20 * ms, WorkTime: 5 * ms},
 		},
 		Jobs: []demo.JobStream{
-			{Queue: "label", Team: "terai", Every: 300 * ms, Count: 10, Cores: 4, Memory: 2048, Run: 300 * ms, EstimateError: 10},
-			{Queue: "plate", Team: "lakeside", Every: 700 * ms, Count: 4, Cores: 4, Memory: 1024, Run: 200 * ms},
+			{Queue: "label", Team: "terai", Interval: 300 * ms, TasksPerJob: 10, Cores: 4, Memory: 2048, RunTime: 300 * ms, EstimateError: 10},
+			{Queue: "plate", Team: "lakeside", Interval: 700 * ms, TasksPerJob: 4, Cores: 4, Memory: 1024, RunTime: 200 * ms},
 		},
 	}
 }
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -230,21 +230,21 @@
 	addr := freeAddr(f.t)
 	name := fmt.Sprintf("worker%d", i)
 	f.workers = append(f.workers, startProcess(f.t, name, "standin", "worker", "-a", addr.String(), "-n", name,
-		"-c", fmt.Sprint(f.plan.Room.Cores), "-m", fmt.Sprint(f.plan.Room.Memory)))
+		"-c", fmt.Sprint(f.plan.WorkerRoom.Cores), "-m", fmt.Sprint(f.plan.WorkerRoom.Memory)))
 	proxy, proxyAddr := startProxy(f.t, addr)
 	f.proxies[name] = proxy
 	f.vms = append(f.vms, store.VM{Name: name, Kind: "worker", Addr: proxyAddr.String(), Region: f.region(i), Zone: f.region(i) + "-a",
-		Cores: f.plan.Room.Cores, Memory: f.plan.Room.Memory})
+		Cores: f.plan.WorkerRoom.Cores, Memory: f.plan.WorkerRoom.Memory})
 }
 
 func (f *fleet) addTarget(i int) {
 	addr := freeAddr(f.t)
 	name := fmt.Sprintf("target%d", i)
-	f.targets = append(f.targets, startProcess(f.t, name, "standin", "target", "-a", addr.String(), "-n", name, "-s", fmt.Sprint(f.plan.Slots)))
+	f.targets = append(f.targets, startProcess(f.t, name, "standin", "target", "-a", addr.String(), "-n", name, "-s", fmt.Sprint(f.plan.TargetSlots)))
 	proxy, proxyAddr := startProxy(f.t, addr)
 	f.proxies[name] = proxy
 	f.vms = append(f.vms, store.VM{Name: name, Kind: "target", Addr: proxyAddr.String(), Region: f.region(i), Zone: f.region(i) + "-a",
-		Service: f.plan.Services[i/len(f.plan.Regions)%len(f.plan.Services)], Slots: int64(f.plan.Slots)})
+		Service: f.plan.Services[i/len(f.plan.Regions)%len(f.plan.Services)], Slots: int64(f.plan.TargetSlots)})
 }
 
 func (f *fleet) addEntry(role core.Role, i int) *entry {
@@ -324,7 +324,7 @@
 // conditionTimeout.
 func (f *fleet) eventually(what string, cond func() error) {
 	f.t.Helper()
-	err := demo.Until(context.Background(), conditionTimeout, what, func(context.Context) error { return cond() })
+	err := demo.WaitUntil(context.Background(), conditionTimeout, what, func(context.Context) error { return cond() })
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -372,17 +372,17 @@
 	var addrs deploy.Addresses
 	for _, g := range f.gates {
 		addrs.Callers = append(addrs.Callers, g.callers)
-		addrs.Ops = append(addrs.Ops, g.ops)
+		addrs.GateOps = append(addrs.GateOps, g.ops)
 	}
 	for _, s := range f.scheds {
-		addrs.Scheds = append(addrs.Scheds, s.ops)
+		addrs.SchedOps = append(addrs.SchedOps, s.ops)
 	}
 	return addrs
 }
 
 // openRun waits until the fleet serves requests, pushes the plan's rules and grants
 // a key to each team.
-func (f *fleet) openRun() *demo.Run {
+func (f *fleet) openRun() *demo.Driver {
 	f.t.Helper()
 	r, err := demo.Open(context.Background(), f, f.addresses(), f.plan)
 	if err != nil {
@@ -392,10 +392,10 @@
 }
 
 // checkInvariants reports every violated invariant as a test failure.
-func (f *fleet) checkInvariants(r *demo.Run) {
+func (f *fleet) checkInvariants(r *demo.Driver) {
 	f.t.Helper()
 	for _, violation := range r.Violations() {
-		if violation.Invariant == check.Lost && f.recordsLost {
+		if violation.Invariant == check.LostTask && f.recordsLost {
 			continue
 		}
 		f.t.Error(violation)
@@ -406,6 +406,6 @@
 func smallPlan(p deploy.Plan) deploy.Plan {
 	p.Regions = p.Regions[:1]
 	p.Gates, p.Scheds, p.Workers, p.Targets = 3, 3, 6, 4
-	p.Room = work.Room{Cores: 16000, Memory: 32768}
+	p.WorkerRoom = work.Room{Cores: 16000, Memory: 32768}
 	return p
 }
--- a/proof/input_test.go
+++ b/proof/input_test.go
@@ -55,7 +55,7 @@
 	}{
 		"no key":        {"POST", "/call/fit/x", "", "x", 403, core.CodeBadKey},
 		"bad key":       {"POST", "/call/fit/x", "a.b", "x", 403, core.CodeBadKey},
-		"no queue":      {"POST", "/call/nope/x", key, "x", 404, core.CodeNoQueue},
+		"no queue":      {"POST", "/call/nope/x", key, "x", 404, core.CodeUnknownQueue},
 		"job queue":     {"POST", "/call/cure/x", key, "x", 400, core.CodeBadInput},
 		"large body":    {"POST", "/call/fit/x", key, strings.Repeat("x", 9<<20), 422, core.CodeTooLarge},
 		"not JSON":      {"POST", "/jobs", key, "{", 400, core.CodeBadInput},
@@ -66,8 +66,8 @@
 		"many tasks":    {"POST", "/jobs", key, `{"queue":"cure","tasks":[{"cores":1,"count":20000}]}`, 422, core.CodeTooLarge},
 		"large task":    {"POST", "/jobs", key, `{"queue":"cure","tasks":[{"cores":999}]}`, 422, core.CodeTooLarge},
 		"request queue": {"POST", "/jobs", key, `{"queue":"fit","tasks":[{"cores":1}]}`, 400, core.CodeBadInput},
-		"no job":        {"GET", "/jobs/hobart.0.NOPE", key, "", 404, core.CodeNoJob},
-		"bad job name":  {"GET", "/jobs/nope", key, "", 404, core.CodeNoJob},
+		"no job":        {"GET", "/jobs/hobart.0.NOPE", key, "", 404, core.CodeUnknownJob},
+		"bad job name":  {"GET", "/jobs/nope", key, "", 404, core.CodeUnknownJob},
 		"no page":       {"GET", "/nope", key, "", 400, core.CodeBadInput},
 	}
 	for name, tt := range tests {
@@ -81,7 +81,7 @@
 		var refusal httpx.Refusal
 		err = json.NewDecoder(resp.Body).Decode(&refusal)
 		_ = resp.Body.Close()
-		got := fmt.Sprintf("%d %s %s %v", resp.StatusCode, refusal.Code, refusal.Run, err)
+		got := fmt.Sprintf("%d %s %s %v", resp.StatusCode, refusal.Code, refusal.Execution, err)
 		if want := fmt.Sprintf("%d %s no <nil>", tt.status, tt.code); got != want {
 			t.Errorf("%s: got %s, want %s", name, got, want)
 		}
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -45,7 +45,7 @@
 	f.eventually("the team runs at most 20 cores", func() error { return checkValue(usedCores(), func(n int64) bool { return n <= 20000 }) })
 	t.Logf("the team is within the new limit after %s", time.Since(began).Round(10*ms))
 	f.eventually("the job is done", func() error {
-		job, err := r.Caller("office").Show(ctx, f.gates[0].callers, id)
+		job, err := r.Caller("office").Job(ctx, f.gates[0].callers, id)
 		if err == nil && job.State != "done" {
 			err = fmt.Errorf("%d of %d done", job.Done, job.Tasks)
 		}
@@ -68,9 +68,9 @@
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	r := f.openRun()
-	load := demo.Workload{Duration: 3 * time.Second, Seed: 9, Calls: []demo.RequestStream{
-		{Queue: "fit", Team: "office", Every: 8 * ms, Work: 300 * ms},
-		{Queue: "fit", Team: "pewter", Every: 100 * ms, Work: 20 * ms},
+	load := demo.Workload{Duration: 3 * time.Second, Seed: 9, Requests: []demo.RequestStream{
+		{Queue: "fit", Team: "office", Interval: 8 * ms, WorkTime: 300 * ms},
+		{Queue: "fit", Team: "pewter", Interval: 100 * ms, WorkTime: 20 * ms},
 	}}
 	is.NoErr(r.RunWorkload(context.Background(), load))
 	f.checkInvariants(r)
--- a/proof/owner_test.go
+++ b/proof/owner_test.go
@@ -56,14 +56,14 @@
 // batchLoad submits batch jobs at a constant rate for a given time.
 func batchLoad(d time.Duration) demo.Workload {
 	return demo.Workload{Duration: d, Seed: 7, Jobs: []demo.JobStream{
-		{Queue: "cure", Team: "foundry", Every: 250 * ms, Count: 8, Cores: 4, Memory: 2048, Run: 600 * ms, EstimateError: 4},
-		{Queue: "sweep", Team: "pewter", Every: 250 * ms, Count: 8, Cores: 2, Memory: 1024, Run: 300 * ms, EstimateError: 4},
+		{Queue: "cure", Team: "foundry", Interval: 250 * ms, TasksPerJob: 8, Cores: 4, Memory: 2048, RunTime: 600 * ms, EstimateError: 4},
+		{Queue: "sweep", Team: "pewter", Interval: 250 * ms, TasksPerJob: 8, Cores: 2, Memory: 1024, RunTime: 300 * ms, EstimateError: 4},
 	}}
 }
 
 // runWithFaults runs a load, calls faults 500 ms after its start, waits until all
 // work has ended, and checks all invariants.
-func (f *fleet) runWithFaults(load demo.Workload, faults func()) *demo.Run {
+func (f *fleet) runWithFaults(load demo.Workload, faults func()) *demo.Driver {
 	f.t.Helper()
 	run := f.openRun()
 	done := make(chan error, 1)
@@ -91,21 +91,21 @@
 		"killed": {inject: func(owner *entry) { owner.kill() }, clear: func(owner *entry) { owner.start() }},
 		"paused": {inject: func(owner *entry) { owner.pause() }, clear: func(owner *entry) { owner.resume() }},
 		"cut from the store": {
-			inject: func(owner *entry) { _ = owner.storeProxy.Set(fakes.LinkFaults{Cut: true}) },
-			clear:  func(owner *entry) { _ = owner.storeProxy.Set(fakes.LinkFaults{}) },
+			inject: func(owner *entry) { _ = owner.storeProxy.SetFaults(fakes.LinkFaults{Cut: true}) },
+			clear:  func(owner *entry) { _ = owner.storeProxy.SetFaults(fakes.LinkFaults{}) },
 		},
 		"no replies from the store": {
-			inject: func(owner *entry) { _ = owner.storeProxy.Set(fakes.LinkFaults{Down: true}) },
-			clear:  func(owner *entry) { _ = owner.storeProxy.Set(fakes.LinkFaults{}) },
+			inject: func(owner *entry) { _ = owner.storeProxy.SetFaults(fakes.LinkFaults{CutDown: true}) },
+			clear:  func(owner *entry) { _ = owner.storeProxy.SetFaults(fakes.LinkFaults{}) },
 		},
 		"cut from store and peers": {
 			inject: func(owner *entry) {
-				_ = owner.storeProxy.Set(fakes.LinkFaults{Cut: true})
-				_ = owner.peerProxy.Set(fakes.LinkFaults{Cut: true})
+				_ = owner.storeProxy.SetFaults(fakes.LinkFaults{Cut: true})
+				_ = owner.peerProxy.SetFaults(fakes.LinkFaults{Cut: true})
 			},
 			clear: func(owner *entry) {
-				_ = owner.storeProxy.Set(fakes.LinkFaults{})
-				_ = owner.peerProxy.Set(fakes.LinkFaults{})
+				_ = owner.storeProxy.SetFaults(fakes.LinkFaults{})
+				_ = owner.peerProxy.SetFaults(fakes.LinkFaults{})
 			},
 		},
 	}
@@ -151,9 +151,9 @@
 	}
 	// The jobs are accepted before the outage and last for all of it.
 	load := demo.Workload{Duration: 100 * ms, Seed: 3, Jobs: []demo.JobStream{
-		{Queue: "cure", Team: "foundry", Every: time.Second, Count: 15 * int(outage/time.Second), Cores: 8, Memory: 1024, Run: time.Second},
+		{Queue: "cure", Team: "foundry", Interval: time.Second, TasksPerJob: 15 * int(outage/time.Second), Cores: 8, Memory: 1024, RunTime: time.Second},
 	}}
-	is.NoErr(r.Submit(ctx, load))
+	is.NoErr(r.SendWorkload(ctx, load))
 	otherSched.kill()
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
 	before := countStarts(f)
@@ -195,19 +195,19 @@
 	t.Parallel()
 	f := newFleet(t, smallPlan(deploy.Glaze()), longWorkerLeases)
 	load := demo.Workload{Duration: 3 * time.Second, Seed: 4, Jobs: []demo.JobStream{
-		{Queue: "cure", Team: "foundry", Every: 800 * ms, Count: 10, Cores: 2, Memory: 256, Run: 8 * time.Second},
+		{Queue: "cure", Team: "foundry", Interval: 800 * ms, TasksPerJob: 10, Cores: 2, Memory: 256, RunTime: 8 * time.Second},
 	}}
 	f.runWithFaults(load, func() {
 		owner := f.awaitOwner(0)
 		sleep(500 * ms)
 		for _, worker := range []string{"worker0", "worker1"} {
-			_ = f.proxies[worker].Set(fakes.LinkFaults{Cut: true})
+			_ = f.proxies[worker].SetFaults(fakes.LinkFaults{Cut: true})
 		}
 		owner.entry.kill()
 		f.awaitOwner(owner.epoch)
 		sleep(8 * time.Second)
 		for _, worker := range []string{"worker0", "worker1"} {
-			_ = f.proxies[worker].Set(fakes.LinkFaults{})
+			_ = f.proxies[worker].SetFaults(fakes.LinkFaults{})
 		}
 	})
 }
--- a/proof/region_test.go
+++ b/proof/region_test.go
@@ -72,13 +72,13 @@
 	p.Gates, p.Scheds, p.Workers, p.Targets = 2, 4, 6, 4
 	f := newFleet(t, p)
 	load := demo.Workload{Duration: 1500 * ms, Seed: 8, Jobs: []demo.JobStream{
-		{Queue: "cure", Team: "foundry", Every: 200 * ms, Count: 12, Cores: 4, Memory: 512, Run: 1200 * ms},
-		{Queue: "sweep", Team: "office", Every: 200 * ms, Count: 6, Cores: 3, Memory: 512, Run: 1200 * ms},
+		{Queue: "cure", Team: "foundry", Interval: 200 * ms, TasksPerJob: 12, Cores: 4, Memory: 512, RunTime: 1200 * ms},
+		{Queue: "sweep", Team: "office", Interval: 200 * ms, TasksPerJob: 6, Cores: 3, Memory: 512, RunTime: 1200 * ms},
 	}}
 	setCut := func(cut bool) {
 		for _, e := range append(append([]*entry{}, f.gates...), f.scheds...) {
 			if e.region == "burnie" {
-				_ = e.storeProxy.Set(fakes.LinkFaults{Cut: cut})
+				_ = e.storeProxy.SetFaults(fakes.LinkFaults{Cut: cut})
 			}
 		}
 	}
--- a/proof/task_test.go
+++ b/proof/task_test.go
@@ -37,12 +37,12 @@
 			func(f *fleet) error { f.workers[1].start(); return nil },
 		},
 		"cut": {
-			func(f *fleet) error { return f.proxies["worker2"].Set(fakes.LinkFaults{Cut: true}) },
-			func(f *fleet) error { return f.proxies["worker2"].Set(fakes.LinkFaults{}) },
+			func(f *fleet) error { return f.proxies["worker2"].SetFaults(fakes.LinkFaults{Cut: true}) },
+			func(f *fleet) error { return f.proxies["worker2"].SetFaults(fakes.LinkFaults{}) },
 		},
 		"no replies": {
-			func(f *fleet) error { return f.proxies["worker3"].Set(fakes.LinkFaults{Down: true}) },
-			func(f *fleet) error { return f.proxies["worker3"].Set(fakes.LinkFaults{}) },
+			func(f *fleet) error { return f.proxies["worker3"].SetFaults(fakes.LinkFaults{CutDown: true}) },
+			func(f *fleet) error { return f.proxies["worker3"].SetFaults(fakes.LinkFaults{}) },
 		},
 		"fails everything": {
 			func(f *fleet) error { return f.setWorkerFaults(4, fakes.WorkerFaults{FailAll: true}) },
@@ -147,7 +147,7 @@
 	}
 	for _, id := range ids {
 		f.eventually("job "+id+" is cancelled", func() error {
-			job, err := caller.Show(ctx, gateAddr, id)
+			job, err := caller.Job(ctx, gateAddr, id)
 			if err == nil && job.State != string(cell.Cancelled) {
 				err = fmt.Errorf("state %s, %d cancelled", job.State, job.Cancelled)
 			}
@@ -183,9 +183,9 @@
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	r := f.openRun()
 	load := demo.Workload{Duration: 3 * time.Second, Seed: 5, Jobs: []demo.JobStream{
-		{Queue: "mould", Team: "wick", Every: time.Second, Count: 5, Cores: 14, Memory: 1024, Run: 300 * ms},
-		{Queue: "mould", Team: "tallow", Every: time.Second, Count: 4, Cores: 15, Memory: 1024, Run: 300 * ms},
-		{Queue: "sweep", Team: "pewter", Every: 150 * ms, Count: 6, Cores: 3, Memory: 1024, Run: 400 * ms},
+		{Queue: "mould", Team: "wick", Interval: time.Second, TasksPerJob: 5, Cores: 14, Memory: 1024, RunTime: 300 * ms},
+		{Queue: "mould", Team: "tallow", Interval: time.Second, TasksPerJob: 4, Cores: 15, Memory: 1024, RunTime: 300 * ms},
+		{Queue: "sweep", Team: "pewter", Interval: 150 * ms, TasksPerJob: 6, Cores: 3, Memory: 1024, RunTime: 400 * ms},
 	}}
 	if err := r.RunWorkload(context.Background(), load); err != nil {
 		t.Error(err)
@@ -196,7 +196,7 @@
 
 // checkGangOverlap fails the test if a task of a gang started after another task of
 // it had ended.
-func (f *fleet) checkGangOverlap(r *demo.Run, queue string) {
+func (f *fleet) checkGangOverlap(r *demo.Driver, queue string) {
 	f.t.Helper()
 	firstStart, lastStart, firstEnd := map[core.JobID]time.Time{}, map[core.JobID]time.Time{}, map[core.JobID]time.Time{}
 	for _, worker := range f.WorkerRecords() {
@@ -214,7 +214,7 @@
 			}
 		}
 	}
-	for _, id := range r.AcceptedIn(core.Queue(queue)) {
+	for _, id := range r.AcceptedJobs(core.Queue(queue)) {
 		if job := core.JobID(id); !lastStart[job].Before(firstEnd[job]) {
 			f.t.Errorf("gang %s: a task started at %s, after another task had ended at %s", job, lastStart[job], firstEnd[job])
 		}
