--- a/cmd/measure/path.go
+++ b/cmd/measure/path.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	run, err := demo.Open(ctx, deployment, deployment.Addresses, plan)
+	d, err := demo.Open(ctx, deployment, deployment.Addresses, plan)
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 			}
 		}
 	}
-	measureRequests(ctx, table, name, run.Caller("pewter"), addrs, duration)
+	measureRequests(ctx, table, name, d.Caller("pewter"), addrs, duration)
 	return deployment.Stop()
 }
 
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -16,9 +16,9 @@
 
 const (
 	ms = time.Millisecond
-	// nearnessWindow is the window over which a team's use is compared with its
+	// deviationWindow is the window over which a team's use is compared with its
 	// fair share.
-	nearnessWindow = 10 * time.Second
+	deviationWindow = 10 * time.Second
 )
 
 // namedPolicy is a placement policy and the name under which it is printed.
@@ -127,16 +127,16 @@
 	if err != nil {
 		return err
 	}
-	run, err := demo.Open(ctx, deployment, deployment.Addresses, plan)
+	d, err := demo.Open(ctx, deployment, deployment.Addresses, plan)
 	if err != nil {
 		return err
 	}
 	cpuBefore := cpuTime()
-	if err := run.RunWorkload(ctx, demo.Workload{Duration: duration, Seed: seed, Jobs: jobStreams(plan, load)}); err != nil {
+	if err := d.RunWorkload(ctx, demo.Workload{Duration: duration, Seed: seed, Jobs: jobStreams(plan, load)}); err != nil {
 		return err
 	}
 	cpuUsed := cpuTime() - cpuBefore
-	summary, nearness, violations := run.Summary(), run.ShareDeviation(nearnessWindow), run.Violations()
+	summary, deviation, violations := d.Summary(), d.ShareDeviation(deviationWindow), d.Violations()
 	urgent, batch, gang := "urgent", "cure", "mould"
 	if plan.Name == "bagmati" {
 		batch, gang = "label", "plate"
@@ -146,6 +146,6 @@
 	g50, g99 := summary.WaitPercentiles(toQueue(gang), 50, 99)
 	fmt.Fprintf(table, "%s\t%.0f%%\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%.0f%%\t%.1f%%\t%.1f%% %s\t%.2f\t%d\t\n", plan.Name, load*100, policy.name, summary.Tasks,
 		u50.Round(ms), u99.Round(ms), b50.Round(ms), b99.Round(ms), g50.Round(ms), g99.Round(ms), summary.CorePacking*100,
-		nearness.Mean*100, nearness.Largest*100, nearness.WorstTeam, float64(cpuUsed.Microseconds())/1000/float64(max(summary.Tasks, 1)), len(violations))
+		deviation.Mean*100, deviation.Largest*100, deviation.WorstTeam, float64(cpuUsed.Microseconds())/1000/float64(max(summary.Tasks, 1)), len(violations))
 	return deployment.Stop()
 }
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -80,7 +80,7 @@
 	limits    Limits
 	// now is the time passed to the current call.
 	now time.Time
-	// loading is set while Load replays entries, which must not be written again.
+	// loading is set while LoadJournal replays entries, which must not be written again.
 	loading bool
 
 	workers map[core.WorkerID]*Worker
--- a/core/cell/status.go
+++ b/core/cell/status.go
@@ -27,26 +27,26 @@
 
 // Status returns the state of the cell for display.
 func (c *Cell) Status() Status {
-	load := Status{Cell: c.id, Epoch: c.epoch, Workers: len(c.workersByID), Total: c.totalRoom(), Free: c.roomIndex.Free()}
+	status := Status{Cell: c.id, Epoch: c.epoch, Workers: len(c.workersByID), Total: c.totalRoom(), Free: c.roomIndex.Free()}
 	for _, w := range c.workersByID {
 		if w.state == workerStateLive {
-			load.Live++
+			status.Live++
 		}
-		load.Running += len(w.tasks)
+		status.Running += len(w.tasks)
 	}
 	for _, j := range c.jobs {
-		load.Queued += len(j.queuedTasks)
+		status.Queued += len(j.queuedTasks)
 	}
 	for team, queue := range c.teamQueues {
-		load.Teams = append(load.Teams, TeamStatus{team, c.shares.Used(team).Cores, queue.queuedCores})
+		status.Teams = append(status.Teams, TeamStatus{team, c.shares.Used(team).Cores, queue.queuedCores})
 	}
-	slices.SortFunc(load.Teams, func(a, b TeamStatus) int {
+	slices.SortFunc(status.Teams, func(a, b TeamStatus) int {
 		if a.Team < b.Team {
 			return -1
 		}
 		return 1
 	})
-	return load
+	return status
 }
 
 // WorkerView is the state of a worker for display.
--- a/core/elect/election.go
+++ b/core/elect/election.go
@@ -66,7 +66,7 @@
 	VM     string
 	// Addr is where the owner answers other processes.
 	Addr netip.AddrPort
-	// Epoch numbers the owners, Beat the writes of one owner.
+	// Epoch numbers the owners, WriteNumber the writes of one owner.
 	Epoch       core.Epoch
 	WriteNumber uint64 `json:"Beat"`
 	// Stamp is the writer's estimate of the store's clock at the time of the
--- a/core/fleet/advice.go
+++ b/core/fleet/advice.go
@@ -187,22 +187,23 @@
 // AdviceRequests sends the advice requests that are worthwhile now, the most
 // urgent first. A request that would have to queue is not sent: by the time its
 // call begins, other work may be more urgent and other workers may have room.
-// Requests that are less likely to let tasks start are sent while Turns.Spare
-// reports idle VMs, and otherwise at most once per lowYieldInterval and phase.
-func (s *Scheduler) AdviceRequests(now time.Time, turns AdvicePeers) {
+// Requests that are less likely to let tasks start are sent while
+// AdvicePeers.MostlyIdle reports idle VMs, and otherwise at most once per
+// lowYieldInterval and phase.
+func (s *Scheduler) AdviceRequests(now time.Time, peers AdvicePeers) {
 	s.now = now
-	if !turns.HasCapacity(0) {
+	if !peers.HasCapacity(0) {
 		return
 	}
 	var lowYield []*phase
 	for _, p := range s.rankedPhases() {
 		advisor, ok := p.advisor().Get()
 		isPending := !p.advice.requestedAt.IsZero() && now.Before(p.advice.lostAt)
-		if !ok || isPending || now.Before(p.advice.recheckAt) || !p.startable() || !turns.HasCapacity(advisor.Base) {
+		if !ok || isPending || now.Before(p.advice.recheckAt) || !p.startable() || !peers.HasCapacity(advisor.Base) {
 			continue
 		}
 		if workers := p.workersToRequest(advisor); len(workers) > 0 {
-			s.requestAdvice(turns, p, advisor, workers)
+			s.requestAdvice(peers, p, advisor, workers)
 			continue
 		}
 		p.advice.recheckAt = now.Add(recheckDelay)
@@ -211,20 +212,20 @@
 	for _, p := range lowYield {
 		advisor, ok := p.advisor().Get()
 		intervalOver := now.Sub(p.openedAt) > lowYieldInterval && now.Sub(p.advice.lowYieldAt) > lowYieldInterval
-		if !ok || !turns.HasCapacity(advisor.Base) || !turns.MostlyIdle() && !intervalOver {
+		if !ok || !peers.HasCapacity(advisor.Base) || !peers.MostlyIdle() && !intervalOver {
 			continue
 		}
 		if workers := p.lowYieldWorkers(advisor); len(workers) > 0 {
 			p.advice.lowYieldAt = now
-			s.requestAdvice(turns, p, advisor, workers)
+			s.requestAdvice(peers, p, advisor, workers)
 		}
 	}
 }
 
-func (s *Scheduler) requestAdvice(turns AdvicePeers, p *phase, advisor policy.Advisor, workers []core.WorkerID) {
+func (s *Scheduler) requestAdvice(peers AdvicePeers, p *phase, advisor policy.Advisor, workers []core.WorkerID) {
 	p.advice.markRequested(s.now, advisor, len(workers))
 	s.counts.Asks++
-	turns.Send(AdviceRequest{Phase: p.id, Workers: workers, Cost: advisor.Cost(len(workers))})
+	peers.Send(AdviceRequest{Phase: p.id, Workers: workers, Cost: advisor.Cost(len(workers))})
 }
 
 // minStartCount returns how many tasks must start together.
--- a/core/fleet/place_test.go
+++ b/core/fleet/place_test.go
@@ -204,20 +204,20 @@
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
 }
 
-// fakeTurns is a fleet.Turns that allows one advice request at a time.
-type fakeTurns struct {
+// fakeAdvicePeers is a fleet.AdvicePeers that allows one advice request at a time.
+type fakeAdvicePeers struct {
 	busy     bool
 	requests []fleet.AdviceRequest
 }
 
-// HasCapacity implements fleet.Turns.
-func (t *fakeTurns) HasCapacity(time.Duration) bool { return !t.busy }
+// HasCapacity implements fleet.AdvicePeers.
+func (t *fakeAdvicePeers) HasCapacity(time.Duration) bool { return !t.busy }
 
-// MostlyIdle implements fleet.Turns.
-func (t *fakeTurns) MostlyIdle() bool { return !t.busy }
+// MostlyIdle implements fleet.AdvicePeers.
+func (t *fakeAdvicePeers) MostlyIdle() bool { return !t.busy }
 
-// Send implements fleet.Turns.
-func (t *fakeTurns) Send(a fleet.AdviceRequest) {
+// Send implements fleet.AdvicePeers.
+func (t *fakeAdvicePeers) Send(a fleet.AdviceRequest) {
 	t.requests = append(t.requests, a)
 	t.busy = true
 }
@@ -236,21 +236,21 @@
 	f.registerWorkers()
 	f.Accept(f.now, newJob("j", 1, false))
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
-	turns := &fakeTurns{}
-	f.AdviceRequests(f.now, turns)
-	is.Equal(len(turns.requests), 1)
-	is.Equal(len(turns.requests[0].Workers), 4)
-	turns.busy = false
-	f.AdviceRequests(f.now, turns)
-	is.Equal(len(turns.requests), 1) // one request for a phase at a time
+	peers := &fakeAdvicePeers{}
+	f.AdviceRequests(f.now, peers)
+	is.Equal(len(peers.requests), 1)
+	is.Equal(len(peers.requests[0].Workers), 4)
+	peers.busy = false
+	f.AdviceRequests(f.now, peers)
+	is.Equal(len(peers.requests), 1) // one request for a phase at a time
 	allowed := []fleet.AllowedWorker{{Worker: "w2", Ticket: "good"}}
-	f.AdviceReceived(f.now, turns.requests[0].Phase, turns.requests[0].Workers, allowed, time.Second)
+	f.AdviceReceived(f.now, peers.requests[0].Phase, peers.requests[0].Workers, allowed, time.Second)
 	f.advance(time.Second) // the ticket has expired
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
-	f.AdviceRequests(f.now, turns)
-	is.Equal(len(turns.requests), 2)
-	is.Equal(turns.requests[1].Workers, []core.WorkerID{"w2"})
-	f.AdviceReceived(f.now, turns.requests[1].Phase, turns.requests[1].Workers, allowed, time.Second)
+	f.AdviceRequests(f.now, peers)
+	is.Equal(len(peers.requests), 2)
+	is.Equal(peers.requests[1].Workers, []core.WorkerID{"w2"})
+	f.AdviceReceived(f.now, peers.requests[1].Phase, peers.requests[1].Workers, allowed, time.Second)
 	starts := f.nextOrders(fleet.OrderStart)
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Worker, core.WorkerID("w2"))
@@ -269,16 +269,16 @@
 	f.Scheduler = fleet.New(startTime, 1, fleet.Limits{Lease: leaseDuration, RemoteFactor: 1}, p)
 	f.registerWorkers()
 	f.Accept(f.now, newJob("j", 1, false))
-	turns := &fakeTurns{}
-	f.AdviceRequests(f.now, turns)
+	peers := &fakeAdvicePeers{}
+	f.AdviceRequests(f.now, peers)
 	allowed := []fleet.AllowedWorker{{Worker: "w0", Ticket: "a"}, {Worker: "w1", Ticket: "b"}, {Worker: "w2", Ticket: "c"}}
-	f.AdviceReceived(f.now, turns.requests[0].Phase, turns.requests[0].Workers, allowed, time.Second)
+	f.AdviceReceived(f.now, peers.requests[0].Phase, peers.requests[0].Workers, allowed, time.Second)
 	s := f.nextOrders(fleet.OrderStart)[0]
 	f.StartAnswered(f.now, s.Worker, s.Task, s.Run, fleet.ReplyBadTicket)
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
-	turns.busy = false
-	f.AdviceRequests(f.now, turns)
-	is.Equal(len(turns.requests), 2)
+	peers.busy = false
+	f.AdviceRequests(f.now, peers)
+	is.Equal(len(peers.requests), 2)
 }
 
 // TestServiceOrder checks the order in which jobs start on a full fleet: first jobs within
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -337,8 +337,8 @@
 	}
 }
 
-// Reclaim returns a row without the part and the want of a holder that is known
-// to use nothing any more, and whether the row had any.
+// Reclaim returns a row without the part and the want of a holder that no
+// longer uses anything, and whether the row had any.
 func Reclaim(row Row, h Holder) (Row, bool) {
 	_, hasPart := row.Parts[h]
 	_, hasWant := row.Wants[h]
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -180,7 +180,7 @@
 	hasScanned   bool
 	nextRenew    time.Time
 	nextScan     time.Time
-	// round is the latest round of AskHold requests since the last renewal.
+	// round is the latest round of RenewOrPromise requests since the last renewal.
 	round         *peerRound
 	pendingResign core.Option[Resign]
 	// refusals holds the errors of chart events refused in their state.
--- a/core/member/outage.go
+++ b/core/member/outage.go
@@ -7,7 +7,7 @@
 	"chicoryturn/core/lease"
 )
 
-// Answer is a peer's answer to AskHold.
+// Answer is a peer's answer to RenewOrPromise.
 type Answer struct {
 	// Renewed is set when the peer has renewed the session row in the store.
 	Renewed bool
@@ -52,7 +52,7 @@
 	return out
 }
 
-// PeerAnswered handles a peer's answer to AskHold.
+// PeerAnswered handles a peer's answer to RenewOrPromise.
 func (m *Member) PeerAnswered(from core.SessionID, number int, a Answer) {
 	r := m.round
 	if r == nil || r.number != number || m.state != sessionLive {
@@ -104,8 +104,8 @@
 	m.lease.Renew(r.sent, PromiseTTL)
 }
 
-// Promise answers AskHold when this process cannot renew the owner's session. It
-// promises not to claim the owner's cells, unless it reaches the store or is about
+// Promise answers RenewOrPromise when this process cannot renew the owner's session.
+// It promises not to claim the owner's cells, unless it reaches the store or is about
 // to claim one of them.
 func (m *Member) Promise(now time.Time, from core.Process) Answer {
 	a := Answer{Scheds: m.regionScheds()}
--- a/core/member/plan.go
+++ b/core/member/plan.go
@@ -64,7 +64,7 @@
 func (RenewOrPromise) action() {}
 func (Resign) action()         {}
 
-// peerRound collects the answers to the AskHold requests sent at one time.
+// peerRound collects the answers to the RenewOrPromise requests sent at one time.
 type peerRound struct {
 	number int
 	sent   time.Time
--- a/core/place/index.go
+++ b/core/place/index.go
@@ -109,7 +109,7 @@
 
 // WorstFit returns the worker with the most free cores among those that have room
 // for need and that allow accepts. It prefers workers without accelerators. It is
-// the baseline to which Best is compared.
+// the baseline to which BestFit is compared.
 func (x *Index) WorstFit(need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
 	var found core.WorkerID
 	for _, tree := range []*btree.BTreeG[entry]{x.plain, x.accel} {
--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -66,17 +66,17 @@
 
 // Agent is the control state that gates and scheds share.
 type Agent struct {
-	loop    *loop.Loop
-	store   Store
-	peers   Peers
-	host    Callbacks
-	log     *logrus.Entry
-	name    core.SessionID
-	Member  *member.Member
-	Config  *conf.Config
-	ledgers []*ledgerSync
-	vms     []core.VM
-	vmsRead bool
+	loop           *loop.Loop
+	store          Store
+	peers          Peers
+	callbacks      Callbacks
+	log            *logrus.Entry
+	initialSession core.SessionID
+	Member         *member.Member
+	Config         *conf.Config
+	ledgers        []*ledgerSync
+	vms            []core.VM
+	vmsRead        bool
 	// rulesObject names the object that holds the rules file in force.
 	rulesObject string
 	// vmsVersion is the version of the list in vms.
@@ -102,9 +102,9 @@
 }
 
 // New returns an agent of a process that has not joined yet.
-func New(l *loop.Loop, s Store, p Peers, h Callbacks, m *member.Member, log *logrus.Entry) *Agent {
+func New(l *loop.Loop, s Store, p Peers, c Callbacks, m *member.Member, log *logrus.Entry) *Agent {
 	return &Agent{
-		loop: l, store: s, peers: p, host: h, log: log, Member: m, Config: conf.New(), name: m.Self().ID, failing: map[string]bool{},
+		loop: l, store: s, peers: p, callbacks: c, log: log, Member: m, Config: conf.New(), initialSession: m.Self().ID, failing: map[string]bool{},
 	}
 }
 
@@ -125,8 +125,8 @@
 }
 
 // InitialSession returns the session ID with which the process started. A rejoin does
-// not change it, so traffic goroutines may call Name.
-func (a *Agent) InitialSession() core.SessionID { return a.name }
+// not change it, so traffic goroutines may call InitialSession.
+func (a *Agent) InitialSession() core.SessionID { return a.initialSession }
 
 // VMs returns the VMs of the list read last.
 func (a *Agent) VMs() []core.VM { return a.vms }
@@ -159,7 +159,7 @@
 // LogRefusals logs events that a state chart has refused.
 func (a *Agent) LogRefusals(errs []error) {
 	for _, err := range errs {
-		a.log.WithError(err).Warn("event refused")
+		a.log.WithError(err).Warn("state chart refused an event")
 	}
 }
 
--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -170,7 +170,7 @@
 	if v := a.Config.Version(); v != before {
 		a.log.Infof("configuration version %d is in force", v)
 		a.Member.SetConfig(v)
-		a.host.ConfigChanged(now)
+		a.callbacks.ConfigChanged(now)
 	}
 }
 
@@ -186,7 +186,7 @@
 
 // confirm asks the peers whether the version in force is the newest. It does so
 // while the store does not answer: once the last confirmation is older than half
-// of conf.ConfirmWithin.
+// of conf.MaxConfirmAge.
 func (a *Agent) confirm(now time.Time) {
 	if a.confirming || now.Before(a.nextConfirm) || now.Sub(a.Config.Confirmed()) < conf.MaxConfirmAge/2 || a.Config.Version() == 0 {
 		return
--- a/io/agent/limits.go
+++ b/io/agent/limits.go
@@ -92,7 +92,7 @@
 		a.Member.VMGone(now, name)
 	}
 	a.vmsRead = true
-	a.host.VMsChanged(now, a.vms)
+	a.callbacks.VMsChanged(now, a.vms)
 }
 
 // readLedger reads a ledger's rows, once per ledgerInterval, or once per
@@ -138,7 +138,7 @@
 		}
 		s.ledger.Observe(name, r.Version, row)
 	}
-	a.host.LedgerRead(now)
+	a.callbacks.LedgerRead(now)
 	a.writeLedger(s)
 }
 
--- a/io/agent/session.go
+++ b/io/agent/session.go
@@ -202,7 +202,7 @@
 }
 
 // handleMembersRead updates the membership and closes the connections to
-// processes that have no session any more.
+// processes that no longer have a session.
 func (a *Agent) handleMembersRead(now time.Time, m membersRead) {
 	a.logFailureOnce("reading the sessions", m.err)
 	if m.err != nil {
--- a/io/check/check.go
+++ b/io/check/check.go
@@ -158,8 +158,8 @@
 	return out
 }
 
-// RequestViolations returns a violation for every request that started while its team had as many
-// requests running as its limit allows.
+// RequestViolations returns a violation for every request that started while its
+// team had as many requests running as its limit allows.
 func RequestViolations(targets []fakes.TargetRecord, limits map[core.Team]int64) []Violation {
 	type edge struct {
 		at   time.Time
@@ -192,8 +192,8 @@
 	return out
 }
 
-// TargetViolations returns the violations of Slots and Repeat. The parameter once holds the IDs
-// of the requests that must not be retried.
+// TargetViolations returns the violations of Slots and Repeat. The parameter once
+// holds the IDs of the requests that must not be retried.
 func TargetViolations(targets []fakes.TargetRecord, once core.Set[string]) []Violation {
 	var out []Violation
 	seen := map[string]fakes.Hit{}
--- a/io/demo/demo.go
+++ b/io/demo/demo.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Workload describes the requests and jobs that a run sends to a deployment.
+// Workload describes the requests and jobs that a driver sends to a deployment.
 type Workload struct {
 	// Duration is the time during which new requests and jobs are sent.
 	Duration time.Duration
@@ -84,8 +84,8 @@
 type RequestStream struct {
 	Queue core.Queue
 	Team  core.Team
-	// Interval is the time between two requests. Work is the mean time that the target
-	// takes for one; the times vary between 0.5 and 1.5 times the mean.
+	// Interval is the time between two requests. WorkTime is the mean time that the
+	// target takes for one; the times vary between 0.5 and 1.5 times the mean.
 	Interval, WorkTime time.Duration
 }
 
@@ -144,7 +144,7 @@
 // Open pushes the rules of a plan to a deployment and creates a key for each team.
 // It returns once every process is ready and uses this configuration.
 func Open(ctx context.Context, f Fleet, addrs deploy.Addresses, p deploy.Plan) (*Driver, error) {
-	r := &Driver{
+	d := &Driver{
 		fleet: f, addrs: addrs, capacity: p.Capacity(), client: NewClient(),
 		callers: map[core.Team]*Caller{}, refused: map[core.Queue]int{},
 	}
@@ -152,9 +152,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r.rules = ruleSet
+	d.rules = ruleSet
 	err = WaitUntil(ctx, startTimeout, "a gate accepts the rules", func(ctx context.Context) error {
-		return callJSON(ctx, r.client, http.MethodPost, addrs.GateOps[0], "/rules", "", p.Rules(), nil)
+		return callJSON(ctx, d.client, http.MethodPost, addrs.GateOps[0], "/rules", "", p.Rules(), nil)
 	})
 	if err != nil {
 		return nil, err
@@ -163,40 +163,40 @@
 	for team := range ruleSet.Teams {
 		var granted httpx.ChangeResult
 		err := WaitUntil(ctx, startTimeout, "a gate grants a key", func(ctx context.Context) error {
-			return callJSON(ctx, r.client, http.MethodPost, addrs.GateOps[0], "/keys?team="+string(team), "", nil, &granted)
+			return callJSON(ctx, d.client, http.MethodPost, addrs.GateOps[0], "/keys?team="+string(team), "", nil, &granted)
 		})
 		if err != nil {
 			return nil, err
 		}
-		r.callers[team] = &Caller{http: r.client, gates: addrs.Callers, rng: rng, Team: team, Key: granted.Key}
+		d.callers[team] = &Caller{http: d.client, gates: addrs.Callers, rng: rng, Team: team, Key: granted.Key}
 	}
-	return r, r.waitReady(ctx)
+	return d, d.waitReady(ctx)
 }
 
 // Caller returns the caller of a team.
-func (r *Driver) Caller(t core.Team) *Caller { return r.callers[t] }
+func (d *Driver) Caller(t core.Team) *Caller { return d.callers[t] }
 
 // AddResult adds the result of a request to those that Summary and Violations
 // use. Tests call it for requests that they send themselves.
-func (r *Driver) AddResult(res Result) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.results = append(r.results, res)
+func (d *Driver) AddResult(res Result) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.results = append(d.results, res)
 }
 
 // waitReady waits until every process is ready and has the rules and all keys. The
 // rules and each team's key add one version each to the configuration.
-func (r *Driver) waitReady(ctx context.Context) error {
-	for _, addr := range append(append([]netip.AddrPort{}, r.addrs.GateOps...), r.addrs.SchedOps...) {
+func (d *Driver) waitReady(ctx context.Context) error {
+	for _, addr := range append(append([]netip.AddrPort{}, d.addrs.GateOps...), d.addrs.SchedOps...) {
 		err := WaitUntil(ctx, startTimeout, "all processes are ready", func(ctx context.Context) error {
 			var c httpx.Config
-			if err := callJSON(ctx, r.client, http.MethodGet, addr, "/config", "", nil, &c); err != nil {
+			if err := callJSON(ctx, d.client, http.MethodGet, addr, "/config", "", nil, &c); err != nil {
 				return err
 			}
-			if int(c.Lowest) < len(r.rules.Teams)+1 {
+			if int(c.Lowest) < len(d.rules.Teams)+1 {
 				return &TimeoutError{Condition: "all processes have the newest configuration"}
 			}
-			return callJSON(ctx, r.client, http.MethodGet, addr, "/ready", "", nil, nil)
+			return callJSON(ctx, d.client, http.MethodGet, addr, "/ready", "", nil, nil)
 		})
 		if err != nil {
 			return err
@@ -207,47 +207,47 @@
 
 // RunWorkload sends a workload and waits until its requests are answered and its
 // jobs have ended.
-func (r *Driver) RunWorkload(ctx context.Context, w Workload) error {
-	if err := r.SendWorkload(ctx, w); err != nil {
+func (d *Driver) RunWorkload(ctx context.Context, w Workload) error {
+	if err := d.SendWorkload(ctx, w); err != nil {
 		return err
 	}
-	return r.WaitJobs(ctx)
+	return d.WaitJobs(ctx)
 }
 
 // SendWorkload sends a workload and waits until its requests are answered, but not until
 // its jobs have ended.
-func (r *Driver) SendWorkload(ctx context.Context, w Workload) error {
-	r.offerStart = time.Now()
+func (d *Driver) SendWorkload(ctx context.Context, w Workload) error {
+	d.offerStart = time.Now()
 	group, gctx := errgroup.WithContext(ctx)
 	for i, stream := range w.Requests {
 		group.Go(func() error {
-			r.sendRequests(gctx, stream, w.Duration, rand.New(rand.NewPCG(w.Seed, uint64(i))))
+			d.sendRequests(gctx, stream, w.Duration, rand.New(rand.NewPCG(w.Seed, uint64(i))))
 			return nil
 		})
 	}
 	for i, stream := range w.Jobs {
 		group.Go(func() error {
-			return r.submitJobs(gctx, stream, w.Duration, rand.New(rand.NewPCG(w.Seed, uint64(1000+i))))
+			return d.submitJobs(gctx, stream, w.Duration, rand.New(rand.NewPCG(w.Seed, uint64(1000+i))))
 		})
 	}
 	err := group.Wait()
-	r.offerEnd = time.Now()
+	d.offerEnd = time.Now()
 	return err
 }
 
 // sendRequests sends the requests of a stream, each on a goroutine of its own, and
 // waits for the answers.
-func (r *Driver) sendRequests(ctx context.Context, s RequestStream, duration time.Duration, rng *rand.Rand) {
+func (d *Driver) sendRequests(ctx context.Context, s RequestStream, duration time.Duration, rng *rand.Rand) {
 	ticker := time.NewTicker(s.Interval)
 	defer ticker.Stop()
 	group, ctx := errgroup.WithContext(ctx)
-	c := r.callers[s.Team]
-	for n := 0; time.Since(r.offerStart) < duration; n++ {
-		gateAddr := r.addrs.Callers[rng.IntN(len(r.addrs.Callers))]
+	c := d.callers[s.Team]
+	for n := 0; time.Since(d.offerStart) < duration; n++ {
+		gateAddr := d.addrs.Callers[rng.IntN(len(d.addrs.Callers))]
 		workTime := time.Duration((0.5 + rng.Float64()) * float64(s.WorkTime))
 		id := fmt.Sprintf("%s-%s-%d", s.Queue, s.Team, n)
 		group.Go(func() error {
-			r.AddResult(c.Call(ctx, gateAddr, s.Queue, id, workTime, nil))
+			d.AddResult(c.Call(ctx, gateAddr, s.Queue, id, workTime, nil))
 			return nil
 		})
 		select {
@@ -260,12 +260,12 @@
 }
 
 // submitJobs submits the jobs of a stream.
-func (r *Driver) submitJobs(ctx context.Context, s JobStream, duration time.Duration, rng *rand.Rand) error {
+func (d *Driver) submitJobs(ctx context.Context, s JobStream, duration time.Duration, rng *rand.Rand) error {
 	ticker := time.NewTicker(s.Interval)
 	defer ticker.Stop()
-	for time.Since(r.offerStart) < duration {
-		gateAddr := r.addrs.Callers[rng.IntN(len(r.addrs.Callers))]
-		if err := r.submitJob(ctx, gateAddr, s, rng); err != nil {
+	for time.Since(d.offerStart) < duration {
+		gateAddr := d.addrs.Callers[rng.IntN(len(d.addrs.Callers))]
+		if err := d.submitJob(ctx, gateAddr, s, rng); err != nil {
 			return err
 		}
 		select {
@@ -278,7 +278,7 @@
 }
 
 // submitJob submits one job. A refusal is counted and is not an error.
-func (r *Driver) submitJob(ctx context.Context, gateAddr netip.AddrPort, s JobStream, rng *rand.Rand) error {
+func (d *Driver) submitJob(ctx context.Context, gateAddr netip.AddrPort, s JobStream, rng *rand.Rand) error {
 	estimateFactor := 1.0
 	if s.EstimateError > 1 {
 		estimateFactor = 1 / s.EstimateError * pow(s.EstimateError*s.EstimateError, rng.Float64())
@@ -289,24 +289,24 @@
 		Run: time.Duration(float64(runTime) * estimateFactor).Round(time.Millisecond).String(), Command: "sleep " + runTime.String(),
 	}}}
 	submittedAt := time.Now()
-	id, err := r.callers[s.Team].Submit(ctx, gateAddr, job)
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	id, err := d.callers[s.Team].Submit(ctx, gateAddr, job)
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if err != nil {
-		r.refused[s.Queue]++
+		d.refused[s.Queue]++
 		return nil
 	}
-	r.jobs = append(r.jobs, submittedJob{id, s, submittedAt, s.TasksPerJob})
+	d.jobs = append(d.jobs, submittedJob{id, s, submittedAt, s.TasksPerJob})
 	return nil
 }
 
 // WaitJobs waits until all accepted jobs have ended, except those of daemon queues.
-func (r *Driver) WaitJobs(ctx context.Context) error {
-	for _, j := range r.jobs {
-		if r.rules.Queues[j.stream.Queue].Kind == rules.Daemon {
+func (d *Driver) WaitJobs(ctx context.Context) error {
+	for _, j := range d.jobs {
+		if d.rules.Queues[j.stream.Queue].Kind == rules.Daemon {
 			continue
 		}
-		c := r.callers[j.stream.Team]
+		c := d.callers[j.stream.Team]
 		err := WaitUntil(ctx, endTimeout, "job "+j.id+" ends", func(ctx context.Context) error {
 			v, err := c.Job(ctx, c.randomGate(), j.id)
 			if err != nil {
@@ -325,27 +325,27 @@
 }
 
 // Violations returns all violations of invariants during the run.
-func (r *Driver) Violations() []check.Violation {
+func (d *Driver) Violations() []check.Violation {
 	coreLimits, requestLimits := map[core.Team]int64{}, map[core.Team]int64{}
-	for name, t := range r.rules.Teams {
+	for name, t := range d.rules.Teams {
 		coreLimits[name], requestLimits[name] = t.Cores, t.Slots
 	}
-	log := check.NewLog(r.fleet.WorkerRecords())
+	log := check.NewLog(d.fleet.WorkerRecords())
 	violations := log.Violations(coreLimits)
 	notRepeatable := core.NewSet[string]()
-	for _, res := range r.results {
-		if !r.rules.Queues[res.Queue].Retry {
+	for _, res := range d.results {
+		if !d.rules.Queues[res.Queue].Retry {
 			notRepeatable.Add(res.ID)
 		}
 	}
-	targets := r.fleet.TargetRecords()
+	targets := d.fleet.TargetRecords()
 	violations = append(violations, check.TargetViolations(targets, notRepeatable)...)
 	violations = append(violations, check.RequestViolations(targets, requestLimits)...)
 	done := log.Done()
-	for _, j := range r.jobs {
+	for _, j := range d.jobs {
 		for i := range j.taskCount {
 			id := core.TaskID{Job: core.JobID(j.id), Index: i}.String()
-			if !done.Has(id) && r.rules.Queues[j.stream.Queue].Kind != rules.Daemon {
+			if !done.Has(id) && d.rules.Queues[j.stream.Queue].Kind != rules.Daemon {
 				violations = append(violations, check.Violation{Invariant: check.LostTask, Detail: "task " + id, At: j.submittedAt})
 			}
 		}
@@ -362,17 +362,17 @@
 	if err != nil {
 		return err
 	}
-	r, err := Open(ctx, d, d.Addresses, p)
+	driver, err := Open(ctx, d, d.Addresses, p)
 	if err == nil {
 		fmt.Fprintf(out, "%s: all processes are ready; sending requests and jobs for %s\n", p.Name, w.Duration)
-		err = r.RunWorkload(ctx, w)
+		err = driver.RunWorkload(ctx, w)
 	}
 	if err != nil {
 		_ = d.Stop()
 		return err
 	}
-	r.Report(out)
-	violations := r.Violations()
+	driver.Report(out)
+	violations := driver.Violations()
 	if err := d.Stop(); err != nil {
 		return err
 	}
@@ -384,11 +384,11 @@
 }
 
 // AcceptedJobs returns the IDs of the accepted jobs of a queue.
-func (r *Driver) AcceptedJobs(q core.Queue) []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (d *Driver) AcceptedJobs(q core.Queue) []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var out []string
-	for _, j := range r.jobs {
+	for _, j := range d.jobs {
 		if j.stream.Queue == q {
 			out = append(out, j.id)
 		}
@@ -397,8 +397,8 @@
 }
 
 // Results returns the results of all requests so far.
-func (r *Driver) Results() []Result {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]Result{}, r.results...)
+func (d *Driver) Results() []Result {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return append([]Result{}, d.results...)
 }
--- a/io/demo/fairness.go
+++ b/io/demo/fairness.go
@@ -20,12 +20,12 @@
 // with its max-min fair part of all core time used. The fair part is proportional
 // to the team's share and at most the team's demand: the core time that its tasks
 // used plus the core time for which they waited.
-func (r *Driver) ShareDeviation(window time.Duration) ShareDeviation {
-	log := check.NewLog(r.fleet.WorkerRecords())
+func (d *Driver) ShareDeviation(window time.Duration) ShareDeviation {
+	log := check.NewLog(d.fleet.WorkerRecords())
 	starts := log.Starts()
 	var out ShareDeviation
 	sum, count := 0.0, 0
-	for from := r.offerStart; from.Add(window).Before(r.offerEnd) || from.Equal(r.offerStart); from = from.Add(window) {
+	for from := d.offerStart; from.Add(window).Before(d.offerEnd) || from.Equal(d.offerStart); from = from.Add(window) {
 		to := from.Add(window)
 		used := map[core.Team]float64{}
 		demand := map[core.Team]float64{}
@@ -33,7 +33,7 @@
 			used[team] = float64(use.Cores)
 			demand[team] = float64(use.Cores)
 		}
-		r.addWaitingDemand(starts, from, to, demand)
+		d.addWaitingDemand(starts, from, to, demand)
 		total := 0.0
 		for _, n := range used {
 			total += n
@@ -41,7 +41,7 @@
 		if total == 0 {
 			continue
 		}
-		fair := r.fairUse(total, demand)
+		fair := d.fairUse(total, demand)
 		for team := range demand {
 			deviation := math.Abs(used[team]-fair[team]) / total
 			sum += deviation
@@ -59,8 +59,8 @@
 
 // addWaitingDemand adds to each team's demand the cores of its waiting tasks times
 // the time that they waited within a window.
-func (r *Driver) addWaitingDemand(starts map[string]time.Time, from, to time.Time, demand map[core.Team]float64) {
-	for _, j := range r.jobs {
+func (d *Driver) addWaitingDemand(starts map[string]time.Time, from, to time.Time, demand map[core.Team]float64) {
+	for _, j := range d.jobs {
 		for i := range j.taskCount {
 			until, ok := starts[core.TaskID{Job: core.JobID(j.id), Index: i}.String()]
 			if !ok || until.After(to) {
@@ -79,7 +79,7 @@
 
 // fairUse divides a total by the teams' shares and gives no team more than its
 // demand. What one team does not need is divided among the others.
-func (r *Driver) fairUse(total float64, demand map[core.Team]float64) map[core.Team]float64 {
+func (d *Driver) fairUse(total float64, demand map[core.Team]float64) map[core.Team]float64 {
 	out := map[core.Team]float64{}
 	unsatisfied := core.NewSet[core.Team]()
 	for t := range demand {
@@ -88,14 +88,14 @@
 	for len(unsatisfied) > 0 && total > 1e-9 {
 		shares := 0.0
 		for t := range unsatisfied {
-			shares += r.rules.Teams[t].Share
+			shares += d.rules.Teams[t].Share
 		}
 		if shares == 0 {
 			break
 		}
 		given, satisfiedAny := 0.0, false
 		for t := range unsatisfied {
-			part := total * r.rules.Teams[t].Share / shares
+			part := total * d.rules.Teams[t].Share / shares
 			if missing := demand[t] - out[t]; part >= missing {
 				given += missing
 				out[t] = demand[t]
@@ -105,7 +105,7 @@
 		}
 		if !satisfiedAny {
 			for t := range unsatisfied {
-				out[t] += total * r.rules.Teams[t].Share / shares
+				out[t] += total * d.rules.Teams[t].Share / shares
 			}
 			break
 		}
--- a/io/demo/report.go
+++ b/io/demo/report.go
@@ -44,7 +44,7 @@
 type Summary struct {
 	Queues map[core.Queue]*waitStats
 	Teams  map[core.Team]TeamSummary
-	// CorePacking and PackMemory are the fractions of the workers' cores and memory
+	// CorePacking and MemoryPacking are the fractions of the workers' cores and memory
 	// that were in use while work was offered.
 	CorePacking, MemoryPacking float64
 	// Tasks is the number of tasks of all accepted jobs.
@@ -72,9 +72,9 @@
 
 // Summary computes the measurements of the run. The waiting time of a request is
 // its duration without the work time; that of a task ends at its first start.
-func (r *Driver) Summary() *Summary {
+func (d *Driver) Summary() *Summary {
 	s := &Summary{Queues: map[core.Queue]*waitStats{}, Teams: map[core.Team]TeamSummary{}}
-	for _, res := range r.results {
+	for _, res := range d.results {
 		w := s.statsOf(res.Queue)
 		w.count++
 		if res.Err != nil || res.Status >= 400 {
@@ -83,9 +83,9 @@
 		}
 		w.add(res.Elapsed - res.WorkTime)
 	}
-	log := check.NewLog(r.fleet.WorkerRecords())
+	log := check.NewLog(d.fleet.WorkerRecords())
 	starts := log.Starts()
-	for _, j := range r.jobs {
+	for _, j := range d.jobs {
 		w := s.statsOf(j.stream.Queue)
 		for i := range j.taskCount {
 			w.count++
@@ -95,24 +95,24 @@
 			}
 		}
 	}
-	for q, n := range r.refused {
+	for q, n := range d.refused {
 		s.statsOf(q).refused += n
 	}
-	r.addTeams(s, log)
+	d.addTeams(s, log)
 	return s
 }
 
 // addTeams computes the packing and the teams' use.
-func (r *Driver) addTeams(s *Summary, log *check.Log) {
-	useByTeam := log.Usage(r.offerStart, r.offerEnd)
+func (d *Driver) addTeams(s *Summary, log *check.Log) {
+	useByTeam := log.Usage(d.offerStart, d.offerEnd)
 	sum := core.Resources{}
 	for _, use := range useByTeam {
 		sum = sum.Add(use)
 	}
-	span := r.offerEnd.Sub(r.offerStart).Seconds()
-	s.CorePacking = float64(sum.Cores) / (float64(r.capacity.Cores) * span)
-	s.MemoryPacking = float64(sum.Memory) / (float64(r.capacity.Memory) * span)
-	for name, t := range r.rules.Teams {
+	span := d.offerEnd.Sub(d.offerStart).Seconds()
+	s.CorePacking = float64(sum.Cores) / (float64(d.capacity.Cores) * span)
+	s.MemoryPacking = float64(sum.Memory) / (float64(d.capacity.Memory) * span)
+	for name, t := range d.rules.Teams {
 		used := 0.0
 		if sum.Cores > 0 {
 			used = float64(useByTeam[name].Cores) / float64(sum.Cores)
@@ -122,13 +122,13 @@
 }
 
 // Report prints the measurements of the run as tables.
-func (r *Driver) Report(out io.Writer) {
-	s := r.Summary()
+func (d *Driver) Report(out io.Writer) {
+	s := d.Summary()
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "queue\tkind\tcount\trefused\twait p50\twait p99\t")
 	for _, q := range sortedKeys(s.Queues) {
 		w := s.Queues[q]
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\t\n", q, r.rules.Queues[q].Kind, w.count, w.refused, round(w.percentile(50)), round(w.percentile(99)))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\t\n", q, d.rules.Queues[q].Kind, w.count, w.refused, round(w.percentile(50)), round(w.percentile(99)))
 	}
 	fmt.Fprintln(t, "\t\t\t\t\t\t")
 	fmt.Fprintln(t, "team\tshare\tused\tlimit (cores)\t\t\t")
@@ -159,9 +159,9 @@
 
 // Refused returns the number of refused or failed requests and refused jobs of
 // each queue that had any.
-func (r *Driver) Refused() map[core.Queue]int {
+func (d *Driver) Refused() map[core.Queue]int {
 	out := map[core.Queue]int{}
-	for q, w := range r.Summary().Queues {
+	for q, w := range d.Summary().Queues {
 		if w.refused > 0 {
 			out[q] = w.refused
 		}
--- a/io/deploy/deployment.go
+++ b/io/deploy/deployment.go
@@ -87,8 +87,8 @@
 
 // Addresses holds the addresses of a deployment's processes.
 type Addresses struct {
-	// Callers and Ops are the callers' and the operators' addresses of the gates;
-	// Scheds are the operators' addresses of the scheds.
+	// Callers and GateOps are the callers' and the operators' addresses of the gates;
+	// SchedOps are the operators' addresses of the scheds.
 	Callers, GateOps, SchedOps []netip.AddrPort
 }
 
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -114,8 +114,8 @@
 }
 
 // SetOwner updates the first epoch for new jobs from the ownership record as this VM
-// last saw it. An owner that has resigned starts no more jobs, so the next one is
-// the first.
+// last saw it. An owner that has resigned starts no jobs, so the first epoch is
+// then that of its successor.
 func (e *Entry) SetOwner(rec elect.Record) {
 	first := rec.Epoch
 	if rec.Holder == "" {
@@ -124,8 +124,8 @@
 	e.firstEpoch.Store(uint64(first))
 }
 
-// New returns an entry without a configuration. Visit refuses all calls until
-// SetPolicy is called.
+// New returns an entry without a configuration. Authorize refuses all calls
+// until SetPolicy is called.
 func New(records RecordStore, link OwnerLink, advisor Advisor, meter Meter, log *logrus.Entry) *Entry {
 	return &Entry{records: records, link: link, advisor: advisor, meter: meter, log: log}
 }
--- a/io/fakes/platform.go
+++ b/io/fakes/platform.go
@@ -18,7 +18,7 @@
 	"chicoryturn/io/store"
 )
 
-// idleInterval is the time to the next Wake of a fake that has no timer pending.
+// idleInterval is the time to the next Tick of a fake that has no timer pending.
 const idleInterval = time.Second
 
 // PlatformFaults are the faults that a test can inject into the platform.
@@ -301,7 +301,7 @@
 	Writes uint64 `json:"writes"`
 	Reads  uint64 `json:"reads"`
 	Rows   int    `json:"rows"`
-	// SentBytes and Received count bytes of HTTP bodies.
+	// SentBytes and ReceivedBytes count bytes of HTTP bodies.
 	SentBytes     uint64 `json:"sent"`
 	ReceivedBytes uint64 `json:"received"`
 }
--- a/io/fakes/proxy.go
+++ b/io/fakes/proxy.go
@@ -22,7 +22,7 @@
 	Delay string `json:"delay"`
 	// Cut holds back data in both directions; connections stay open.
 	Cut bool `json:"cut"`
-	// CutUp holds back data from the client to the server, Down data from the
+	// CutUp holds back data from the client to the server, CutDown data from the
 	// server to the client.
 	CutUp   bool `json:"up"`
 	CutDown bool `json:"down"`
--- a/io/fakes/target.go
+++ b/io/fakes/target.go
@@ -21,8 +21,8 @@
 	Ended  time.Time `json:"ended"`
 }
 
-// TargetRecord is the log of a target. Most is the largest number of requests in
-// flight; Overfull counts the requests that arrived when all slots were in use.
+// TargetRecord is the log of a target. MaxInFlight is the largest number of
+// requests in flight; Overfull counts the requests that arrived when all slots were in use.
 type TargetRecord struct {
 	Slots       int   `json:"slots"`
 	MaxInFlight int   `json:"most"`
--- a/io/fakes/worker.go
+++ b/io/fakes/worker.go
@@ -323,7 +323,7 @@
 	w.records = append(w.records, TaskRecord{w.name, t.start.Task, t.start.Team, t.start.Need, event, now})
 }
 
-// markChanged gives a run the next sequence number. The next call of Wake then
+// markChanged gives a run the next sequence number. The next call of Tick then
 // answers the long polls.
 func (w *Worker) markChanged(t *run) {
 	w.lastSeq++
--- a/io/gate/call.go
+++ b/io/gate/call.go
@@ -223,7 +223,7 @@
 
 // post sends a message to the control goroutine.
 func (c *call) post(m loop.Message) {
-	// Post fails only if the loop has stopped; it then counts no slots any more.
+	// Post fails only if the loop has stopped, and a stopped loop counts no slots.
 	_ = c.gate.loop.Post(m)
 }
 
--- a/io/gate/conn.go
+++ b/io/gate/conn.go
@@ -75,8 +75,8 @@
 }
 
 // blockWrites makes all further writes fail and reports whether nothing has been
-// written since startRequest. If so, no byte of the request can reach the target
-// any more, and the request can be sent again.
+// written since startRequest. If so, no byte of the request can reach the target,
+// and the request can be sent again.
 func (c *trackedConn) blockWrites() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -299,10 +299,10 @@
 	}
 }
 
-// ConfigChanged implements agent.Host.
+// ConfigChanged implements agent.Callbacks.
 func (g *Gate) ConfigChanged(time.Time) { g.admission.SetRules(g.Agent.Config.Rules()) }
 
-// VMsChanged implements agent.Host.
+// VMsChanged implements agent.Callbacks.
 func (g *Gate) VMsChanged(now time.Time, vms []core.VM) {
 	var targets []core.VM
 	for _, vm := range vms {
@@ -313,7 +313,7 @@
 	g.deliver(g.admission.SetTargets(now, targets))
 }
 
-// LedgerRead implements agent.Host. It grants slots that the gate now holds to
+// LedgerRead implements agent.Callbacks. It grants slots that the gate now holds to
 // waiting requests.
 func (g *Gate) LedgerRead(now time.Time) { g.deliver(g.admission.Tick(now)) }
 
--- a/io/logbuf/writer.go
+++ b/io/logbuf/writer.go
@@ -13,7 +13,7 @@
 const (
 	// maxLines is the capacity of the buffer.
 	maxLines = 2048
-	// maxWriteBytes is the size from which no more lines are added to one write.
+	// maxWriteBytes is the size of a write from which no further line is added to it.
 	maxWriteBytes = 16 << 10
 )
 
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -24,7 +24,7 @@
 	Tick(now time.Time) time.Time
 }
 
-// StoppedError reports that the loop has stopped and handles no more messages.
+// StoppedError reports that the loop has stopped and no longer handles messages.
 type StoppedError struct{}
 
 // Error implements error.
@@ -88,9 +88,9 @@
 	}
 }
 
-// handleQueued handles the messages already in the mailbox, so that Wake does not run
+// handleQueued handles the messages already in the mailbox, so that Tick does not run
 // between the messages of a burst. It handles at most mailboxSize of them, so that
-// Wake runs under constant load too.
+// Tick also runs under constant load.
 func (l *Loop) handleQueued(h Handler) {
 	for range mailboxSize {
 		select {
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -76,7 +76,7 @@
 type Lister interface {
 	owner.WorkerLister
 	// Policy reads the configuration, nil if there is none, and the version of
-	// the store to pass to Changed.
+	// the store to pass to AwaitPolicy.
 	Policy(ctx context.Context) (*policy.Policy, uint64, error)
 	// AwaitPolicy waits for a change of the configuration after a version of the
 	// store, for at most the duration wait. It returns nil if there was none,
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -484,9 +484,10 @@
 	})
 }
 
-// JobAccepted adds a stored job to the scheduler. Advising names the VM that already
-// has a request for advice on the job's first phase in flight; it may be empty.
-func (o *Owner) JobAccepted(spec jobs.Spec, advising string) {
+// JobAccepted adds a stored job to the scheduler. The parameter requester names the
+// VM that already has a request for advice on the job's first phase in flight; it may
+// be empty.
+func (o *Owner) JobAccepted(spec jobs.Spec, requester string) {
 	o.post(func(o *Owner, now time.Time) {
 		if o.scheduler == nil {
 			return
@@ -495,9 +496,9 @@
 		if o.yieldToLaterOwner(now) {
 			return
 		}
-		if id := (jobs.PhaseID{Job: spec.ID}); advising != "" {
+		if id := (jobs.PhaseID{Job: spec.ID}); requester != "" {
 			cost := o.scheduler.AdvicePending(now, id)
-			if s := o.peers.byName[advising]; s != nil && cost > 0 {
+			if s := o.peers.byName[requester]; s != nil && cost > 0 {
 				s.addRequest(now, id, cost)
 			}
 		}
--- a/io/parse/settings.go
+++ b/io/parse/settings.go
@@ -43,7 +43,8 @@
 	WorkerTTL time.Duration
 	// DrainTimeout is the longest duration of a planned stop.
 	DrainTimeout time.Duration
-	// LogLevel is the lowest level of log lines, and Form their form, text or json.
+	// LogLevel is the lowest level of log lines, and LogFormat their form, text or
+	// json.
 	LogLevel  string
 	LogFormat string
 }
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -324,21 +324,21 @@
 	}
 }
 
-// ConfigChanged implements agent.Host.
+// ConfigChanged implements agent.Callbacks.
 func (s *Sched) ConfigChanged(time.Time) {
 	for _, oc := range s.cells {
 		s.applyRules(oc)
 	}
 }
 
-// VMsChanged implements agent.Host.
+// VMsChanged implements agent.Callbacks.
 func (s *Sched) VMsChanged(now time.Time, _ []core.VM) {
 	for _, oc := range s.cells {
 		s.applyVMs(now, oc)
 	}
 }
 
-// LedgerRead implements agent.Host. It gives each cell the parts of the teams'
+// LedgerRead implements agent.Callbacks. It gives each cell the parts of the teams'
 // limits that other cells hold, and the cores of all VMs.
 func (s *Sched) LedgerRead(time.Time) {
 	fleetCores := int64(0)
--- a/io/work/work.go
+++ b/io/work/work.go
@@ -51,7 +51,7 @@
 	Run  uint64 `json:"try"`
 }
 
-// Stop orders a worker to end or throttle a task. How is a cell.StopKind.
+// Stop orders a worker to end or throttle a task. Kind is a cell.StopKind.
 type Stop struct {
 	Task string `json:"task"`
 	Kind string `json:"how"`
--- a/proof/call_test.go
+++ b/proof/call_test.go
@@ -34,7 +34,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	ctx := context.Background()
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
@@ -56,8 +56,8 @@
 				if i%2 == 0 {
 					queue, team = "angle", "press"
 				}
-				res := r.Caller(team).Call(ctx, gate.callers, queue, fmt.Sprintf("%d-%d", i, n), 10*ms, nil)
-				r.AddResult(res)
+				res := d.Caller(team).Call(ctx, gate.callers, queue, fmt.Sprintf("%d-%d", i, n), 10*ms, nil)
+				d.AddResult(res)
 				if res.Err != nil || res.Status != http.StatusOK {
 					mu.Lock()
 					failures[fmt.Sprintf("%d %s %s %v", res.Status, res.Code, res.Body, res.Err)]++
@@ -76,13 +76,13 @@
 		f.eventually(e.name+" is ready again", func() error { return checkReady(e.ops) })
 		f.setInRotation(e, true)
 	}
-	is.NoErr(r.RunWorkload(ctx, batchLoad(time.Second)))
+	is.NoErr(d.RunWorkload(ctx, batchLoad(time.Second)))
 	close(stop)
 	callers.Wait()
 	for failure, n := range failures {
 		t.Errorf("%d times: %s", n, failure)
 	}
-	f.checkInvariants(r)
+	f.checkInvariants(d)
 }
 
 // checkReady returns an error unless the process reports that it is ready.
@@ -124,7 +124,7 @@
 func TestTargetFaults(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	ctx := context.Background()
 	n := 0
 	for _, queue := range []core.Queue{"fit", "angle"} {
@@ -140,15 +140,15 @@
 					if queue == "angle" {
 						team = "press"
 					}
-					res := r.Caller(team).Call(ctx, f.gates[i%3].callers, queue, fmt.Sprintf("r%d", n), ms, header)
-					r.AddResult(res)
+					res := d.Caller(team).Call(ctx, f.gates[i%3].callers, queue, fmt.Sprintf("r%d", n), ms, header)
+					d.AddResult(res)
 					f.checkAnswer(res, breakMode)
 				}
 			}
 		}
 	}
-	f.checkInvariants(r)
-	f.checkNotExecuted(r)
+	f.checkInvariants(d)
+	f.checkNotExecuted(d)
 }
 
 // checkAnswer checks that the answer is complete if and only if the target was not
@@ -170,7 +170,7 @@
 
 // checkNotExecuted fails the test if a target has received a request that was
 // reported as not run.
-func (f *fleet) checkNotExecuted(r *demo.Driver) {
+func (f *fleet) checkNotExecuted(d *demo.Driver) {
 	f.t.Helper()
 	received := core.NewSet[string]()
 	for _, target := range f.TargetRecords() {
@@ -178,7 +178,7 @@
 			received.Add(hit.ID)
 		}
 	}
-	for _, res := range r.Results() {
+	for _, res := range d.Results() {
 		if res.Execution == core.NotExecuted && received.Has(res.ID) {
 			f.t.Errorf("request %s was reported as not run, but a target received it", res.ID)
 		}
@@ -201,8 +201,8 @@
 		}
 	}
 	is.NoErr(f.setVMs())
-	r := f.openRun()
-	key := r.Caller("press").Key
+	d := f.openDriver()
+	key := d.Caller("press").Key
 	for i, method := range []string{http.MethodGet, http.MethodPost, http.MethodGet, http.MethodPost} {
 		req, err := http.NewRequest(method, fmt.Sprintf("http://%s/call/angle/x", f.gates[0].callers), nil)
 		is.NoErr(err)
@@ -274,10 +274,10 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	ctx := context.Background()
 	header := http.Header{"Idempotency-Key": {"angle-7"}}
-	caller := r.Caller("press")
+	caller := d.Caller("press")
 	first := make(chan demo.Result, 1)
 	go func() { first <- caller.Call(ctx, f.gates[0].callers, "angle", "one", 1500*ms, header) }()
 	f.eventually("a target has received the request", func() error {
@@ -301,9 +301,9 @@
 	res = caller.Call(ctx, f.gates[1].callers, "angle", "two", ms, http.Header{"Idempotency-Key": {"angle-8"}})
 	is.Equal(res.Execution, core.NotExecuted)
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
-	r.AddResult(res)
-	f.checkNotExecuted(r)
-	f.checkInvariants(r)
+	d.AddResult(res)
+	f.checkNotExecuted(d)
+	f.checkInvariants(d)
 }
 
 // TestGateKilled kills and pauses gates under load and checks that slots and limits
@@ -318,7 +318,7 @@
 				{Queue: "fit", Team: "pewter", Interval: 8 * ms, WorkTime: 300 * ms},
 				{Queue: "angle", Team: "press", Interval: 8 * ms, WorkTime: 200 * ms},
 			}}
-			r := f.runWithFaults(load, func() {
+			d := f.runWithFaults(load, func() {
 				f.gates[0].kill()
 				sleep(time.Second)
 				f.gates[0].start()
@@ -327,7 +327,7 @@
 				sleep(3 * time.Second)
 				f.gates[1].resume()
 			})
-			f.checkNotExecuted(r)
+			f.checkNotExecuted(d)
 		})
 	}
 }
--- a/proof/chaos_test.go
+++ b/proof/chaos_test.go
@@ -63,10 +63,10 @@
 	load := batchLoad(*chaosDuration)
 	load.Seed = *chaosSeed
 	load.Requests = requestLoad(*chaosDuration).Requests
-	r := f.openRun()
+	d := f.openDriver()
 	done := make(chan error, 1)
 	began := time.Now()
-	go func() { done <- r.SendWorkload(context.Background(), load) }()
+	go func() { done <- d.SendWorkload(context.Background(), load) }()
 	for time.Since(began) < *chaosDuration-2*time.Second {
 		first, second := f.randomFault(rng), f.randomFault(rng)
 		t.Logf("%s: %s; %s", time.Since(began).Round(100*ms), first.name, second.name)
@@ -85,12 +85,12 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if err := r.WaitJobs(context.Background()); err != nil {
+	if err := d.WaitJobs(context.Background()); err != nil {
 		t.Error(err)
 	}
-	f.checkInvariants(r)
-	f.checkNotExecuted(r)
-	logResults(t, r)
+	f.checkInvariants(d)
+	f.checkNotExecuted(d)
+	logResults(t, d)
 }
 
 // restoreProcesses starts or resumes every gate and sched that is still down: when
@@ -107,10 +107,10 @@
 }
 
 // logResults logs how many requests had each outcome.
-func logResults(t *testing.T, r *demo.Driver) {
+func logResults(t *testing.T, d *demo.Driver) {
 	t.Helper()
 	counts := map[string]int{}
-	for _, res := range r.Results() {
+	for _, res := range d.Results() {
 		counts[fmt.Sprintf("%d run=%s %s", res.Status, res.Execution, res.Code)]++
 	}
 	t.Logf("requests: %v", counts)
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -47,7 +47,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	f.openRun()
+	f.openDriver()
 	var config httpx.Config
 	is.NoErr(get(f.gates[0].ops, "/config", &config))
 	f.eventually("all processes have the same version", func() error {
@@ -80,7 +80,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	f.openRun()
+	f.openDriver()
 	for range 3 {
 		is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{LostReplies: 3}))
 		resp, err := httpClient.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
@@ -101,7 +101,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	f.openRun()
+	f.openDriver()
 	var before httpx.Config
 	is.NoErr(get(f.gates[0].ops, "/config", &before))
 	began := time.Now()
@@ -133,9 +133,9 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	ctx := context.Background()
-	caller := r.Caller("pewter")
+	caller := d.Caller("pewter")
 	id := caller.Key[:16]
 	// No process can reach the store, so no key can have been withdrawn.
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
@@ -174,7 +174,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	for range 530 {
 		resp, err := httpClient.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
 		is.NoErr(err)
@@ -206,7 +206,7 @@
 		}
 		return checkReady(f.gates[2].ops)
 	})
-	res := r.Caller("pewter").Call(context.Background(), f.gates[2].callers, "fit", "after", ms, nil)
+	res := d.Caller("pewter").Call(context.Background(), f.gates[2].callers, "fit", "after", ms, nil)
 	is.NoErr(res.Err)
 	is.Equal(res.Status, http.StatusOK)
 }
--- a/proof/deployment_test.go
+++ b/proof/deployment_test.go
@@ -48,10 +48,10 @@
 		t.Run(p.Name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, smallPlan(p))
-			r := f.openRun()
-			is.NoErr(r.RunWorkload(context.Background(), mixedLoad(p.Name)))
-			f.checkInvariants(r)
-			for q, n := range r.Refused() {
+			d := f.openDriver()
+			is.NoErr(d.RunWorkload(context.Background(), mixedLoad(p.Name)))
+			f.checkInvariants(d)
+			for q, n := range d.Refused() {
 				t.Errorf("queue %s: %d refused", q, n)
 			}
 		})
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -380,21 +380,21 @@
 	return addrs
 }
 
-// openRun waits until the fleet serves requests, pushes the plan's rules and grants
+// openDriver waits until the fleet serves requests, pushes the plan's rules and grants
 // a key to each team.
-func (f *fleet) openRun() *demo.Driver {
+func (f *fleet) openDriver() *demo.Driver {
 	f.t.Helper()
-	r, err := demo.Open(context.Background(), f, f.addresses(), f.plan)
+	d, err := demo.Open(context.Background(), f, f.addresses(), f.plan)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	return r
+	return d
 }
 
 // checkInvariants reports every violated invariant as a test failure.
-func (f *fleet) checkInvariants(r *demo.Driver) {
+func (f *fleet) checkInvariants(d *demo.Driver) {
 	f.t.Helper()
-	for _, violation := range r.Violations() {
+	for _, violation := range d.Violations() {
 		if violation.Invariant == check.LostTask && f.recordsLost {
 			continue
 		}
--- a/proof/input_test.go
+++ b/proof/input_test.go
@@ -32,12 +32,12 @@
 	resp, err := httpClient.Post("http://"+f.platform.String()+"/txn", "", bytes.NewReader(body))
 	is.NoErr(err)
 	_ = resp.Body.Close()
-	r := f.openRun()
-	result := r.Caller("pewter").Call(context.Background(), f.gates[0].callers, "fit", "one", ms, nil)
+	d := f.openDriver()
+	result := d.Caller("pewter").Call(context.Background(), f.gates[0].callers, "fit", "one", ms, nil)
 	is.NoErr(result.Err)
 	is.Equal(result.Status, http.StatusOK)
-	is.NoErr(r.RunWorkload(context.Background(), batchLoad(500*ms)))
-	f.checkInvariants(r)
+	is.NoErr(d.RunWorkload(context.Background(), batchLoad(500*ms)))
+	f.checkInvariants(d)
 }
 
 // TestBadInput sends each kind of invalid input to a gate, and checks the status
@@ -46,7 +46,7 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	key := f.openRun().Caller("foundry").Key
+	key := f.openDriver().Caller("foundry").Key
 	gateAddr := f.gates[0].callers.String()
 	tests := map[string]struct {
 		method, path, key, body string
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -21,9 +21,9 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	ctx := context.Background()
-	id, err := r.Caller("office").Submit(ctx, f.gates[0].callers, gate.JobRequest{
+	id, err := d.Caller("office").Submit(ctx, f.gates[0].callers, gate.JobRequest{
 		Queue: "sweep", Tasks: []gate.TaskRequest{{Count: 30, Cores: 2, Memory: 64, Run: "6s", Command: "sleep 6s"}},
 	})
 	is.NoErr(err)
@@ -45,7 +45,7 @@
 	f.eventually("the team runs at most 20 cores", func() error { return checkValue(usedCores(), func(n int64) bool { return n <= 20000 }) })
 	t.Logf("the team is within the new limit after %s", time.Since(began).Round(10*ms))
 	f.eventually("the job is done", func() error {
-		job, err := r.Caller("office").Job(ctx, f.gates[0].callers, id)
+		job, err := d.Caller("office").Job(ctx, f.gates[0].callers, id)
 		if err == nil && job.State != "done" {
 			err = fmt.Errorf("%d of %d done", job.Done, job.Tasks)
 		}
@@ -67,16 +67,16 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	load := demo.Workload{Duration: 3 * time.Second, Seed: 9, Requests: []demo.RequestStream{
 		{Queue: "fit", Team: "office", Interval: 8 * ms, WorkTime: 300 * ms},
 		{Queue: "fit", Team: "pewter", Interval: 100 * ms, WorkTime: 20 * ms},
 	}}
-	is.NoErr(r.RunWorkload(context.Background(), load))
-	f.checkInvariants(r)
-	f.checkNotExecuted(r)
+	is.NoErr(d.RunWorkload(context.Background(), load))
+	f.checkInvariants(d)
+	f.checkNotExecuted(d)
 	served := map[string]int{}
-	for _, res := range r.Results() {
+	for _, res := range d.Results() {
 		if res.Status == http.StatusOK {
 			served[string(res.Team)]++
 		}
--- a/proof/owner_test.go
+++ b/proof/owner_test.go
@@ -65,16 +65,16 @@
 // work has ended, and checks all invariants.
 func (f *fleet) runWithFaults(load demo.Workload, faults func()) *demo.Driver {
 	f.t.Helper()
-	run := f.openRun()
+	d := f.openDriver()
 	done := make(chan error, 1)
-	go func() { done <- run.RunWorkload(context.Background(), load) }()
+	go func() { done <- d.RunWorkload(context.Background(), load) }()
 	sleep(500 * ms)
 	faults()
 	if err := <-done; err != nil {
 		f.t.Error(err)
 	}
-	f.checkInvariants(run)
-	return run
+	f.checkInvariants(d)
+	return d
 }
 
 // sleep lets a fault last for a time. No check depends on the exact duration.
@@ -140,7 +140,7 @@
 	}
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()), directPeers)
-	r := f.openRun()
+	d := f.openDriver()
 	ctx := context.Background()
 	owner := f.awaitOwner(0)
 	// otherSched is killed just before the outage, so that its session has not yet
@@ -153,7 +153,7 @@
 	load := demo.Workload{Duration: 100 * ms, Seed: 3, Jobs: []demo.JobStream{
 		{Queue: "cure", Team: "foundry", Interval: time.Second, TasksPerJob: 15 * int(outage/time.Second), Cores: 8, Memory: 1024, RunTime: time.Second},
 	}}
-	is.NoErr(r.SendWorkload(ctx, load))
+	is.NoErr(d.SendWorkload(ctx, load))
 	otherSched.kill()
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{Down: true}))
 	before := countStarts(f)
@@ -171,8 +171,8 @@
 	is.Equal(current.entry, owner.entry) // the cell still has the same owner
 	owner.entry.kill()
 	f.awaitOwner(owner.epoch)
-	is.NoErr(r.WaitJobs(ctx))
-	f.checkInvariants(r)
+	is.NoErr(d.WaitJobs(ctx))
+	f.checkInvariants(d)
 }
 
 // countStarts returns how many tasks all workers have started.
--- a/proof/remote_test.go
+++ b/proof/remote_test.go
@@ -24,11 +24,11 @@
 	f := newFleet(t, p)
 	hobart, burnie := f.gates[0], f.gates[1]
 	is.Equal(hobart.region, "hobart")
-	r := f.openRun()
+	d := f.openDriver()
 	ctx := context.Background()
 	call := func(e *entry, n int, work time.Duration) demo.Result {
-		res := r.Caller("pewter").Call(ctx, e.callers, "fit", fmt.Sprintf("far%d", n), work, nil)
-		r.AddResult(res)
+		res := d.Caller("pewter").Call(ctx, e.callers, "fit", fmt.Sprintf("far%d", n), work, nil)
+		d.AddResult(res)
 		return res
 	}
 	// Queue fit has one target in each region: target0 in hobart, target1 in burnie.
@@ -52,6 +52,6 @@
 		}
 		return fmt.Errorf("the request was answered in its own region")
 	})
-	f.checkInvariants(r)
-	f.checkNotExecuted(r)
+	f.checkInvariants(d)
+	f.checkNotExecuted(d)
 }
--- a/proof/task_test.go
+++ b/proof/task_test.go
@@ -89,12 +89,12 @@
 	return dumps
 }
 
-// TestFailingWorkerIsExcluded checks that a worker on which all tasks fail soon
-// gets no more tasks, and that it gets tasks again once it has recovered.
+// TestFailingWorkerIsExcluded checks that a worker on which all tasks fail is
+// soon excluded from placement, and that it gets tasks again once it has recovered.
 func TestFailingWorkerIsExcluded(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	if err := f.setWorkerFaults(0, fakes.WorkerFaults{FailAll: true}); err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 		}
 	}
 	done := make(chan error, 1)
-	go func() { done <- r.RunWorkload(context.Background(), batchLoad(14*time.Second)) }()
+	go func() { done <- d.RunWorkload(context.Background(), batchLoad(14*time.Second)) }()
 	f.eventually("the worker is excluded", healthIs("aside"))
 	if err := f.setWorkerFaults(0, fakes.WorkerFaults{}); err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	f.checkInvariants(r)
+	f.checkInvariants(d)
 }
 
 // TestMassCancellation cancels 40 jobs with 2000 tasks in total. All of them must
@@ -129,9 +129,9 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	ctx := context.Background()
-	caller := r.Caller("pewter")
+	caller := d.Caller("pewter")
 	gateAddr := f.gates[0].callers
 	var ids []string
 	for range 40 {
@@ -155,8 +155,8 @@
 		})
 	}
 	t.Logf("2000 tasks were cancelled within %s", time.Since(began).Round(10*ms))
-	is.NoErr(r.RunWorkload(ctx, batchLoad(time.Second)))
-	f.checkInvariants(r)
+	is.NoErr(d.RunWorkload(ctx, batchLoad(time.Second)))
+	f.checkInvariants(d)
 }
 
 // TestUnplaceableJob checks that a job that can never run is refused when it is
@@ -165,8 +165,8 @@
 	t.Parallel()
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
-	_, err := r.Caller("foundry").Submit(context.Background(), f.gates[0].callers, gate.JobRequest{
+	d := f.openDriver()
+	_, err := d.Caller("foundry").Submit(context.Background(), f.gates[0].callers, gate.JobRequest{
 		Queue: "cure", Tasks: []gate.TaskRequest{{Cores: 17, Memory: 1, Command: "sleep 1s"}},
 	})
 	var refused *core.RefusalError
@@ -181,22 +181,22 @@
 func TestGangs(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, smallPlan(deploy.Glaze()))
-	r := f.openRun()
+	d := f.openDriver()
 	load := demo.Workload{Duration: 3 * time.Second, Seed: 5, Jobs: []demo.JobStream{
 		{Queue: "mould", Team: "wick", Interval: time.Second, TasksPerJob: 5, Cores: 14, Memory: 1024, RunTime: 300 * ms},
 		{Queue: "mould", Team: "tallow", Interval: time.Second, TasksPerJob: 4, Cores: 15, Memory: 1024, RunTime: 300 * ms},
 		{Queue: "sweep", Team: "pewter", Interval: 150 * ms, TasksPerJob: 6, Cores: 3, Memory: 1024, RunTime: 400 * ms},
 	}}
-	if err := r.RunWorkload(context.Background(), load); err != nil {
+	if err := d.RunWorkload(context.Background(), load); err != nil {
 		t.Error(err)
 	}
-	f.checkInvariants(r)
-	f.checkGangOverlap(r, "mould")
+	f.checkInvariants(d)
+	f.checkGangOverlap(d, "mould")
 }
 
 // checkGangOverlap fails the test if a task of a gang started after another task of
 // it had ended.
-func (f *fleet) checkGangOverlap(r *demo.Driver, queue string) {
+func (f *fleet) checkGangOverlap(d *demo.Driver, queue string) {
 	f.t.Helper()
 	firstStart, lastStart, firstEnd := map[core.JobID]time.Time{}, map[core.JobID]time.Time{}, map[core.JobID]time.Time{}
 	for _, worker := range f.WorkerRecords() {
@@ -214,7 +214,7 @@
 			}
 		}
 	}
-	for _, id := range r.AcceptedJobs(core.Queue(queue)) {
+	for _, id := range d.AcceptedJobs(core.Queue(queue)) {
 		if job := core.JobID(id); !lastStart[job].Before(firstEnd[job]) {
 			f.t.Errorf("gang %s: a task started at %s, after another task had ended at %s", job, lastStart[job], firstEnd[job])
 		}
