--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -85,7 +85,7 @@
 	// Truncated means that the answer broke off after a part of it had been
 	// passed on to the caller.
 	Truncated Outcome = "cut"
-	// Abandoned means that the caller disconnected before the slot was granted,
+	// Abandoned means that the caller had disconnected when the slot was granted,
 	// so nothing was sent.
 	Abandoned Outcome = "drop"
 )
@@ -325,7 +325,8 @@
 			if t := c.pickTarget(r); t != nil {
 				return r, t
 			}
-			// A request that excludes no target has found none: stop searching.
+			// If a request that excludes no target finds none, no other request of
+			// the service is tried.
 			if len(r.excluded) == 0 {
 				return nil, nil
 			}
@@ -334,7 +335,7 @@
 	return nil, nil
 }
 
-// weightedUsage returns a team's requests in flight in relation to its share.
+// weightedUsage returns a team's requests in flight, divided by its share.
 func (c *Controller) weightedUsage(team core.Team) float64 {
 	return float64(c.allocator.Used(CallsRow(team))) / max(c.rules.Teams[team].Share, 1)
 }
--- a/core/admit/controller_test.go
+++ b/core/admit/controller_test.go
@@ -58,9 +58,9 @@
 	return f.ctrl.Admit(f.now, admit.Request{ID: f.lastID, Team: "a", Rule: f.rule})
 }
 
-// newRule returns a queue rule; repeat allows retries of requests that may have run.
-func newRule(repeat bool) rules.Queue {
-	return rules.Queue{Name: "q", Kind: rules.Answer, Service: "s", MaxWait: time.Second, RunTimeout: time.Second, Backlog: 2, Retry: repeat}
+// newRule returns a queue rule; retry allows retries of requests that may have run.
+func newRule(retry bool) rules.Queue {
+	return rules.Queue{Name: "q", Kind: rules.Answer, Service: "s", MaxWait: time.Second, RunTimeout: time.Second, Backlog: 2, Retry: retry}
 }
 
 // TestSlots checks that a free slot goes to the request that was queued first,
@@ -89,7 +89,7 @@
 // and what a request that is not retried reports about its execution.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
-		repeat    bool
+		retry     bool
 		outcome   admit.Outcome
 		retried   bool
 		execution core.Execution
@@ -102,7 +102,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := newFixture(2, 1, newRule(tt.repeat))
+			f := newFixture(2, 1, newRule(tt.retry))
 			first, _ := f.admit()[0].Target.Get()
 			events := f.ctrl.RequestEnded(f.now, 1, tt.outcome, nil)
 			second, granted := events[0].Target.Get()
--- a/core/admit/demand.go
+++ b/core/admit/demand.go
@@ -18,10 +18,10 @@
 func (d *demand) observe(n int64) { d.peak = max(d.peak, n) }
 
 // update returns the new estimate, given the amount needed now.
-func (d *demand) update(now int64) int64 {
+func (d *demand) update(needed int64) int64 {
 	decayed := d.estimate - (d.estimate+decayDivisor-1)/decayDivisor
-	d.estimate = max(d.peak, now, decayed)
-	d.peak = now
+	d.estimate = max(d.peak, needed, decayed)
+	d.peak = needed
 	return d.estimate
 }
 
@@ -66,8 +66,8 @@
 	}
 }
 
-// updateLocalDemand sets the demand for the service's targets in this region. The
-// waiting requests count in equal parts for the live ones.
+// updateLocalDemand sets the demand for the service's targets in this region. It
+// divides the waiting requests equally among the live targets.
 func (c *Controller) updateLocalDemand(s core.Service, waiting int64) {
 	live := int64(0)
 	for _, t := range c.byService[s] {
@@ -79,11 +79,11 @@
 		if t.isRemote() {
 			continue
 		}
-		now := c.allocator.Used(t.slotsRow)
+		needed := c.allocator.Used(t.slotsRow)
 		if t.state == targetLive {
-			now += (waiting + live - 1) / live
+			needed += (waiting + live - 1) / live
 		}
-		c.allocator.SetDemand(t.slotsRow, min(t.demand.update(now), t.vm.Slots))
+		c.allocator.SetDemand(t.slotsRow, min(t.demand.update(needed), t.vm.Slots))
 	}
 }
 
@@ -95,13 +95,13 @@
 		if !t.isRemote() {
 			continue
 		}
-		now := c.allocator.Used(t.slotsRow)
+		needed := c.allocator.Used(t.slotsRow)
 		if t.state == targetLive && remoteWaiting > 0 {
 			n := min(remoteWaiting, maxRemoteSlots)
 			remoteWaiting -= n
-			now += n
+			needed += n
 		}
-		c.allocator.SetDemand(t.slotsRow, min(t.demand.update(now), t.vm.Slots))
+		c.allocator.SetDemand(t.slotsRow, min(t.demand.update(needed), t.vm.Slots))
 	}
 }
 
--- a/core/elect/election.go
+++ b/core/elect/election.go
@@ -24,15 +24,16 @@
 	RenewInterval = 700 * time.Millisecond
 	// ReadInterval is the time between two reads of another owner's record.
 	ReadInterval = 700 * time.Millisecond
-	// maxReadGap is the longest time between two successful reads after which an
-	// unchanged record counts as unchanged for the whole time between them.
+	// maxReadGap is the longest time between two successful reads of an unchanged
+	// record that adds to the record's age. A longer gap restarts the age, since
+	// the store may have been unavailable to the owner as well.
 	maxReadGap = 1500 * time.Millisecond
 	// readFailureWindow is how long after a failed read the store's clock is not
 	// used for the age of the record: while the store is unavailable, the owner
 	// may be unable to renew the record too.
 	readFailureWindow = 3 * time.Second
-	// suspendTolerance is how much the clock that counts suspended time may gain
-	// on the clock that does not before the owner must confirm its record.
+	// suspendTolerance is the longest suspension after which an owner need not
+	// confirm its record.
 	suspendTolerance = 250 * time.Millisecond
 )
 
@@ -66,7 +67,7 @@
 	VM     string
 	// Addr is where the owner answers other processes.
 	Addr netip.AddrPort
-	// Epoch numbers the owners, Beat the writes of one owner.
+	// Epoch numbers the owners, WriteNumber the writes of one owner.
 	Epoch       core.Epoch
 	WriteNumber uint64 `json:"Beat"`
 	// Stamp is the writer's estimate of the store's clock at the time of the
@@ -105,11 +106,12 @@
 	// clockSkew is the difference between the two local clocks at the last call
 	// of CheckSuspension, checkedAt the boot time at that call.
 	clockSkew, checkedAt time.Duration
-	// endedHolder names an incarnation that is known to have ended.
+	// endedHolder names an incarnation that seems to have ended.
 	endedHolder core.SessionID
 	// suspectHolder names an incarnation that does not answer this process.
 	suspectHolder core.SessionID
-	// suspended is set after a suspension until the record has been confirmed.
+	// suspended is set after a suspension or a stall until the record has been
+	// confirmed.
 	suspended bool
 }
 
@@ -222,7 +224,7 @@
 
 // MarkEnded records that an incarnation seems to have ended, so that its record
 // may be claimed without waiting for TTL. If it has not ended, the only effect
-// is a change of owner: workers obey the later epoch.
+// is a change of owner: workers refuse orders of the earlier epoch.
 func (e *Election) MarkEnded(holder core.SessionID) { e.endedHolder = holder }
 
 // MarkSuspect records that an incarnation does not answer this process. An empty
@@ -296,10 +298,10 @@
 // Drain ends the process's part in the election: it claims nothing from now on.
 func (e *Election) Drain() { e.fire(eventLeave) }
 
-// CheckSuspension compares bootTime, which counts suspended time, with monotonic,
-// which does not. It reports whether orders may be sent. After a suspension, or if
-// the process was stopped for so long that others may have claimed, an owner must
-// confirm its record first.
+// CheckSuspension reports whether orders may be sent. An owner must first confirm
+// its record if its process was suspended, or stalled for so long that others may
+// have claimed the record. bootTime is a clock that counts suspended time,
+// monotonic one that does not.
 func (e *Election) CheckSuspension(bootTime, monotonic time.Duration) bool {
 	skew := bootTime - monotonic
 	stalled := e.checkedAt > 0 && bootTime-e.checkedAt > SuspectTTL
@@ -311,5 +313,5 @@
 }
 
 // Suspended reports whether the owner must confirm its record after a suspension
-// or a stop.
+// or a stall.
 func (e *Election) Suspended() bool { return e.suspended }
--- a/core/elect/election_test.go
+++ b/core/elect/election_test.go
@@ -29,8 +29,8 @@
 }
 
 // otherRecord is the ownership record of another process.
-func otherRecord(beat int) elect.Record {
-	return elect.Record{Holder: "vm-b/1", VM: "vm-b", Epoch: 3, WriteNumber: uint64(beat)}
+func otherRecord(writeNumber int) elect.Record {
+	return elect.Record{Holder: "vm-b/1", VM: "vm-b", Epoch: 3, WriteNumber: uint64(writeNumber)}
 }
 
 func TestClaimWithoutRecord(t *testing.T) {
@@ -113,8 +113,8 @@
 
 // TestStamp checks that one read is enough for a claim if the record is old by the
 // store's clock. Cases: the age of the record by that clock, whether a read has
-// failed within the last seconds, whether the holder is suspected, and whether the
-// process must claim.
+// failed 1 s before, whether the holder is suspected, and whether the process must
+// claim.
 func TestStamp(t *testing.T) {
 	for name, c := range map[string]struct {
 		age             time.Duration
@@ -165,8 +165,8 @@
 	is.True(e.CheckSuspension(7*time.Second, 4*time.Second))
 }
 
-// TestStall checks an owner that was stopped while both clocks advanced: other
-// processes may have claimed meanwhile, so it must confirm its record.
+// TestStall checks that an owner whose process stalled while both clocks advanced
+// must confirm its record, since other processes may have claimed meanwhile.
 func TestStall(t *testing.T) {
 	is := is.New(t)
 	e, rec := newOwner()
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-// DriftPercent is the largest difference in rate between two clocks.
+// DriftPercent is the largest expected difference in rate between two clocks, in
+// percent.
 const DriftPercent = 5
 
 // Lease is a right that its holder must renew.
@@ -12,7 +13,7 @@
 	// renewedAt is when the newest successful renewal was sent, not when it was
 	// answered.
 	renewedAt time.Time
-	// until is moved back only by Release.
+	// until is when the lease ends; only Release makes it earlier.
 	until time.Time
 	// checkedAt is the time of the last call of Valid.
 	checkedAt time.Time
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -19,7 +19,7 @@
 	Total int64
 	// Parts holds the amount that each holder may use; zero parts are absent.
 	Parts map[Holder]int64
-	// Wants holds the amount that each holder would use now; zero wants are absent.
+	// Wants holds the demand of each holder; zero demands are absent.
 	Wants map[Holder]int64
 }
 
@@ -45,27 +45,27 @@
 	return r.Total - sum
 }
 
-// fairPart returns the holder's part under max-min fairness, given all wants.
+// fairPart returns the holder's part under max-min fairness, given all demands.
 func (r Row) fairPart(h Holder) int64 {
-	type want struct {
+	type demand struct {
 		holder Holder
 		amount int64
 	}
-	wants := make([]want, 0, len(r.Wants))
+	demands := make([]demand, 0, len(r.Wants))
 	for holder, n := range r.Wants {
-		wants = append(wants, want{holder, n})
+		demands = append(demands, demand{holder, n})
 	}
-	sort.Slice(wants, func(i, j int) bool {
-		if wants[i].amount != wants[j].amount {
-			return wants[i].amount < wants[j].amount
+	sort.Slice(demands, func(i, j int) bool {
+		if demands[i].amount != demands[j].amount {
+			return demands[i].amount < demands[j].amount
 		}
-		return wants[i].holder < wants[j].holder
+		return demands[i].holder < demands[j].holder
 	})
 	left := r.Total
-	for i, w := range wants {
-		n := int64(len(wants) - i)
-		part := min(w.amount, (left+n-1)/n)
-		if w.holder == h {
+	for i, d := range demands {
+		n := int64(len(demands) - i)
+		part := min(d.amount, (left+n-1)/n)
+		if d.holder == h {
 			return part
 		}
 		left -= part
@@ -73,7 +73,7 @@
 	return 0
 }
 
-// contended reports whether the holders together want more than the total.
+// contended reports whether the demands of all holders exceed the total.
 func (r Row) contended() bool {
 	sum := int64(0)
 	for _, n := range r.Wants {
@@ -91,13 +91,13 @@
 	total int64
 	// held is the part that the store is known to grant. It is lowered before
 	// a write that returns a part and raised only after a write is confirmed.
-	held int64
-	used int64
-	want int64
+	held   int64
+	used   int64
+	demand int64
 	// malformed is set while the stored row does not parse; held is then zero.
 	malformed bool
-	// slack is the unused amount that the holder keeps while no other holder
-	// wants it.
+	// slack is the unused amount that the holder keeps while the row is not
+	// contended.
 	slack int64
 }
 
@@ -172,7 +172,7 @@
 	if row.unallocated() >= 0 {
 		return 0
 	}
-	setAmount(row.Wants, l.holder, max(e.want, e.used))
+	setAmount(row.Wants, l.holder, max(e.demand, e.used))
 	return max(0, e.used-row.fairPart(l.holder))
 }
 
@@ -193,17 +193,18 @@
 }
 
 // Use adds n to the holder's use of a row; a negative n ends use. The caller must
-// check Available first, except for use that it found already running.
+// check Available first, except to count work that is already running.
 func (l *Ledger) Use(name string, n int64) { l.entry(name).used += n }
 
-// SetDemand sets how much of a row the holder could use now, including what it
-// already uses.
-func (l *Ledger) SetDemand(name string, n int64) { l.entry(name).want = n }
+// SetDemand sets the holder's demand: how much of a row it could use now, including
+// what it already uses.
+func (l *Ledger) SetDemand(name string, n int64) { l.entry(name).demand = n }
 
-// NeedsMore reports whether the holder wants more of any row than it holds.
+// NeedsMore reports whether the demand for any row exceeds the part held, and the
+// total allows a larger part.
 func (l *Ledger) NeedsMore() bool {
 	for _, e := range l.entries {
-		if e.want > e.held && e.held < e.total {
+		if e.demand > e.held && e.held < e.total {
 			return true
 		}
 	}
@@ -231,8 +232,8 @@
 }
 
 // MarkMalformed records that a stored row does not parse. The ledger neither uses
-// nor writes the row until it parses again, so that it does not block the writes
-// of other rows.
+// nor writes the row until it parses again, so that the malformed row does not
+// block the writes of other rows.
 func (l *Ledger) MarkMalformed(name string) {
 	e := l.entry(name)
 	e.malformed, e.held = true, 0
@@ -259,36 +260,35 @@
 	return out
 }
 
-// planRow returns the row that the holder wants to be stored, and whether it is
-// worth a write.
+// planRow returns the row that should be stored, and whether it is worth a write.
 func (l *Ledger) planRow(e *entry) (Row, bool) {
 	row := e.row.Clone()
 	row.Total = e.total
-	want := max(e.want, e.used)
+	demand := max(e.demand, e.used)
 	if e.total == 0 {
-		want = e.used
+		demand = e.used
 	}
-	setAmount(row.Wants, l.holder, want)
-	part := l.desiredPart(e, row, want)
+	setAmount(row.Wants, l.holder, demand)
+	part := l.desiredPart(e, row, demand)
 	setAmount(row.Parts, l.holder, part)
-	unmetWantChanged := part < want && e.row.Wants[l.holder] != want
-	changed := part != e.held || row.Total != e.row.Total || unmetWantChanged ||
-		wantNeedsWrite(e.row.Wants[l.holder], want, row.contended())
+	unmetDemandChanged := part < demand && e.row.Wants[l.holder] != demand
+	changed := part != e.held || row.Total != e.row.Total || unmetDemandChanged ||
+		demandNeedsWrite(e.row.Wants[l.holder], demand, row.contended())
 	return row, changed
 }
 
 // desiredPart returns the part that the holder should have now: in a contended row
-// its fair part, otherwise what it wants, with up to its slack on top.
-func (l *Ledger) desiredPart(e *entry, row Row, want int64) int64 {
+// its fair part, otherwise its demand plus at most its slack.
+func (l *Ledger) desiredPart(e *entry, row Row, demand int64) int64 {
 	others := len(row.Wants)
 	if _, ok := row.Wants[l.holder]; ok {
 		others--
 	}
 	free := row.unallocated()
 	if !row.contended() && free >= 0 {
-		part := want
+		part := demand
 		if others == 0 || free > 0 {
-			part = max(want, min(e.held, want+e.slack), min(e.slack, e.held+free))
+			part = max(demand, min(e.held, demand+e.slack), min(e.slack, e.held+free))
 		}
 		return max(e.used, min(part, e.held+free))
 	}
@@ -300,17 +300,17 @@
 	return max(e.used, min(fair, e.held+free))
 }
 
-// wantNeedsWrite reports whether a changed want alone is worth a write. Only the
-// holders of a contended row need to know each other's wants, and they need not
-// know of changes of up to a quarter.
-func wantNeedsWrite(old, now int64, contended bool) bool {
-	if old == now {
+// demandNeedsWrite reports whether a changed demand alone is worth a write. Only
+// the holders of a contended row need to know each other's demands, and they need
+// not know of changes of up to a quarter.
+func demandNeedsWrite(stored, demand int64, contended bool) bool {
+	if stored == demand {
 		return false
 	}
-	if (old == 0) != (now == 0) {
+	if (stored == 0) != (demand == 0) {
 		return contended
 	}
-	return contended && (now > old+old/4 || now < old-old/4)
+	return contended && (demand > stored+stored/4 || demand < stored-stored/4)
 }
 
 // setAmount sets a holder's amount; zero amounts are deleted.
@@ -337,7 +337,7 @@
 	}
 }
 
-// Reclaim returns a row without the part and the want of a holder that is known
+// Reclaim returns a row without the part and the demand of a holder that is known
 // to use nothing any more, and whether the row had any.
 func Reclaim(row Row, h Holder) (Row, bool) {
 	_, hasPart := row.Parts[h]
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -79,7 +79,7 @@
 	})
 }
 
-// TestUnusedPartMoves checks that an unused part moves to a holder that wants it.
+// TestUnusedPartMoves checks that an unused part moves to a holder with demand for it.
 func TestUnusedPartMoves(t *testing.T) {
 	s := &store{row: ledger.Row{}}
 	a, b := ledger.New("a"), ledger.New("b")
@@ -97,7 +97,7 @@
 	a.SetDemand("r", 8)
 	round(a)
 	if a.Held("r") != 8 {
-		t.Fatalf("a as the only holder has %d of 8", a.Held("r"))
+		t.Fatalf("a is the only holder and holds %d, want 8", a.Held("r"))
 	}
 	a.SetDemand("r", 0)
 	b.SetDemand("r", 6)
@@ -106,6 +106,6 @@
 		round(a)
 	}
 	if b.Held("r") < 6 {
-		t.Fatalf("b wants 6 and has %d", b.Held("r"))
+		t.Fatalf("b holds %d, want at least its demand of 6", b.Held("r"))
 	}
 }
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -38,21 +38,22 @@
 	// renewalsPerTTL is how many renewals are attempted within the lease time.
 	renewalsPerTTL = 3
 	// maxPeerRenewalTTLs bounds, in lease times, how long peers may renew the
-	// session of a process that does not reach the store itself.
+	// session of a process that does not reach the store itself. After that, the
+	// process resigns so that scheds that reach the store can claim its cells.
 	maxPeerRenewalTTLs = 1
-	// evictSilentAfter is how long a sched that owns no cell may be silent before
+	// deleteSilentAfter is how long a sched that owns no cell may be silent before
 	// its session is deleted.
-	evictSilentAfter = 10 * time.Second
-	// minBeatsSinceJoin is how many renewals of an owner must have been seen since
+	deleteSilentAfter = 10 * time.Second
+	// minRenewalsSinceJoin is how many renewals of an owner must have been seen since
 	// this process joined before the owner is certain to know of this process, and
 	// so to ask it for a promise.
-	minBeatsSinceJoin = 2
+	minRenewalsSinceJoin = 2
 )
 
 // Session is the stored row of a session.
 type Session struct {
 	Process core.Process
-	// Renewals counts the renewals.
+	// Renewals is how often the process has renewed the row.
 	Renewals uint64 `json:"Beat"`
 	// Config is the version of the configuration in force in the process.
 	Config core.Version
@@ -94,11 +95,11 @@
 	version uint64
 	// seenAt is when this version of the session row was first read.
 	seenAt time.Time
-	// joinBeat is the peer's beat at the time when this process joined.
-	joinBeat      uint64
-	liveness      Liveness
-	probedAt      time.Time
-	probeInFlight bool
+	// renewalsAtJoin is the peer's Renewals at the time when this process joined.
+	renewalsAtJoin uint64
+	liveness       Liveness
+	probedAt       time.Time
+	probeInFlight  bool
 	// deadSince is when the process was found dead, or zero.
 	deadSince time.Time
 }
@@ -159,7 +160,7 @@
 	state       chart.State
 	// sessionVersion is the version of this process's session row.
 	sessionVersion uint64
-	beat           uint64
+	renewals       uint64
 	config         core.Version
 	peers          map[core.SessionID]*peer
 	cells          map[core.CellID]*cellEntry
@@ -180,7 +181,7 @@
 	hasScanned   bool
 	nextRenew    time.Time
 	nextScan     time.Time
-	// round is the latest round of AskHold requests since the last renewal.
+	// round is the latest round of RenewOrPromise requests since the last renewal.
 	round         *peerRound
 	pendingResign core.Option[Resign]
 	// refusals holds the errors of chart events refused in their state.
@@ -271,7 +272,7 @@
 func (m *Member) startIncarnation() {
 	m.rejoinCount++
 	m.self.ID = core.SessionID(fmt.Sprintf("%s.%d", m.baseID, m.rejoinCount))
-	m.sessionVersion, m.beat, m.renewalInFlight, m.hasScanned, m.round = 0, 0, false, false, nil
+	m.sessionVersion, m.renewals, m.renewalInFlight, m.hasScanned, m.round = 0, 0, false, false, nil
 }
 
 // Drain begins a planned stop.
@@ -279,13 +280,13 @@
 
 // Row returns the session row of the next renewal.
 func (m *Member) Row() Session {
-	return Session{Process: m.self, Renewals: m.beat + 1, Config: m.config, Leaving: m.state == sessionLeaving}
+	return Session{Process: m.self, Renewals: m.renewals + 1, Config: m.config, Leaving: m.state == sessionLeaving}
 }
 
 // Renewed handles a successful write of the session row.
 func (m *Member) Renewed(now, sent time.Time, version uint64) {
 	m.renewalInFlight = false
-	m.beat++
+	m.renewals++
 	m.sessionVersion = version
 	m.storeReachedAt = sent
 	m.round = nil
@@ -327,11 +328,11 @@
 		}
 		p := m.peers[id]
 		if p == nil {
-			p = &peer{joinBeat: s.Renewals}
+			p = &peer{renewalsAtJoin: s.Renewals}
 			m.peers[id] = p
 		}
 		if m.joinedAt.IsZero() {
-			p.joinBeat = s.Renewals
+			p.renewalsAtJoin = s.Renewals
 		}
 		if p.version != version {
 			p.session, p.version, p.seenAt = s, version, now
@@ -360,7 +361,7 @@
 	if m.renewalInFlight || version < m.sessionVersion {
 		return
 	}
-	m.sessionVersion, m.beat = version, s.Renewals
+	m.sessionVersion, m.renewals = version, s.Renewals
 }
 
 // observeClaim records a claim row as read by a scan.
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -93,8 +93,8 @@
 	for _, cells := range []int{2, 3, 4, 5, 6} {
 		is := is.New(t)
 		f := newFixture(is, cells)
-		// The owner writes each claim row, as it does after a journal snapshot,
-		// after the scan that showed the claim.
+		// The owner rewrites each claim row, as it does after a journal snapshot.
+		// No scan has returned these writes yet.
 		for id, c := range f.claims {
 			c.Version = f.nextVersion()
 			f.claims[id] = c
--- a/core/member/outage.go
+++ b/core/member/outage.go
@@ -7,7 +7,7 @@
 	"chicoryturn/core/lease"
 )
 
-// Answer is a peer's answer to AskHold.
+// Answer is a peer's answer to RenewOrPromise.
 type Answer struct {
 	// Renewed is set when the peer has renewed the session row in the store.
 	Renewed bool
@@ -48,11 +48,12 @@
 			out = append(out, RenewOrPromise{p, number, m.Row(), m.sessionVersion})
 		}
 	}
+	// If there is no other sched, no answer is needed.
 	m.extendIfPromised()
 	return out
 }
 
-// PeerAnswered handles a peer's answer to AskHold.
+// PeerAnswered handles a peer's answer to RenewOrPromise.
 func (m *Member) PeerAnswered(from core.SessionID, number int, a Answer) {
 	r := m.round
 	if r == nil || r.number != number || m.state != sessionLive {
@@ -63,7 +64,7 @@
 			m.resignTo(from)
 			return
 		}
-		m.beat++
+		m.renewals++
 		m.sessionVersion = a.Version
 		m.lease.Renew(r.sent, m.ttl)
 		return
@@ -104,9 +105,9 @@
 	m.lease.Renew(r.sent, PromiseTTL)
 }
 
-// Promise answers AskHold when this process cannot renew the owner's session. It
-// promises not to claim the owner's cells, unless it reaches the store or is about
-// to claim one of them.
+// Promise answers RenewOrPromise when this process cannot renew the owner's
+// session. It promises not to claim the owner's cells, unless it reaches the store
+// or is about to claim one of them.
 func (m *Member) Promise(now time.Time, from core.Process) Answer {
 	a := Answer{Scheds: m.regionScheds()}
 	if m.state == sessionGone || m.StoreReachable(now) {
@@ -138,6 +139,6 @@
 	return out
 }
 
-// StoreReachable reports whether the store has answered a request that was sent within
-// the last half of the lease time.
+// StoreReachable reports whether the store has answered a request that was sent
+// less than half the lease time ago.
 func (m *Member) StoreReachable(now time.Time) bool { return now.Sub(m.storeReachedAt) < m.ttl/2 }
--- a/core/member/plan.go
+++ b/core/member/plan.go
@@ -64,14 +64,14 @@
 func (RenewOrPromise) action() {}
 func (Resign) action()         {}
 
-// peerRound collects the answers to the AskHold requests sent at one time.
+// peerRound collects the answers to the RenewOrPromise requests sent at one time.
 type peerRound struct {
 	number int
 	sent   time.Time
 	// unanswered holds the peers that have not answered.
 	unanswered core.Set[core.SessionID]
-	// failed is set once a peer has neither promised nor been found dead, or was
-	// not asked.
+	// failed is set once a peer has neither promised nor been found dead, or a
+	// sched is known that was not asked.
 	failed bool
 }
 
@@ -91,6 +91,7 @@
 		m.pendingResign = core.Option[Resign]{}
 		out = append(out, r)
 	}
+	// The chart ignores this event unless the session has lapsed.
 	m.addRefusal(sessionChart.Fire(&m.state, sessionRejoin, m))
 	if !m.renewalInFlight && m.claimWrites == 0 && !now.Before(m.nextRenew) {
 		m.renewalInFlight = true
@@ -204,8 +205,9 @@
 		if now.Before(m.promises[owner]) {
 			return false
 		}
-		// An owner that knows of this process would have asked for its promise.
-		return p.session.Renewals >= p.joinBeat+minBeatsSinceJoin || now.Sub(p.seenAt) > MaxOutage
+		// An owner that knows of this process would have asked for its promise, and
+		// no owner extends its lease by promises for longer than MaxOutage.
+		return p.session.Renewals >= p.renewalsAtJoin+minRenewalsSinceJoin || now.Sub(p.seenAt) > MaxOutage
 	default:
 		return false
 	}
@@ -285,8 +287,8 @@
 	}
 }
 
-// CellLost handles the proof that another process owns a cell: a worker or the store
-// has refused this process's epoch.
+// CellLost handles the proof that another process owns a cell: a worker or the
+// store has refused this process's epoch.
 func (m *Member) CellLost(id core.CellID) {
 	if e := m.cells[id]; e != nil {
 		m.addRefusal(cellChart.Fire(&e.state, cellLost, e))
@@ -343,16 +345,16 @@
 	}
 }
 
-// SessionsToDelete returns the sessions to be deleted, none of which owns a cell: those of
-// processes found dead at least wait ago, and those of scheds that
-// have been silent for longer than evictSilentAfter. Deleting the session of a
-// silent sched is safe, since it can neither claim nor renew without its row.
+// SessionsToDelete returns the sessions to be deleted, none of which owns a cell:
+// those of processes found dead at least wait ago, and those of scheds that have
+// been silent for longer than deleteSilentAfter. Deleting the session of a silent
+// sched is safe, since it can neither claim nor renew without its row.
 func (m *Member) SessionsToDelete(now time.Time, wait time.Duration) []DeleteSession {
 	var out []DeleteSession
 	for _, id := range m.sortedPeers() {
 		p := m.peers[id]
 		dead := !p.deadSince.IsZero() && now.Sub(p.deadSince) >= wait
-		silent := p.session.Process.Role == core.RoleSched && p.liveness == Silent && now.Sub(p.seenAt) > evictSilentAfter
+		silent := p.session.Process.Role == core.RoleSched && p.liveness == Silent && now.Sub(p.seenAt) > deleteSilentAfter
 		if (dead || silent) && !m.ownsCell(id) {
 			out = append(out, DeleteSession{id, p.version})
 		}
--- a/core/model/worker.go
+++ b/core/model/worker.go
@@ -1,5 +1,5 @@
 // Package model simulates the platform's workers for tests. A simulated worker
-// obeys orders as a real one does and logs every run for the checks of a test.
+// executes orders as a real one does and logs every run so that a test can check it.
 package model
 
 import (
@@ -53,6 +53,7 @@
 
 // RunRecord is the log entry of a run that a worker has started.
 type RunRecord struct {
+	// At is when the run started.
 	At     time.Time
 	Worker core.WorkerID
 	Task   jobs.TaskID
@@ -69,7 +70,7 @@
 type Worker struct {
 	Info  fleet.WorkerInfo
 	tasks Tasks
-	// clockRate is the rate of the worker's clock.
+	// clockRate is the rate of the worker's clock; a correct clock has rate 1.
 	clockRate float64
 	// incarnation is when the present incarnation started.
 	incarnation time.Time
@@ -211,7 +212,8 @@
 	w.logEnd(r, w.now, kind)
 }
 
-// acceptOrder reports whether the order is not fenced, and extends the lease if so.
+// acceptOrder reports whether the order's epoch is current and, if so, extends the
+// lease.
 func (w *Worker) acceptOrder(o fleet.Order) bool {
 	if o.Epoch < w.maxEpoch {
 		return false
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -12,7 +12,7 @@
 )
 
 // Advisor describes the calls to the external placement advisor of a queue. The
-// advisor issues the tickets that its tasks need to start.
+// advisor issues the tickets that the queue's tasks need to start.
 type Advisor struct {
 	// Base is the duration of a call that names no worker; each worker named adds
 	// PerWorker.
@@ -33,8 +33,7 @@
 	Service      core.Service
 	// Priority 0 is the highest.
 	Priority int
-	// Attempts is how often a task may fail before its job has failed; it is at
-	// least 1.
+	// Attempts is how often a task may fail before its job fails; it is at least 1.
 	Attempts int
 	// A job is on time if it ends within Slowdown times the run time of its critical
 	// path, plus Latency.
