--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -95,10 +95,10 @@
 	ID uint64
 	// Target is set when the request has been granted a slot.
 	Target core.Option[core.VM]
-	// Err is set when the request has ended without an answer.
+	// Err is set when the request has ended without a complete answer.
 	Err *core.RefusalError
-	// Ended is set when the request has been answered completely.
-	Ended bool
+	// Answered is set when the request has been answered completely.
+	Answered bool
 }
 
 // request is the state of one admitted request.
@@ -428,7 +428,7 @@
 	case r.state == requestUnknown:
 		ev.Err = core.RefuseUnknown(core.CodeTargetFailed, cause, "target %s did not send a complete answer", r.target.vm.Name)
 	case requestChart.Name(r.state) == "answered":
-		ev.Ended = true
+		ev.Answered = true
 	default:
 		ev.Err = core.Refuse(core.CodeTargetFailed, "no target of service %q accepted the request", r.spec.Rule.Service)
 		ev.Err.Err = cause
--- a/core/admit/controller_test.go
+++ b/core/admit/controller_test.go
@@ -77,7 +77,7 @@
 	is.Equal(len(f.admit()), 0)
 	is.Equal(f.admit()[0].Err.Code, core.CodeBusy) // the backlog is full
 	events := f.ctrl.RequestEnded(f.now, 1, admit.Completed, nil)
-	is.True(events[0].Ended)
+	is.True(events[0].Answered)
 	is.Equal(events[1].ID, uint64(3)) // the request that was queued first
 	f.now = f.now.Add(2 * time.Second)
 	events = f.ctrl.Tick(f.now)
