--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -85,7 +85,7 @@
 	// Truncated means that the answer broke off after a part of it had been
 	// passed on to the caller.
 	Truncated Outcome = "cut"
-	// Abandoned means that the caller disconnected before the slot was granted,
+	// Abandoned means that the caller had disconnected when the slot was granted,
 	// so nothing was sent.
 	Abandoned Outcome = "drop"
 )
@@ -95,10 +95,10 @@
 	ID uint64
 	// Target is set when the request has been granted a slot.
 	Target core.Option[core.VM]
-	// Err is set when the request has ended without an answer.
+	// Err is set when the request has ended without a complete answer.
 	Err *core.RefusalError
-	// Ended is set when the request has been answered completely.
-	Ended bool
+	// Answered is set when the request has been answered completely.
+	Answered bool
 }
 
 // request is the state of one admitted request.
@@ -325,7 +325,8 @@
 			if t := c.pickTarget(r); t != nil {
 				return r, t
 			}
-			// A request that excludes no target has found none: stop searching.
+			// If a request that excludes no target finds none, no other request of
+			// the service is tried.
 			if len(r.excluded) == 0 {
 				return nil, nil
 			}
@@ -334,7 +335,7 @@
 	return nil, nil
 }
 
-// weightedUsage returns a team's requests in flight in relation to its share.
+// weightedUsage returns a team's requests in flight, divided by its share.
 func (c *Controller) weightedUsage(team core.Team) float64 {
 	return float64(c.allocator.Used(CallsRow(team))) / max(c.rules.Teams[team].Share, 1)
 }
@@ -427,7 +428,7 @@
 	case r.state == requestUnknown:
 		ev.Err = core.RefuseUnknown(core.CodeTargetFailed, cause, "target %s did not send a complete answer", r.target.vm.Name)
 	case requestChart.Name(r.state) == "answered":
-		ev.Ended = true
+		ev.Answered = true
 	default:
 		ev.Err = core.Refuse(core.CodeTargetFailed, "no target of service %q accepted the request", r.spec.Rule.Service)
 		ev.Err.Err = cause
