--- a/core/fleet/absence.go
+++ b/core/fleet/absence.go
@@ -6,43 +6,43 @@
 	"chicoryturn/core"
 )
 
-// maxAbsentGap is the longest interval between two readings of the list over
-// which a worker that is missing from both counts as continuously absent. VMs
-// that are not the owner read the list every 2 s.
-const maxAbsentGap = 3 * time.Second
+// maxTrackerGap is the longest interval between two readings of the list over
+// which AbsenceTracker counts a worker that is missing from both as
+// continuously missing. VMs that are not the owner read the list every 2 s.
+const maxTrackerGap = 3 * time.Second
 
 // AbsenceTracker records since when workers have been missing from the
-// platform's list. It runs on every VM, so that a new owner need not start the
-// waiting time of workers that disappeared long ago.
+// platform's list. It runs on every VM, so that a new owner does not wait again
+// for workers that disappeared before it was elected.
 type AbsenceTracker struct {
-	seen   core.Set[core.WorkerID]
-	since  map[core.WorkerID]time.Time
-	readAt time.Time
+	everListed   core.Set[core.WorkerID]
+	missingSince map[core.WorkerID]time.Time
+	readAt       time.Time
 }
 
-// NewAbsenceTracker returns a tracker that has observed no list.
+// NewAbsenceTracker returns a tracker without any workers.
 func NewAbsenceTracker() *AbsenceTracker {
-	return &AbsenceTracker{seen: core.NewSet[core.WorkerID](), since: map[core.WorkerID]time.Time{}}
+	return &AbsenceTracker{everListed: core.NewSet[core.WorkerID](), missingSince: map[core.WorkerID]time.Time{}}
 }
 
 // Observe updates the tracker with a list read at the given time.
 func (t *AbsenceTracker) Observe(now time.Time, infos []WorkerInfo) {
-	if now.Sub(t.readAt) > maxAbsentGap {
-		clear(t.since)
+	if now.Sub(t.readAt) > maxTrackerGap {
+		clear(t.missingSince)
 	}
 	t.readAt = now
 	listed := core.NewSet[core.WorkerID]()
 	for _, info := range infos {
 		listed.Add(info.ID())
-		t.seen.Add(info.ID())
-		delete(t.since, info.ID())
+		t.everListed.Add(info.ID())
+		delete(t.missingSince, info.ID())
 	}
-	for id := range t.seen {
-		if _, known := t.since[id]; !known && !listed.Has(id) {
-			t.since[id] = now
+	for id := range t.everListed {
+		if _, isMissing := t.missingSince[id]; !isMissing && !listed.Has(id) {
+			t.missingSince[id] = now
 		}
 	}
 }
 
-// MissingSince returns, for each absent worker, when it was first found missing.
-func (t *AbsenceTracker) MissingSince() map[core.WorkerID]time.Time { return t.since }
+// MissingSince returns, for each missing worker, when it was first found missing.
+func (t *AbsenceTracker) MissingSince() map[core.WorkerID]time.Time { return t.missingSince }
--- a/core/fleet/advice.go
+++ b/core/fleet/advice.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// deadlineWorkers is the number of workers in the one advice request per
-	// phase that a job's deadline allows for; the platform's rules count a call
-	// on 30 workers for each phase.
+	// A job's deadline includes the time for one advice request per phase, which
+	// names deadlineWorkers workers; the platform's rules count a call on 30
+	// workers for each phase.
 	deadlineWorkers = 30
 	// maxRequestWorkers bounds the workers of one request; the platform accepts
 	// 100.
@@ -35,18 +35,19 @@
 
 // advice holds the advisor's answers on which workers may run a phase.
 type advice struct {
-	// received is set once the advisor has answered. Whether a worker is
-	// allowed never changes.
+	// received is set once the advisor has answered.
 	received bool
-	// named holds the workers that requests have named, allowed those of them
-	// that may run the phase.
+	// named holds the workers that answered requests have named, allowed those
+	// of them that may run the phase. The advisor never changes its answer for a
+	// worker and a phase, but the tickets expire.
 	named   core.Set[core.WorkerID]
 	allowed map[core.WorkerID]ticket
 	// ticketsUntil is when the newest tickets expire.
 	ticketsUntil time.Time
 	// recheckAt is when the phase is next examined for a worthwhile request.
 	recheckAt time.Time
-	// lowYieldAt is when the last low-yield request was sent.
+	// lowYieldAt is when the last request was sent that was unlikely to let
+	// tasks start.
 	lowYieldAt time.Time
 	// requestedAt is when the last request was sent; zero if it has been
 	// answered.
@@ -76,15 +77,15 @@
 }
 
 // AdviceReceived handles the advisor's answer to a request that named some
-// workers. The tickets stay valid for the given duration.
-func (s *Scheduler) AdviceReceived(now time.Time, id jobs.PhaseID, named []core.WorkerID, allowed []AllowedWorker, valid time.Duration) {
+// workers. The tickets stay valid for ticketTTL.
+func (s *Scheduler) AdviceReceived(now time.Time, id jobs.PhaseID, named []core.WorkerID, allowed []AllowedWorker, ticketTTL time.Duration) {
 	s.now = now
 	p := s.phase(id)
 	if p == nil || p.tasksLeft == 0 || p.job.ended() {
 		return
 	}
 	a := &p.advice
-	d := Decision{Job: id.Job, Event: "advice received", Task: id.String(), Reason: fmt.Sprintf("%d of %d workers allowed for %s", len(allowed), len(named), valid.Round(time.Millisecond))}
+	d := Decision{Job: id.Job, Event: "advice received", Task: id.String(), Reason: fmt.Sprintf("%d of %d workers allowed, tickets valid for %s", len(allowed), len(named), ticketTTL.Round(time.Millisecond))}
 	if !a.requestedAt.IsZero() {
 		d.Wait = now.Sub(a.requestedAt)
 	}
@@ -102,10 +103,10 @@
 		s.learnAllowedShare(p.job.Spec.Queue, len(named), len(allowed))
 	}
 	for _, w := range allowed {
-		a.allowed[w.Worker] = ticket{w.Ticket, now.Add(valid)}
+		a.allowed[w.Worker] = ticket{w.Ticket, now.Add(ticketTTL)}
 	}
 	if len(allowed) > 0 {
-		a.ticketsUntil = now.Add(valid)
+		a.ticketsUntil = now.Add(ticketTTL)
 	}
 	s.needsPlacement = true
 }
@@ -119,8 +120,8 @@
 	}
 }
 
-// AdvicePending records that the VM that accepted a job has requested advice
-// for its phase itself. It returns the expected duration of the call, or 0 if
+// AdvicePending records that the VM that accepted a job has itself requested
+// advice for the phase. It returns the expected duration of the call, or 0 if
 // the scheduler does not wait for the answer.
 func (s *Scheduler) AdvicePending(now time.Time, id jobs.PhaseID) time.Duration {
 	s.now = now
@@ -143,8 +144,8 @@
 	a.lostAt = now.Add(lostFactor*advisor.Cost(workers) + lostGrace)
 }
 
-// expireTickets handles a worker's refusal of its ticket: it expires that
-// ticket and all that were to expire no later.
+// expireTickets handles a worker's refusal of its ticket: it marks that ticket
+// and all tickets that expire no later as expired.
 func (a *advice) expireTickets(worker core.WorkerID) {
 	until := a.allowed[worker].until
 	if !a.ticketsUntil.After(until) {
@@ -173,12 +174,13 @@
 	return core.Option[policy.Advisor]{}
 }
 
-// AdvicePeers assigns advice requests to the VMs, each of which makes one call to the
-// placement advisor at a time.
+// AdvicePeers assigns advice requests to the VMs, each of which makes one call
+// to the placement advisor at a time.
 type AdvicePeers interface {
-	// HasCapacity reports whether a VM could soon begin a call of the given duration.
+	// HasCapacity reports whether a VM could soon begin a call of the given
+	// duration.
 	HasCapacity(cost time.Duration) bool
-	// MostlyIdle reports whether more VMs are idle than the expected calls need.
+	// MostlyIdle reports whether most VMs are idle.
 	MostlyIdle() bool
 	// Send assigns a request to a VM.
 	Send(a AdviceRequest)
@@ -187,22 +189,22 @@
 // AdviceRequests sends the advice requests that are worthwhile now, the most
 // urgent first. A request that would have to queue is not sent: by the time its
 // call begins, other work may be more urgent and other workers may have room.
-// Requests that are less likely to let tasks start are sent while Turns.Spare
-// reports idle VMs, and otherwise at most once per lowYieldInterval and phase.
-func (s *Scheduler) AdviceRequests(now time.Time, turns AdvicePeers) {
+// Requests that are unlikely to let tasks start are sent while most VMs are
+// idle, and otherwise at most once per lowYieldInterval and phase.
+func (s *Scheduler) AdviceRequests(now time.Time, peers AdvicePeers) {
 	s.now = now
-	if !turns.HasCapacity(0) {
+	if !peers.HasCapacity(0) {
 		return
 	}
 	var lowYield []*phase
 	for _, p := range s.rankedPhases() {
 		advisor, ok := p.advisor().Get()
 		isPending := !p.advice.requestedAt.IsZero() && now.Before(p.advice.lostAt)
-		if !ok || isPending || now.Before(p.advice.recheckAt) || !p.startable() || !turns.HasCapacity(advisor.Base) {
+		if !ok || isPending || now.Before(p.advice.recheckAt) || !p.startable() || !peers.HasCapacity(advisor.Base) {
 			continue
 		}
 		if workers := p.workersToRequest(advisor); len(workers) > 0 {
-			s.requestAdvice(turns, p, advisor, workers)
+			s.requestAdvice(peers, p, advisor, workers)
 			continue
 		}
 		p.advice.recheckAt = now.Add(recheckDelay)
@@ -211,20 +213,20 @@
 	for _, p := range lowYield {
 		advisor, ok := p.advisor().Get()
 		intervalOver := now.Sub(p.openedAt) > lowYieldInterval && now.Sub(p.advice.lowYieldAt) > lowYieldInterval
-		if !ok || !turns.HasCapacity(advisor.Base) || !turns.MostlyIdle() && !intervalOver {
+		if !ok || !peers.HasCapacity(advisor.Base) || !peers.MostlyIdle() && !intervalOver {
 			continue
 		}
 		if workers := p.lowYieldWorkers(advisor); len(workers) > 0 {
 			p.advice.lowYieldAt = now
-			s.requestAdvice(turns, p, advisor, workers)
+			s.requestAdvice(peers, p, advisor, workers)
 		}
 	}
 }
 
-func (s *Scheduler) requestAdvice(turns AdvicePeers, p *phase, advisor policy.Advisor, workers []core.WorkerID) {
+func (s *Scheduler) requestAdvice(peers AdvicePeers, p *phase, advisor policy.Advisor, workers []core.WorkerID) {
 	p.advice.markRequested(s.now, advisor, len(workers))
 	s.counts.Asks++
-	turns.Send(AdviceRequest{Phase: p.id, Workers: workers, Cost: advisor.Cost(len(workers))})
+	peers.Send(AdviceRequest{Phase: p.id, Workers: workers, Cost: advisor.Cost(len(workers))})
 }
 
 // minStartCount returns how many tasks must start together.
--- a/core/fleet/advice_test.go
+++ b/core/fleet/advice_test.go
@@ -56,14 +56,14 @@
 	namedWorkers := func(id string, count int, gang bool) []core.WorkerID {
 		f.Accept(f.now, newJob(id, count, gang))
 		f.nextOrders(fleet.OrderStart)
-		turns := &fakeTurns{}
-		f.AdviceRequests(f.now, turns)
-		is.Equal(len(turns.requests), 1)
-		is.Equal(turns.requests[0].Phase.Job, core.JobID(id))
-		for _, w := range turns.requests[0].Workers {
+		peers := &fakePeers{}
+		f.AdviceRequests(f.now, peers)
+		is.Equal(len(peers.requests), 1)
+		is.Equal(peers.requests[0].Phase.Job, core.JobID(id))
+		for _, w := range peers.requests[0].Workers {
 			is.True(w >= "w150") // in the half with room
 		}
-		return turns.requests[0].Workers
+		return peers.requests[0].Workers
 	}
 	first, second := namedWorkers("a", 3, false), namedWorkers("b", 3, false)
 	is.True(len(first) <= 20)
@@ -79,24 +79,24 @@
 	f := newHalfFullFixture(is, 300)
 	f.Accept(f.now, newJob("g", 40, true))
 	f.nextOrders(fleet.OrderStart)
-	turns := &fakeTurns{}
-	f.AdviceRequests(f.now, turns)
-	first := turns.requests[0]
+	peers := &fakePeers{}
+	f.AdviceRequests(f.now, peers)
+	first := peers.requests[0]
 	f.AdviceReceived(f.now, first.Phase, first.Workers, []fleet.AllowedWorker{{Worker: first.Workers[0], Ticket: "a"}}, time.Second)
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0) // the allowed worker has room for 4 of 40 tasks
-	turns.busy = false
-	f.AdviceRequests(f.now, turns)
-	is.Equal(len(turns.requests), 2)
-	for _, w := range turns.requests[1].Workers {
+	peers.busy = false
+	f.AdviceRequests(f.now, peers)
+	is.Equal(len(peers.requests), 2)
+	for _, w := range peers.requests[1].Workers {
 		for _, old := range first.Workers {
 			is.True(w != old) // its ticket is still valid, or it is not allowed
 		}
 	}
 	var allowed []fleet.AllowedWorker
-	for _, w := range turns.requests[1].Workers {
+	for _, w := range peers.requests[1].Workers {
 		allowed = append(allowed, fleet.AllowedWorker{Worker: w, Ticket: "b"})
 	}
-	f.AdviceReceived(f.now, first.Phase, turns.requests[1].Workers, allowed, time.Second)
+	f.AdviceReceived(f.now, first.Phase, peers.requests[1].Workers, allowed, time.Second)
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 40)
 }
 
@@ -112,14 +112,14 @@
 // for the workers that allows accepts. It reports whether, within 10 s, the given number of
 // tasks start in one tick.
 func (f *fixture) startsTogether(tasks int, ticketTTL time.Duration, allows func(core.WorkerID) bool) bool {
-	turns := &fakeTurns{}
+	peers := &fakePeers{}
 	var answerAt time.Time
 	for began := f.now; f.now.Sub(began) < 10*time.Second; f.advance(20 * time.Millisecond) {
 		for _, w := range f.workers {
 			f.heartbeat(w, nil, nil)
 		}
-		if turns.busy && !f.now.Before(answerAt) {
-			request := turns.requests[len(turns.requests)-1]
+		if peers.busy && !f.now.Before(answerAt) {
+			request := peers.requests[len(peers.requests)-1]
 			var allowed []fleet.AllowedWorker
 			for _, w := range request.Workers {
 				if allows(w) {
@@ -127,15 +127,15 @@
 				}
 			}
 			f.AdviceReceived(f.now, request.Phase, request.Workers, allowed, ticketTTL)
-			turns.busy = false
+			peers.busy = false
 		}
 		if len(f.nextOrders(fleet.OrderStart)) == tasks {
 			return true
 		}
-		if !turns.busy {
-			f.AdviceRequests(f.now, turns)
-			if turns.busy {
-				answerAt = f.now.Add(turns.requests[len(turns.requests)-1].Cost)
+		if !peers.busy {
+			f.AdviceRequests(f.now, peers)
+			if peers.busy {
+				answerAt = f.now.Add(peers.requests[len(peers.requests)-1].Cost)
 			}
 		}
 	}
--- a/core/fleet/candidates.go
+++ b/core/fleet/candidates.go
@@ -14,13 +14,13 @@
 // with too many keep all VMs busy.
 
 const (
-	// A request names workers known to be allowed until they have room for
-	// spareTasks more tasks than are waiting, since other tasks may take that
-	// room before the answer arrives.
+	// A request names allowed workers until they have room for spareTasks more
+	// tasks than are waiting, since other tasks may take that room before the
+	// answer arrives.
 	spareTasks = 2
-	// A request names workers that may or may not be allowed until the expected
-	// number of tasks that they let start is requestMargin times the waiting
-	// ones. It names at least minRequestWorkers if there are as many.
+	// A request names unnamed workers until the number of tasks that are
+	// expected to start on them is requestMargin times that of the waiting
+	// tasks. It names at least minRequestWorkers if there are as many.
 	requestMargin     = 1.5
 	minRequestWorkers = 8
 	// The waiting tasks divided by minTasksDivisor is the fewest that a request
@@ -71,7 +71,7 @@
 		if !p.canRunOn(w) {
 			continue
 		}
-		candidate := adviceCandidate{w.id, p.slotsOn(w, need, w.free), (w.nameHash ^ p.nameHash) * hashMultiplier}
+		candidate := adviceCandidate{w.id, p.slotsOn(w, need, w.free), (w.nameHash ^ p.jobHash) * hashMultiplier}
 		t, allowed := p.advice.allowed[w.id]
 		switch {
 		case !p.advice.named.Has(w.id):
@@ -157,8 +157,9 @@
 }
 
 // lowYieldWorkers returns the workers for a request that is unlikely to let
-// tasks start, or the workers to learn about if the advisor has not answered
-// for the phase.
+// tasks start, or none if the tasks need no request or it could not let any
+// start. If the advisor has not answered for the phase, it returns unnamed
+// workers, to learn which of them are allowed.
 func (p *phase) lowYieldWorkers(advisor policy.Advisor) []core.WorkerID {
 	candidates := p.adviceCandidates(advisor)
 	if !p.advice.received {
--- a/core/fleet/dump.go
+++ b/core/fleet/dump.go
@@ -11,7 +11,9 @@
 
 // Dump is the scheduler's state for operators.
 type Dump struct {
-	Epoch   core.Epoch
+	Epoch core.Epoch
+	// Settled is set once every worker that an earlier owner may have used has
+	// reported.
 	Settled bool
 	Counts  Counts
 	Used    map[core.Team]core.Resources
@@ -22,8 +24,9 @@
 
 // WorkerDump is the state of one worker.
 type WorkerDump struct {
-	Worker     core.WorkerID
-	State      string
+	Worker core.WorkerID
+	State  string
+	// Room is the worker's capacity, Free the part of it that is not in use.
 	Room, Free core.Resources
 	// Tasks counts the tasks placed on the worker, Strays the orphaned runs.
 	Tasks, Strays     int
@@ -68,7 +71,7 @@
 
 // Dump returns the scheduler's state.
 func (s *Scheduler) Dump() *Dump {
-	d := &Dump{Epoch: s.epoch, Settled: s.settled, Counts: s.counts, Used: map[core.Team]core.Resources{}}
+	d := &Dump{Epoch: s.epoch, Settled: s.allReported, Counts: s.counts, Used: map[core.Team]core.Resources{}}
 	for t, r := range s.used {
 		d.Used[t] = r
 	}
@@ -94,7 +97,7 @@
 }
 
 func (j *Job) dump() JobDump {
-	out := JobDump{Job: j.Spec.ID, Team: j.Spec.Team, Queue: j.Spec.Queue, State: jobChart.Name(j.state), Age: j.scheduler.now.Sub(j.arrivedAt).Round(time.Millisecond).String()}
+	out := JobDump{Job: j.Spec.ID, Team: j.Spec.Team, Queue: j.Spec.Queue, State: jobChart.Name(j.state), Age: j.scheduler.now.Sub(j.acceptedAt).Round(time.Millisecond).String()}
 	for _, p := range j.phases {
 		if !p.isOpen || p.tasksLeft == 0 {
 			continue
--- a/core/fleet/heartbeat.go
+++ b/core/fleet/heartbeat.go
@@ -16,7 +16,7 @@
 	// allows 2 s.
 	heartbeatWait = 600 * time.Millisecond
 	// While the ends in a worker's last answer cannot be acknowledged yet, its
-	// next heartbeat is put off, but for no longer than the lease divided by
+	// next heartbeat is delayed, but for no longer than the lease divided by
 	// heartbeatDivisor.
 	heartbeatDivisor = 4
 	// heartbeatRetry is the delay before the next heartbeat to a worker that
@@ -35,9 +35,8 @@
 	maxJobWait = 5 * time.Second
 )
 
-// HeartbeatAnswered handles a worker's answer to the heartbeat sent at the
-// given time.
-func (s *Scheduler) HeartbeatAnswered(now time.Time, id core.WorkerID, sent time.Time, l RunLists) {
+// HeartbeatAnswered handles a worker's answer to the heartbeat sent at sentAt.
+func (s *Scheduler) HeartbeatAnswered(now time.Time, id core.WorkerID, sentAt time.Time, l RunLists) {
 	s.now = now
 	w := s.workers[id]
 	if w == nil {
@@ -62,7 +61,7 @@
 		return
 	}
 	w.applyEnds(l.Ended)
-	w.reconcileActive(sent, l)
+	w.reconcileActive(sentAt, l)
 	s.resolveRecovered()
 	s.needsPlacement = true
 }
@@ -87,7 +86,7 @@
 }
 
 // setIncarnation records the incarnation that the worker or the platform's list
-// names. A new one is not in the stored roster yet.
+// reports. A new one is not in the stored roster yet.
 func (w *Worker) setIncarnation(incarnation time.Time) {
 	if w.info.Incarnation.Equal(incarnation) {
 		return
@@ -128,8 +127,10 @@
 	w.ackableSeq = s.changeSeq
 }
 
-// mustAwaitJob reports whether the end of a run of an unknown job must wait for
-// that job: acknowledging the end would lose it, and the task would run again.
+// mustAwaitJob reports whether the end of a run of an unknown job must wait
+// until that job has been read: acknowledging the end would lose it, and the
+// task would run again. It also requests that reading and records since when
+// the end waits.
 func (w *Worker) mustAwaitJob() bool {
 	w.scheduler.unknownJobSeen = true
 	if w.blockedSince.IsZero() {
@@ -160,7 +161,7 @@
 
 // reconcileActive reconciles the scheduler's state with the runs that the
 // worker lists as active.
-func (w *Worker) reconcileActive(sent time.Time, l RunLists) {
+func (w *Worker) reconcileActive(sentAt time.Time, l RunLists) {
 	s := w.scheduler
 	w.unknownRuns = nil
 	type runID struct {
@@ -180,25 +181,25 @@
 			s.unknownJobSeen = true
 		case t.worker == w && t.run == a.Run:
 			t.fire(taskFound)
-			t.takeReport(a)
+			t.applyReport(a)
 		case t.state == taskHeld:
 			t.eventWorker, t.run = w, a.Run
 			t.fire(taskFound)
-			t.takeReport(a)
+			t.applyReport(a)
 		default:
 			w.orphanFound(t, a)
 		}
 	}
 	for _, t := range w.sortedTasks() {
 		if _, ok := listed[runID{t.ID(), t.run}]; !ok {
-			t.runNotListed(sent, len(l.Ended))
+			t.runNotListed(sentAt, len(l.Ended))
 		}
 	}
 	w.orphans = slices.DeleteFunc(w.orphans, func(o orphanedRun) bool {
 		_, ok := listed[runID{o.task, o.run}]
 		// A run that neither list names after the worker acknowledged its stop
 		// will never start.
-		willNotStart := !ok && !o.stopAckedAt.IsZero() && sent.After(o.stopAckedAt)
+		willNotStart := !ok && !o.stopAckedAt.IsZero() && sentAt.After(o.stopAckedAt)
 		if willNotStart {
 			w.releaseOrphan(o)
 		}
@@ -206,7 +207,7 @@
 	})
 }
 
-// orphanFound adopts a listed run that is not the task's current run as an
+// orphanFound records a listed run that is not the task's current run as an
 // orphaned run and stops it.
 func (w *Worker) orphanFound(t *Task, a ActiveRun) {
 	if slices.ContainsFunc(w.orphans, func(o orphanedRun) bool { return o.task == a.Task && o.run == a.Run }) {
@@ -219,8 +220,9 @@
 	w.addOrphan(orphanedRun{task: a.Task, run: a.Run, reserved: t.phase.need(), team: t.phase.job.Spec.Team})
 }
 
-// takeReport records what the worker reports about the active run.
-func (t *Task) takeReport(a ActiveRun) {
+// applyReport records the checkpoint and the progress that the worker reports
+// for the active run, and stops the run if it has stalled.
+func (t *Task) applyReport(a ActiveRun) {
 	s := t.phase.job.scheduler
 	if a.Checkpoint != "" {
 		t.keepCheckpoint(a.Run, a.Checkpoint)
@@ -238,9 +240,10 @@
 	}
 }
 
-// stalled reports whether the run has made no progress for too long. A gang
-// that waits for a member makes none either; its worker ends it after GangWait.
-// Progress is reported in whole percent, so in long runs it changes seldom.
+// stalled reports whether the run has made no progress for too long. The
+// time-out is longer for gangs, since a gang that waits for a member makes no
+// progress until its worker ends it after GangWait, and for long runs, since
+// progress is reported in whole percent.
 func (t *Task) stalled() bool {
 	s := t.phase.job.scheduler
 	if !s.progressSeen || t.percent >= 100 {
@@ -267,10 +270,10 @@
 func (t *Task) learnFromProgress() {
 	s := t.phase.job.scheduler
 	worked := s.now.Sub(t.startedAt)
-	if t.percent == 0 || t.checkpoint != "" || worked < minProgressTime || s.now.Sub(t.speedReadAt) < progressInterval {
+	if t.percent == 0 || t.checkpoint != "" || worked < minProgressTime || s.now.Sub(t.slownessLearnedAt) < progressInterval {
 		return
 	}
-	t.speedReadAt = s.now
+	t.slownessLearnedAt = s.now
 	runTime := worked.Seconds() * 100 / float64(t.percent)
 	expected := max(s.estimator.Predict(t.phase.job.Spec.Queue, t.phase.spec.Estimate), time.Millisecond)
 	t.worker.slowness += progressGain * (math.Log(runTime/expected.Seconds()) - t.worker.slowness)
@@ -282,14 +285,14 @@
 
 // runNotListed handles a heartbeat answer that lists the task's run neither as
 // active nor as ended.
-func (t *Task) runNotListed(sent time.Time, ends int) {
-	if ends >= maxListedEnds {
+func (t *Task) runNotListed(sentAt time.Time, endCount int) {
+	if endCount >= maxListedEnds {
 		return
 	}
 	switch t.state {
 	case taskRunning:
 		// The worker had confirmed the run before the heartbeat was sent.
-		if !t.startedAt.IsZero() && sent.After(t.startedAt) {
+		if !t.startedAt.IsZero() && sentAt.After(t.startedAt) {
 			s := t.phase.job.scheduler
 			s.logDecision(Decision{Job: t.phase.id.Job, Event: "run is missing from the lists of its worker", Worker: t.worker.id, Task: t.ID().String(), Run: t.run})
 			t.fire(taskCut)
@@ -297,7 +300,7 @@
 	case taskDoubtful, taskStopping, taskLeaving:
 		// Once the worker has acknowledged the stop, the run can no longer
 		// start.
-		if !t.stopAckedAt.IsZero() && sent.After(t.stopAckedAt) {
+		if !t.stopAckedAt.IsZero() && sentAt.After(t.stopAckedAt) {
 			t.fire(taskRefused)
 		}
 	}
--- a/core/fleet/job.go
+++ b/core/fleet/job.go
@@ -27,12 +27,12 @@
 	// that hold room on a worker.
 	phasesLeft, tasksPlaced int
 	progress                jobs.Progress
-	// seq numbers the jobs in order of arrival at this scheduler.
-	seq       uint64
-	arrivedAt time.Time
-	// A job that ends after onTimeUntil is late; one that ends after
-	// usefulUntil is worth nothing to its client. Both change with the policy.
-	onTimeUntil, usefulUntil time.Time
+	// seq numbers the jobs in the order in which this scheduler has added them.
+	seq        uint64
+	acceptedAt time.Time
+	// A job that ends after deadline is late; one that ends after usefulUntil
+	// is worth nothing to its client. Both change with the policy.
+	deadline, usefulUntil time.Time
 	// exceedsShare is set if the team submitted the job in excess of its share
 	// of a full fleet.
 	exceedsShare bool
@@ -43,8 +43,8 @@
 	id   jobs.PhaseID
 	job  *Job
 	spec *jobs.Phase
-	// nameHash is a hash of the job's name.
-	nameHash uint64
+	// jobHash is a hash of the job's ID.
+	jobHash uint64
 	// firstPosition is the position of the first task in the job's progress.
 	firstPosition int
 	tasks         []*Task
@@ -55,10 +55,10 @@
 	// due.
 	isOpen   bool
 	openedAt time.Time
-	// timeLeft is the expected time from the phase's start to the job's end,
-	// computed at timeLeftAt.
-	timeLeft   time.Duration
-	timeLeftAt time.Time
+	// timeToEnd is the expected time from the phase's start to the job's end,
+	// computed at timeToEndAt.
+	timeToEnd   time.Duration
+	timeToEndAt time.Time
 	// waitLoggedAt is when the reason for waiting was last logged.
 	waitLoggedAt time.Time
 	// gangDone is set once one member of a gang has succeeded, and with it the
@@ -73,15 +73,15 @@
 
 func (s *Scheduler) add(spec jobs.Spec) *Job {
 	s.lastJobSeq++
-	j := &Job{Spec: spec, scheduler: s, state: jobChart.Start(), seq: s.lastJobSeq, arrivedAt: spec.Accepted, progress: jobs.Progress{Job: spec.ID}}
-	if j.arrivedAt.IsZero() || j.arrivedAt.After(s.now) {
-		j.arrivedAt = s.now
+	j := &Job{Spec: spec, scheduler: s, state: jobChart.Start(), seq: s.lastJobSeq, acceptedAt: spec.Accepted, progress: jobs.Progress{Job: spec.ID}}
+	if j.acceptedAt.IsZero() || j.acceptedAt.After(s.now) {
+		j.acceptedAt = s.now
 	}
-	nameHash := xxhash.Sum64String(string(spec.ID))
+	jobHash := xxhash.Sum64String(string(spec.ID))
 	for occurrence := range spec.Occurrences() {
 		for index := range j.Spec.Phases {
 			phaseSpec := &j.Spec.Phases[index]
-			p := &phase{id: jobs.PhaseID{Job: spec.ID, Occurrence: occurrence, Phase: index}, job: j, spec: phaseSpec, nameHash: nameHash, firstPosition: len(j.tasks), tasksLeft: phaseSpec.Count, tasksWaiting: phaseSpec.Count}
+			p := &phase{id: jobs.PhaseID{Job: spec.ID, Occurrence: occurrence, Phase: index}, job: j, spec: phaseSpec, jobHash: jobHash, firstPosition: len(j.tasks), tasksLeft: phaseSpec.Count, tasksWaiting: phaseSpec.Count}
 			for i := range phaseSpec.Count {
 				t := &Task{phase: p, index: i, state: taskChart.Start()}
 				p.tasks = append(p.tasks, t)
@@ -91,7 +91,7 @@
 		}
 	}
 	j.phasesLeft = len(j.phases)
-	j.exceedsShare = s.exceedsShare(spec.Team, j.arrivedAt)
+	j.exceedsShare = s.exceedsShare(spec.Team, j.acceptedAt)
 	j.setDeadlines()
 	s.jobs[spec.ID] = j
 	s.needsPlacement = true
@@ -210,16 +210,17 @@
 
 // logEnd logs the job's final state and by how much it missed its deadline.
 func (j *Job) logEnd() {
-	d := Decision{Job: j.Spec.ID, Event: "job " + string(j.progress.State), Wait: j.scheduler.now.Sub(j.arrivedAt)}
-	if overdue := j.scheduler.now.Sub(j.onTimeUntil); overdue > 0 {
+	d := Decision{Job: j.Spec.ID, Event: "job " + string(j.progress.State), Wait: j.scheduler.now.Sub(j.acceptedAt)}
+	if overdue := j.scheduler.now.Sub(j.deadline); overdue > 0 {
 		d.Reason = "late by " + overdue.Round(time.Millisecond).String()
 	}
 	j.scheduler.logDecision(d)
 }
 
-// setDeadlines computes the job's deadlines from the policy of its queue.
+// setDeadlines computes deadline and usefulUntil from the policy of the job's
+// queue.
 func (j *Job) setDeadlines() {
-	j.onTimeUntil, j.usefulUntil = j.arrivedAt, j.arrivedAt
+	j.deadline, j.usefulUntil = j.acceptedAt, j.acceptedAt
 	q := j.scheduler.policy.Queues[j.Spec.Queue]
 	if q == nil {
 		return
@@ -229,7 +230,7 @@
 		adviceTime = a.Cost(deadlineWorkers)
 	}
 	allowed := time.Duration(q.Slowdown*float64(j.Spec.CriticalPath(adviceTime))) + q.Latency
-	j.onTimeUntil, j.usefulUntil = j.arrivedAt.Add(allowed), j.arrivedAt.Add(usefulFactor*allowed)
+	j.deadline, j.usefulUntil = j.acceptedAt.Add(allowed), j.acceptedAt.Add(usefulFactor*allowed)
 }
 
 func (p *phase) open() {
@@ -268,7 +269,7 @@
 	return 1
 }
 
-// nextRun returns the number of the next run of a task or gang.
+// nextRun returns the number of the run after last of a task or gang.
 func (p *phase) nextRun(last uint64) uint64 {
 	return max(last+1, uint64(max(p.job.scheduler.epoch, 1)-1)<<runNumberBits+1)
 }
--- a/core/fleet/order.go
+++ b/core/fleet/order.go
@@ -117,12 +117,12 @@
 	Task   jobs.TaskID
 	Run    uint64
 	Kind   EndKind
-	// Reason is the worker's own name for how the run ended.
+	// Reason says in the worker's words how the run ended.
 	Reason     string
 	Checkpoint string
 }
 
-// RunLists is a worker's answer to a heartbeat.
+// RunLists is a worker's answer to a heartbeat: its active and ended runs.
 type RunLists struct {
 	// Clock is the worker's own monotonic clock.
 	Clock time.Duration
--- a/core/fleet/place.go
+++ b/core/fleet/place.go
@@ -23,9 +23,9 @@
 	// owner has learned of an end and recorded it.
 	marginDivisor = 8
 	minMargin     = 100 * time.Millisecond
-	// timeLeftTTL is how long a computed time left is reused; the estimates
+	// timeToEndTTL is how long a phase's timeToEnd is reused; the estimates
 	// behind it change slowly.
-	timeLeftTTL = 300 * time.Millisecond
+	timeToEndTTL = 300 * time.Millisecond
 	// waitLogDelay is how long a phase waits before the reason is logged,
 	// waitLogInterval the time between two such lines.
 	waitLogDelay    = time.Second
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(s.unresolved) > 0 {
-		s.unreportedRoom = s.sumUnreportedRoom()
+		s.unreportedCapacity = s.sumUnreportedCapacity()
 	}
 	s.orderHeartbeats()
 	s.repeatStops()
@@ -78,18 +78,18 @@
 			continue
 		}
 		r := rankedPhase{phase: p}
-		left := s.expectedTimeLeft(p)
-		left += left/marginDivisor + minMargin
+		timeToEnd := s.expectedTimeToEnd(p)
+		timeToEnd += timeToEnd/marginDivisor + minMargin
 		switch {
 		case p.job.exceedsShare:
 			r.lateness = 2
-		case !s.now.Add(left).After(p.job.onTimeUntil):
-		case !s.now.Add(left).After(p.job.usefulUntil):
+		case !s.now.Add(timeToEnd).After(p.job.deadline):
+		case !s.now.Add(timeToEnd).After(p.job.usefulUntil):
 			r.lateness = 1
 		default:
 			r.lateness = 2
 		}
-		r.latestStart = p.job.onTimeUntil.Add(-left)
+		r.latestStart = p.job.deadline.Add(-timeToEnd)
 		if q := s.policy.Queues[p.job.Spec.Queue]; q != nil {
 			r.priority = q.Priority
 		}
@@ -106,22 +106,22 @@
 	return out
 }
 
-// expectedTimeLeft returns the expected time from the start of a phase to the
+// expectedTimeToEnd returns the expected time from the start of a phase to the
 // end of its job, along the critical path.
-func (s *Scheduler) expectedTimeLeft(p *phase) time.Duration {
-	if !p.timeLeftAt.IsZero() && s.now.Sub(p.timeLeftAt) < timeLeftTTL {
-		return p.timeLeft
+func (s *Scheduler) expectedTimeToEnd(p *phase) time.Duration {
+	if !p.timeToEndAt.IsZero() && s.now.Sub(p.timeToEndAt) < timeToEndTTL {
+		return p.timeToEnd
 	}
 	phases := p.job.Spec.Phases
-	timeLeft := make([]time.Duration, len(phases))
+	timesToEnd := make([]time.Duration, len(phases))
 	for i := len(phases) - 1; i >= p.id.Phase; i-- {
-		timeLeft[i] += s.estimator.Predict(p.job.Spec.Queue, phases[i].Estimate)
+		timesToEnd[i] += s.estimator.Predict(p.job.Spec.Queue, phases[i].Estimate)
 		for _, a := range phases[i].After {
-			timeLeft[a] = max(timeLeft[a], timeLeft[i])
+			timesToEnd[a] = max(timesToEnd[a], timesToEnd[i])
 		}
 	}
-	p.timeLeft, p.timeLeftAt = timeLeft[p.id.Phase], s.now
-	return p.timeLeft
+	p.timeToEnd, p.timeToEndAt = timesToEnd[p.id.Phase], s.now
+	return p.timeToEnd
 }
 
 // startable reports whether the phase has tasks that may be placed now. A gang
@@ -183,9 +183,9 @@
 	if team == nil {
 		return true
 	}
-	// Runs of an earlier owner that are not known yet cannot exceed the room of
-	// the workers that have not reported.
-	used := s.used[p.job.Spec.Team].Add(s.unresolvedNeed[p.job.Spec.Team].Min(s.unreportedRoom))
+	// Runs of an earlier owner that are not known yet cannot exceed the capacity
+	// of the workers that have not reported.
+	used := s.used[p.job.Spec.Team].Add(s.unresolvedNeed[p.job.Spec.Team].Min(s.unreportedCapacity))
 	for _, d := range [][3]int64{
 		{need.Cores, used.Cores, team.Limit.Cores}, {need.Memory, used.Memory, team.Limit.Memory}, {need.Accel, used.Accel, team.Limit.Accel},
 	} {
@@ -240,8 +240,8 @@
 // would leave little free room on, that is fast, and that is in the rack of the
 // data.
 func (p *phase) score(w *Worker, need core.Resources) float64 {
-	room := max(w.info.Capacity.Cores, 1)
-	score := float64(w.free.Cores-need.Cores)/float64(room) + slownessWeight*w.slowness
+	capacity := max(w.info.Capacity.Cores, 1)
+	score := float64(w.free.Cores-need.Cores)/float64(capacity) + slownessWeight*w.slowness
 	if p.spec.Rack != "" && p.spec.Rack != w.info.Rack {
 		score += p.job.scheduler.limits.RemoteFactor
 	}
@@ -337,11 +337,11 @@
 	if p.spec.SameRack {
 		free = oneRack(free, p.spec.Count)
 	}
-	room := 0
+	slots := 0
 	for _, f := range free {
-		room = min(room+f.slots, p.spec.Count)
+		slots = min(slots+f.slots, p.spec.Count)
 	}
-	if room < p.spec.Count {
+	if slots < p.spec.Count {
 		return fmt.Sprintf("%s (gang of %d tasks)", p.noFreeWorkerReason(), p.spec.Count)
 	}
 	run := p.nextRun(p.gangRun)
@@ -361,7 +361,7 @@
 }
 
 // oneRack returns the workers of the best rack with room for the whole gang, or
-// all workers if no rack has it.
+// all workers if no rack has that much.
 func oneRack(workers []freeWorker, count int) []freeWorker {
 	racks := map[string][]freeWorker{}
 	var names []string
@@ -373,11 +373,11 @@
 		racks[rack] = append(racks[rack], f)
 	}
 	for _, name := range names {
-		room := 0
+		slots := 0
 		for _, f := range racks[name] {
-			room = min(room+f.slots, count)
+			slots = min(slots+f.slots, count)
 		}
-		if room == count {
+		if slots == count {
 			return racks[name]
 		}
 	}
--- a/core/fleet/place_test.go
+++ b/core/fleet/place_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// TestStuckRun checks that a run without progress is stopped and its task started on
+// TestStalledRun checks that a run without progress is stopped and its task started on
 // another worker, and that a run with progress is not stopped.
-func TestStuckRun(t *testing.T) {
+func TestStalledRun(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1, 2)
 	f.registerWorkers()
@@ -63,10 +63,10 @@
 	is.True(again[0].Worker != s.Worker)
 }
 
-// TestSlowProgressIsNotStuck checks that two kinds of runs are not stopped: a run of
+// TestSlowProgressIsNotStalled checks that two kinds of runs are not stopped: a run of
 // minutes whose percentage does not change for seconds, and a run whose worker reports no
 // progress at all.
-func TestSlowProgressIsNotStuck(t *testing.T) {
+func TestSlowProgressIsNotStalled(t *testing.T) {
 	for name, reported := range map[string]bool{"slow percent": true, "no percent": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -204,20 +204,20 @@
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
 }
 
-// fakeTurns is a fleet.Turns that allows one advice request at a time.
-type fakeTurns struct {
+// fakePeers is a fleet.AdvicePeers that accepts one advice request at a time.
+type fakePeers struct {
 	busy     bool
 	requests []fleet.AdviceRequest
 }
 
-// HasCapacity implements fleet.Turns.
-func (t *fakeTurns) HasCapacity(time.Duration) bool { return !t.busy }
+// HasCapacity implements fleet.AdvicePeers.
+func (t *fakePeers) HasCapacity(time.Duration) bool { return !t.busy }
 
-// MostlyIdle implements fleet.Turns.
-func (t *fakeTurns) MostlyIdle() bool { return !t.busy }
+// MostlyIdle implements fleet.AdvicePeers.
+func (t *fakePeers) MostlyIdle() bool { return !t.busy }
 
-// Send implements fleet.Turns.
-func (t *fakeTurns) Send(a fleet.AdviceRequest) {
+// Send implements fleet.AdvicePeers.
+func (t *fakePeers) Send(a fleet.AdviceRequest) {
 	t.requests = append(t.requests, a)
 	t.busy = true
 }
@@ -236,21 +236,21 @@
 	f.registerWorkers()
 	f.Accept(f.now, newJob("j", 1, false))
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
-	turns := &fakeTurns{}
-	f.AdviceRequests(f.now, turns)
-	is.Equal(len(turns.requests), 1)
-	is.Equal(len(turns.requests[0].Workers), 4)
-	turns.busy = false
-	f.AdviceRequests(f.now, turns)
-	is.Equal(len(turns.requests), 1) // one request for a phase at a time
+	peers := &fakePeers{}
+	f.AdviceRequests(f.now, peers)
+	is.Equal(len(peers.requests), 1)
+	is.Equal(len(peers.requests[0].Workers), 4)
+	peers.busy = false
+	f.AdviceRequests(f.now, peers)
+	is.Equal(len(peers.requests), 1) // one request for a phase at a time
 	allowed := []fleet.AllowedWorker{{Worker: "w2", Ticket: "good"}}
-	f.AdviceReceived(f.now, turns.requests[0].Phase, turns.requests[0].Workers, allowed, time.Second)
+	f.AdviceReceived(f.now, peers.requests[0].Phase, peers.requests[0].Workers, allowed, time.Second)
 	f.advance(time.Second) // the ticket has expired
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
-	f.AdviceRequests(f.now, turns)
-	is.Equal(len(turns.requests), 2)
-	is.Equal(turns.requests[1].Workers, []core.WorkerID{"w2"})
-	f.AdviceReceived(f.now, turns.requests[1].Phase, turns.requests[1].Workers, allowed, time.Second)
+	f.AdviceRequests(f.now, peers)
+	is.Equal(len(peers.requests), 2)
+	is.Equal(peers.requests[1].Workers, []core.WorkerID{"w2"})
+	f.AdviceReceived(f.now, peers.requests[1].Phase, peers.requests[1].Workers, allowed, time.Second)
 	starts := f.nextOrders(fleet.OrderStart)
 	is.Equal(len(starts), 1)
 	is.Equal(starts[0].Worker, core.WorkerID("w2"))
@@ -269,22 +269,22 @@
 	f.Scheduler = fleet.New(startTime, 1, fleet.Limits{Lease: leaseDuration, RemoteFactor: 1}, p)
 	f.registerWorkers()
 	f.Accept(f.now, newJob("j", 1, false))
-	turns := &fakeTurns{}
-	f.AdviceRequests(f.now, turns)
+	peers := &fakePeers{}
+	f.AdviceRequests(f.now, peers)
 	allowed := []fleet.AllowedWorker{{Worker: "w0", Ticket: "a"}, {Worker: "w1", Ticket: "b"}, {Worker: "w2", Ticket: "c"}}
-	f.AdviceReceived(f.now, turns.requests[0].Phase, turns.requests[0].Workers, allowed, time.Second)
+	f.AdviceReceived(f.now, peers.requests[0].Phase, peers.requests[0].Workers, allowed, time.Second)
 	s := f.nextOrders(fleet.OrderStart)[0]
 	f.StartAnswered(f.now, s.Worker, s.Task, s.Run, fleet.ReplyBadTicket)
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 0)
-	turns.busy = false
-	f.AdviceRequests(f.now, turns)
-	is.Equal(len(turns.requests), 2)
+	peers.busy = false
+	f.AdviceRequests(f.now, peers)
+	is.Equal(len(peers.requests), 2)
 }
 
-// TestServiceOrder checks the order in which jobs start on a full fleet: first jobs within
+// TestStartOrder checks the order in which jobs start on a full fleet: first jobs within
 // their team's share that can end on time, then late jobs, then jobs beyond the share.
 // The late job and the job beyond the share start in the end too.
-func TestServiceOrder(t *testing.T) {
+func TestStartOrder(t *testing.T) {
 	is := is.New(t)
 	p := policy.New(1,
 		[]policy.Queue{{Name: "q", Host: "h", Prefix: "/", Service: "s", Attempts: 3, Slowdown: 2, Latency: time.Second}},
@@ -316,8 +316,8 @@
 	is.Equal(fmt.Sprint(order), "[flood0 fresh late flood1]")
 }
 
-// TestExpired checks that an ended job is kept for as long as clients may ask for it.
-func TestExpired(t *testing.T) {
+// TestForgetExpired checks that an ended job is kept for as long as clients may query it.
+func TestForgetExpired(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1, 1)
 	f.registerWorkers()
@@ -337,8 +337,8 @@
 }
 
 // TestUncertainDeadline checks the order of two jobs on a full fleet: one would be late if
-// it took any longer than expected, the other has time to spare. The other starts first,
-// because both would be late otherwise.
+// it took any longer than expected, the other has time to spare. The latter starts
+// first, because otherwise both would probably be late.
 func TestUncertainDeadline(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1, 1)
--- a/core/fleet/roomhint.go
+++ b/core/fleet/roomhint.go
@@ -19,8 +19,8 @@
 	RoomHintInterval = 250 * time.Millisecond
 	// RoomHintTTL is how long a room hint is used.
 	RoomHintTTL = 4 * RoomHintInterval
-	// A room hint names workers with at least 1/roomHintDivisor of their room
-	// free.
+	// A room hint names workers with at least 1/roomHintDivisor of their
+	// capacity free.
 	roomHintDivisor = 6
 	// maxRoomHint bounds the workers of a hint, to limit traffic between the
 	// VMs.
@@ -34,8 +34,8 @@
 	s.now = now
 	var out []core.WorkerID
 	for _, w := range s.sortedWorkers {
-		room := w.info.Capacity
-		if w.usable() && w.free.Cores >= room.Cores/roomHintDivisor && w.free.Memory >= room.Memory/roomHintDivisor {
+		capacity := w.info.Capacity
+		if w.usable() && w.free.Cores >= capacity.Cores/roomHintDivisor && w.free.Memory >= capacity.Memory/roomHintDivisor {
 			out = append(out, w.id)
 		}
 	}
@@ -64,14 +64,14 @@
 	return out[:min(len(out), earlyRequestSize(advisor, spec.Phases[0].Count))]
 }
 
-// earlyRequestSize is how many workers a request names if neither their room
-// nor the share that the advisor allows is known.
+// earlyRequestSize returns how many workers a request names if neither their
+// room nor the share that the advisor allows is known.
 func earlyRequestSize(advisor policy.Advisor, tasks int) int {
 	return min(max(int(math.Ceil(requestMargin*float64(tasks)/priorAllowedShare)), cheapRequestSize(advisor)), maxRequestWorkers)
 }
 
-// cheapRequestSize is the fewest workers that a request names, if there are as
-// many: naming them takes only half as long as the call's base time.
+// cheapRequestSize returns the fewest workers that a request names, if there
+// are as many: naming them takes only half as long as the call's base time.
 func cheapRequestSize(advisor policy.Advisor) int {
 	if advisor.PerWorker <= 0 {
 		return maxRequestWorkers
--- a/core/fleet/scheduler.go
+++ b/core/fleet/scheduler.go
@@ -74,10 +74,10 @@
 	// has not reported, unresolvedNeed what those of each team would take.
 	unresolved     map[*Task]struct{}
 	unresolvedNeed map[core.Team]core.Resources
-	// unreportedRoom is the total room of the workers that have not reported.
-	// It is updated only while tasks are unresolved.
-	unreportedRoom core.Resources
-	shares         map[core.Team]*teamShare
+	// unreportedCapacity is the total capacity of the workers that have not
+	// reported. It is updated only while tasks are unresolved.
+	unreportedCapacity core.Resources
+	shares             map[core.Team]*teamShare
 	// adviceStats counts how many of the workers named for a queue were
 	// allowed.
 	adviceStats map[core.Queue]adviceStats
@@ -85,12 +85,12 @@
 	rosterVersion uint64
 	// listedAt is when the list of workers was last read.
 	listedAt time.Time
-	// settled is set once every worker that an earlier owner may have used has
+	// allReported is set once every worker that an earlier owner may have used has
 	// reported.
-	settled bool
-	// A job whose FirstEpoch is at least ownEpoch cannot have been started by
-	// an earlier owner, nor by this one before it lost its state.
-	ownEpoch core.Epoch
+	allReported bool
+	// The tasks of a job whose FirstEpoch is lower than recoverBefore may have
+	// been started by an earlier owner, or by this one before it lost its state.
+	recoverBefore core.Epoch
 
 	// dirty holds the jobs whose progress must be stored, inFlight those in the
 	// batch whose outcome is not known yet.
@@ -100,7 +100,7 @@
 	// the store; those up to inFlightSeq will be once the batch in flight is
 	// stored.
 	changeSeq, inFlightSeq, storedSeq uint64
-	// closed holds the ended jobs, the first to end in front.
+	// closed holds the jobs whose end has been stored, the oldest end first.
 	closed []closedJob
 
 	// orders, decisions and refusals hold what the caller has not collected
@@ -163,13 +163,13 @@
 // WithLostState marks an owner that has already made decisions under its epoch
 // and has lost its state.
 func WithLostState() Option {
-	return func(s *Scheduler) { s.settled, s.ownEpoch = false, s.epoch+1 }
+	return func(s *Scheduler) { s.allReported, s.recoverBefore = false, s.epoch+1 }
 }
 
 // New returns a scheduler without jobs and workers for a new owner's epoch.
 func New(now time.Time, epoch core.Epoch, limits Limits, p *policy.Policy, opts ...Option) *Scheduler {
 	s := &Scheduler{
-		epoch: epoch, ownEpoch: epoch, now: now, settled: epoch <= 1, limits: limits.bounded(), policy: p, estimator: cell.NewEstimator(),
+		epoch: epoch, recoverBefore: epoch, now: now, allReported: epoch <= 1, limits: limits.bounded(), policy: p, estimator: cell.NewEstimator(),
 		jobs: map[core.JobID]*Job{}, workers: map[core.WorkerID]*Worker{},
 		openPhases: map[*phase]struct{}{}, futurePhases: map[*phase]struct{}{},
 		used: map[core.Team]core.Resources{}, shares: map[core.Team]*teamShare{}, adviceStats: map[core.Queue]adviceStats{}, unresolved: map[*Task]struct{}{}, unresolvedNeed: map[core.Team]core.Resources{}, dirty: map[core.JobID]*Job{},
@@ -259,12 +259,12 @@
 
 // recoverJob recovers the runs of a job that an earlier owner may have started.
 // Unless the job's FirstEpoch excludes that, any of its tasks may be running
-// until every worker has reported and its listed ends have been handled.
+// until every worker has reported and the ends that it lists have been handled.
 func (s *Scheduler) recoverJob(j *Job) {
-	if j.ended() || j.Spec.FirstEpoch >= s.ownEpoch {
+	if j.ended() || j.Spec.FirstEpoch >= s.recoverBefore {
 		return
 	}
-	mayHaveRun := !s.settled || s.hasUnreportedWorkers()
+	mayHaveRun := !s.allReported || s.hasUnreportedWorkers()
 	for _, w := range s.sortedWorkers {
 		for id := range w.unknownRuns {
 			mayHaveRun = mayHaveRun || id.Job == j.Spec.ID
@@ -392,7 +392,7 @@
 	}
 }
 
-// forgetOldest forgets the job that ended first and returns its name.
+// forgetOldest forgets the job whose end was stored first and returns its ID.
 func (s *Scheduler) forgetOldest() core.JobID {
 	id := s.closed[0].job
 	s.closed = s.closed[1:]
@@ -400,8 +400,8 @@
 	return id
 }
 
-// ForgetExpired forgets and returns at most limit jobs that ended longer than keep
-// ago, so that their rows can be deleted.
+// ForgetExpired forgets and returns at most limit jobs whose end was stored
+// longer than keep ago, so that their rows can be deleted.
 func (s *Scheduler) ForgetExpired(now time.Time, keep time.Duration, limit int) []core.JobID {
 	var out []core.JobID
 	for len(s.closed) > 0 && len(out) < limit && now.Sub(s.closed[0].storedAt) > keep {
@@ -434,7 +434,7 @@
 	s.needsPlacement = true
 }
 
-// task returns the named task, or nil if it is unknown.
+// task returns the task with the given ID, or nil if it is unknown.
 func (s *Scheduler) task(id jobs.TaskID) *Task {
 	j := s.jobs[id.Job]
 	if j == nil || id.Phase >= len(j.Spec.Phases) || id.Occurrence >= j.Spec.Occurrences() {
@@ -447,17 +447,17 @@
 	return p.tasks[id.Index]
 }
 
-// AllReported reports whether every worker that an earlier owner may have used has
-// reported.
-func (s *Scheduler) AllReported() bool { return s.settled }
+// AllReported reports whether every worker that an earlier owner may have used
+// has reported.
+func (s *Scheduler) AllReported() bool { return s.allReported }
 
 // resolveRecovered lets the unresolved tasks start once every worker has
 // reported: a run that no worker listed does not exist.
 func (s *Scheduler) resolveRecovered() {
-	if s.settled && len(s.unresolved) == 0 || s.hasUnreportedWorkers() {
+	if s.allReported && len(s.unresolved) == 0 || s.hasUnreportedWorkers() {
 		return
 	}
-	s.settled = true
+	s.allReported = true
 	s.needsPlacement = true
 	phases := map[*phase]struct{}{}
 	for t := range s.unresolved {
@@ -481,8 +481,8 @@
 // without the scheduler's knowledge.
 func (w *Worker) unreported() bool { return w.state == workerFresh || !w.blockedSince.IsZero() }
 
-// sumUnreportedRoom returns the total room of the unreported workers.
-func (s *Scheduler) sumUnreportedRoom() core.Resources {
+// sumUnreportedCapacity returns the total capacity of the unreported workers.
+func (s *Scheduler) sumUnreportedCapacity() core.Resources {
 	var sum core.Resources
 	for _, w := range s.sortedWorkers {
 		if w.unreported() {
--- a/core/fleet/share.go
+++ b/core/fleet/share.go
@@ -6,8 +6,8 @@
 	"chicoryturn/core"
 )
 
-// A team may exceed its share by the jobs of shareBurst before its jobs rank
-// behind all others.
+// A team may submit at once as many jobs as its share allows in shareBurst;
+// further jobs rank behind all others.
 const shareBurst = 2 * time.Second
 
 // teamShare is a token bucket that measures the jobs that a team submits
--- a/core/fleet/takeover_test.go
+++ b/core/fleet/takeover_test.go
@@ -139,11 +139,11 @@
 	is.Equal(len(f.nextOrders(fleet.OrderStart)), 1)
 }
 
-// TestWorkerLeaves checks when the task of a worker that the platform no longer lists
+// TestUnlistedWorker checks when the task of a worker that the platform no longer lists
 // may start on another worker at once. Cases: whether the worker's last entry said that
 // it was leaving, how long before the entry disappeared it was renewed, and whether the
 // task starts at once.
-func TestWorkerLeaves(t *testing.T) {
+func TestUnlistedWorker(t *testing.T) {
 	for name, c := range map[string]struct {
 		leaving      bool
 		sinceRenewal time.Duration
@@ -179,10 +179,10 @@
 	}
 }
 
-// TestIdleWorkerLeaves checks that an idle worker is removed from the roster soon after
+// TestUnlistedIdleWorker checks that an idle worker is removed from the roster soon after
 // it has stopped answering and the platform no longer lists it, so that a later owner
 // need not wait for it.
-func TestIdleWorkerLeaves(t *testing.T) {
+func TestUnlistedIdleWorker(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(1, 2)
 	f.registerWorkers()
--- a/core/fleet/task.go
+++ b/core/fleet/task.go
@@ -19,11 +19,11 @@
 	// time between two such updates.
 	minProgressTime  = 400 * time.Millisecond
 	progressInterval = 250 * time.Millisecond
-	// stallTimeout is how long a run may report no progress before it is
-	// stopped and started on another worker; for long runs it is a tenth of
-	// their expected run time. Workers described as slow take 6.5 times as
-	// long, so even there one percent of a run takes only 6.5 % of the expected
-	// run time.
+	// stallTimeout is how long the progress of a run may stay unchanged before
+	// the run is stopped and the task starts on another worker; for long runs it
+	// is a tenth of their expected run time. On a slow worker, a run takes 6.5
+	// times the expected run time, so one percent of it takes 6.5 % of that
+	// time, still less than a tenth.
 	stallTimeout = 2500 * time.Millisecond
 	stallDivisor = 10
 )
@@ -55,14 +55,14 @@
 	// changed.
 	percent           int
 	progressChangedAt time.Time
-	// speedReadAt is when the progress was last used to learn the worker's
-	// slowness.
-	speedReadAt time.Time
+	// slownessLearnedAt is when the progress was last used to learn the worker's
+	// slowness; at first, when the task was placed.
+	slownessLearnedAt time.Time
 	// avoid holds the workers on which the task has failed or stalled.
 	avoid core.Set[core.WorkerID]
 }
 
-// ID returns the task's name.
+// ID returns the task's ID.
 func (t *Task) ID() jobs.TaskID { return jobs.TaskID{PhaseID: t.phase.id, Index: t.index} }
 
 // position returns the task's position in the job's progress.
@@ -97,7 +97,7 @@
 	s := t.phase.job.scheduler
 	t.worker, t.placedAt, t.startedAt = t.eventWorker, s.now, time.Time{}
 	t.stopSentAt, t.stopAckedAt = time.Time{}, time.Time{}
-	t.percent, t.progressChangedAt, t.speedReadAt = 0, s.now, s.now
+	t.percent, t.progressChangedAt, t.slownessLearnedAt = 0, s.now, s.now
 	t.reserved = t.phase.need()
 	t.worker.tasks[t.ID()] = t
 	t.worker.free = t.worker.free.Sub(t.reserved)
@@ -199,7 +199,7 @@
 }
 
 // detachRun turns the task's run into an orphaned run, which holds its room
-// until the worker has listed its end.
+// until the worker lists its end.
 func (t *Task) detachRun() {
 	w, run, reserved := t.worker, t.run, t.reserved
 	t.fire(taskCut)
--- a/core/fleet/worker.go
+++ b/core/fleet/worker.go
@@ -26,9 +26,11 @@
 	// An entry that is removed more than drainMargin before the platform's
 	// ListTimeout was removed because its worker drained.
 	drainMargin = 1500 * time.Millisecond
-	// maxListGap is the longest interval between two readings of the list over
-	// which a worker that is missing from both counts as continuously missing.
-	maxListGap = 1500 * time.Millisecond
+	// maxOwnerGap is the longest interval between two readings of the list by
+	// the owner over which a worker that is missing from both counts as
+	// continuously missing. It is shorter than maxTrackerGap since the owner
+	// reads the list every 500 ms.
+	maxOwnerGap = 1500 * time.Millisecond
 	// maxFailedInRow is how many consecutive runs must fail on a worker before
 	// it is set aside.
 	maxFailedInRow = 3
@@ -42,9 +44,10 @@
 type WorkerInfo struct {
 	core.VM
 	Labels []string
-	// LeavesIn is the shortest time until a leaving worker is gone.
+	// LeavesIn is the least time until a leaving worker ends.
 	LeavesIn time.Duration `json:"Left"`
-	// Incarnation identifies the incarnation, as far as the list names it.
+	// Incarnation identifies the worker's incarnation; zero if the list does not
+	// contain it.
 	Incarnation time.Time `json:"Born"`
 	// Renewals changes whenever the worker renews its entry.
 	Renewals uint64 `json:"Beat"`
@@ -76,8 +79,8 @@
 	// inRoster is set once this incarnation is in the stored roster, which a
 	// later owner reads.
 	inRoster bool
-	// listed is set while the platform lists the worker. If it does not,
-	// missingSince is when that was first seen.
+	// listed is set while the platform lists the worker; if it is not set,
+	// missingSince is when the worker was first found missing.
 	listed       bool
 	missingSince time.Time
 	// renewedAt is when the last renewal of the entry was seen.
@@ -89,7 +92,7 @@
 	// unknownRuns holds the runs of jobs that the scheduler does not know.
 	// While there are any, nothing is placed on the worker.
 	unknownRuns map[jobs.TaskID]uint64
-	// blockedSince is since when the end of an unknown job's run has kept later
+	// blockedSince is when the end of an unknown job's run began to keep later
 	// ends from being handled; zero if none does.
 	blockedSince time.Time
 
@@ -150,13 +153,13 @@
 	s.needsPlacement = true
 }
 
-// RestoreRoster adds the workers of the stored roster, which earlier owners may have
-// used. For workers that this process has found missing from the platform's
-// list, absent holds since when.
-func (s *Scheduler) RestoreRoster(infos []WorkerInfo, absent map[core.WorkerID]time.Time) {
+// RestoreRoster adds the workers of the stored roster, which earlier owners may
+// have used. For the workers that are missing from the platform's list,
+// missingSince holds when this process first found them missing.
+func (s *Scheduler) RestoreRoster(infos []WorkerInfo, missingSince map[core.WorkerID]time.Time) {
 	for _, info := range infos {
 		if s.workers[info.ID()] == nil {
-			s.addWorker(info.ID(), info).missingSince = absent[info.ID()]
+			s.addWorker(info.ID(), info).missingSince = missingSince[info.ID()]
 		}
 	}
 }
@@ -223,16 +226,16 @@
 	w.info = info
 }
 
-// handleUnlisted handles a list without the worker. A worker that still answers
-// keeps its runs. One that does not is gone at once if it has drained, after
-// goneDelay if it has no runs, and otherwise once its lease has certainly
-// expired. The platform removes an entry only after ListTimeout without
-// contact, so that much of the lease of a worker that has never answered this
-// owner has already passed.
+// handleUnlisted handles a list without the worker. A worker that has drained is
+// gone at once, and any other that still answers keeps its runs. One that does
+// not answer is gone after goneDelay if it has no runs, and otherwise once its
+// lease has certainly expired. The platform removes an entry only after
+// ListTimeout without contact, so that much of the lease of a worker that has
+// never answered this owner has already passed.
 func (w *Worker) handleUnlisted() {
 	s := w.scheduler
 	w.listed = false
-	if w.missingSince.IsZero() || !s.listedAt.IsZero() && s.now.Sub(s.listedAt) > maxListGap {
+	if w.missingSince.IsZero() || !s.listedAt.IsZero() && s.now.Sub(s.listedAt) > maxOwnerGap {
 		w.missingSince = s.now
 	}
 	missing := s.now.Sub(w.missingSince)
@@ -257,7 +260,8 @@
 	return w.info.Leaving && !w.renewedAt.IsZero() && s.now.Sub(w.renewedAt) < s.limits.ListTimeout-drainMargin
 }
 
-// hasNoRuns reports whether the worker has no runs and none can start there.
+// hasNoRuns reports whether the worker has no runs, none can start there, and
+// all ends that have been handled are acknowledged.
 func (w *Worker) hasNoRuns() bool {
 	return len(w.tasks) == 0 && len(w.orphans) == 0 && len(w.unknownRuns) == 0 && w.blockedSince.IsZero() && w.ackedEnd == w.handledEnd
 }
@@ -317,7 +321,7 @@
 }
 
 // extendLease returns the end of a full lease that starts now, on the worker's
-// clock, and records it as sent.
+// clock, and records it in leaseUntil.
 func (w *Worker) extendLease() time.Duration {
 	if w.answeredAt.IsZero() {
 		return 0
