--- a/core/fleet/advice_test.go
+++ b/core/fleet/advice_test.go
@@ -56,7 +56,7 @@
 	namedWorkers := func(id string, count int, gang bool) []core.WorkerID {
 		f.Accept(f.now, newJob(id, count, gang))
 		f.nextOrders(fleet.OrderStart)
-		peers := &fakeAdvicePeers{}
+		peers := &fakePeers{}
 		f.AdviceRequests(f.now, peers)
 		is.Equal(len(peers.requests), 1)
 		is.Equal(peers.requests[0].Phase.Job, core.JobID(id))
@@ -79,7 +79,7 @@
 	f := newHalfFullFixture(is, 300)
 	f.Accept(f.now, newJob("g", 40, true))
 	f.nextOrders(fleet.OrderStart)
-	peers := &fakeAdvicePeers{}
+	peers := &fakePeers{}
 	f.AdviceRequests(f.now, peers)
 	first := peers.requests[0]
 	f.AdviceReceived(f.now, first.Phase, first.Workers, []fleet.AllowedWorker{{Worker: first.Workers[0], Ticket: "a"}}, time.Second)
@@ -112,7 +112,7 @@
 // for the workers that allows accepts. It reports whether, within 10 s, the given number of
 // tasks start in one tick.
 func (f *fixture) startsTogether(tasks int, ticketTTL time.Duration, allows func(core.WorkerID) bool) bool {
-	peers := &fakeAdvicePeers{}
+	peers := &fakePeers{}
 	var answerAt time.Time
 	for began := f.now; f.now.Sub(began) < 10*time.Second; f.advance(20 * time.Millisecond) {
 		for _, w := range f.workers {
