--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -21,11 +21,12 @@
 	// defaultStartDelay is the time from submission to the latest start of a
 	// job that declares neither a start nor a due time.
 	defaultStartDelay = time.Hour
-	// longPollDivisor divides the lease time of a worker into the duration of
-	// one long poll.
+	// longPollDivisor is the number of long polls per lease of a worker: a long
+	// poll lasts at most a third of the lease, so that the lease is renewed well
+	// before it expires.
 	longPollDivisor = 3
-	// retryDivisor divides the lease time into the delay before a failed
-	// heartbeat is retried.
+	// retryDivisor is the number of retry delays per lease: a failed heartbeat is
+	// retried after a twelfth of the lease.
 	retryDivisor = 12
 	// maxBatchEntries is the maximum number of journal entries in one write.
 	maxBatchEntries = 2000
@@ -80,7 +81,8 @@
 	limits    Limits
 	// now is the time passed to the current call.
 	now time.Time
-	// loading is set while Load replays entries, which must not be written again.
+	// loading is set while LoadJournal replays entries, which must not be written
+	// again.
 	loading bool
 
 	workers map[core.WorkerID]*Worker
@@ -92,7 +94,7 @@
 	// cell. Tasks are placed only on these, so that the next owner knows all
 	// workers that may run tasks.
 	recordedWorkers core.Set[core.WorkerID]
-	// lastOrder is the order number of the newest heartbeat of this epoch.
+	// lastOrder is the Order of the newest heartbeat of this epoch.
 	lastOrder uint64
 	// runCount is the number of runs assigned in this epoch.
 	runCount  uint64
@@ -126,7 +128,9 @@
 	counts        Counts
 }
 
-// Counts are running totals for metrics.
+// Counts are running totals for metrics: runs assigned to a worker (Starts), runs
+// that are done (Ends), runs lost with their worker (Lapses), and tasks preempted
+// to make room for another task (Yields).
 type Counts struct {
 	Starts, Ends, Lapses, Yields uint64
 }
@@ -136,7 +140,7 @@
 	team core.Team
 	// jobs holds the jobs with queued tasks, ordered by latest start.
 	jobs *btree.BTreeG[*Job]
-	// queuedCores is the sum over the queued tasks, in thousandths of a core.
+	// queuedCores is the cores of all queued tasks, in thousandths of a core.
 	queuedCores int64
 }
 
@@ -199,8 +203,8 @@
 	c.needsPlan = true
 }
 
-// SetRemoteUse sets the cores that a team uses in other cells and the cores of
-// the whole fleet, in thousandths of a core.
+// SetRemoteUse sets the cores that count as a team's use in other cells and the
+// cores of the whole fleet, both in thousandths of a core.
 func (c *Cell) SetRemoteUse(team core.Team, cores, fleetCores int64) {
 	c.shares.SetRemoteUse(team, cores, fleetCores)
 }
@@ -229,7 +233,8 @@
 	c.checkBlocked()
 }
 
-// addWorker adds a worker, and a journal entry unless it is already recorded.
+// addWorker adds a worker. It also adds a journal entry unless the worker is
+// already recorded.
 func (c *Cell) addWorker(id core.WorkerID) *Worker {
 	w := &Worker{
 		id: id, cell: c, state: workerChart.Start(), health: healthChart.Start(), lastReportAt: c.now,
@@ -283,7 +288,7 @@
 		c.roomIndex.Remove(w.id)
 		return
 	}
-	c.roomIndex.Put(w.id, w.free, w.room)
+	c.roomIndex.Put(w.id, w.free, w.capacity)
 	c.needsPlan = true
 }
 
@@ -423,14 +428,13 @@
 		}
 		sum = sum.Add(t.Need)
 	}
-	if spec.Kind == rules.Gang && !sum.FitsIn(c.totalRoom()) {
+	if spec.Kind == rules.Gang && !sum.FitsIn(c.totalCapacity()) {
 		return core.Refuse(core.CodeTooLarge, "the job's tasks together are larger than cell %s", c.id)
 	}
 	return nil
 }
 
-// fitsAnyWorker reports whether a task would fit on some worker if it were
-// empty.
+// fitsAnyWorker reports whether a worker of the cell has the capacity for a task.
 func (c *Cell) fitsAnyWorker(need core.Resources) bool {
 	for _, w := range c.workersByID {
 		if need.FitsIn(w.vm.Capacity) {
@@ -440,8 +444,8 @@
 	return false
 }
 
-// totalRoom returns the sum of the listed room of all workers.
-func (c *Cell) totalRoom() core.Resources {
+// totalCapacity returns the sum of the listed capacity of all workers.
+func (c *Cell) totalCapacity() core.Resources {
 	sum := core.Resources{}
 	for _, w := range c.workersByID {
 		sum = sum.Add(w.vm.Capacity)
@@ -449,8 +453,8 @@
 	return sum
 }
 
-// Cancel cancels a job. Its queued tasks end at once, the others when their
-// workers have confirmed the stop.
+// Cancel cancels a job. Its queued and held tasks end at once, the others when
+// their workers have confirmed the stop.
 func (c *Cell) Cancel(now time.Time, id core.JobID) error {
 	c.now = now
 	j := c.jobs[id]
@@ -470,7 +474,7 @@
 	return nil
 }
 
-// Job returns one job.
+// Job returns the state of one job for display.
 func (c *Cell) Job(id core.JobID) (View, bool) {
 	j := c.jobs[id]
 	if j == nil {
@@ -479,8 +483,8 @@
 	return j.View(), true
 }
 
-// List returns up to limit jobs of a team, newest first. An empty team means all
-// teams.
+// List returns the state of up to limit jobs of a team, newest first. An empty
+// team means all teams.
 func (c *Cell) List(team core.Team, limit int) []View {
 	var out []View
 	jobs := c.sortedJobs()
@@ -501,7 +505,7 @@
 	return &j.tasks[id.Index]
 }
 
-// recordSuccess counts a task that is done and passes its run time to the
+// recordSuccess counts a run that is done and passes its run time to the
 // estimator.
 func (c *Cell) recordSuccess(t *Task, elapsed time.Duration) {
 	c.counts.Ends++
--- a/core/cell/cell_test.go
+++ b/core/cell/cell_test.go
@@ -15,9 +15,9 @@
 )
 
 var (
-	addr = netip.MustParseAddrPort("127.0.0.1:1")
-	room = core.Resources{Cores: 8000, Memory: 8192}
-	id   = core.CellID{Region: "r"}
+	addr     = netip.MustParseAddrPort("127.0.0.1:1")
+	capacity = core.Resources{Cores: 8000, Memory: 8192}
+	id       = core.CellID{Region: "r"}
 )
 
 // limits is a fake of cell.Limits with fixed parts; a limit without a part is
@@ -55,7 +55,7 @@
 	h.cell.LoadJournal(h.now, entries)
 	var vms []core.VM
 	for i := range workers {
-		vms = append(vms, core.VM{Name: fmt.Sprintf("w%d", i), Kind: "worker", Addr: addr, Region: "r", Capacity: room})
+		vms = append(vms, core.VM{Name: fmt.Sprintf("w%d", i), Kind: "worker", Addr: addr, Region: "r", Capacity: capacity})
 	}
 	h.cell.SetWorkers(h.now, vms)
 	h.storeBatches()
@@ -106,7 +106,7 @@
 			}
 		}
 		h.seq++
-		answer := cell.Report{Stamp: "s", Incarnation: "b", Seq: h.seq, Full: true, Room: room}
+		answer := cell.Report{Stamp: "s", Incarnation: "b", Seq: h.seq, Full: true, Room: capacity}
 		for _, report := range tasks {
 			answer.Tasks = append(answer.Tasks, report)
 		}
@@ -273,9 +273,9 @@
 	}
 }
 
-// TestRemovedWorker checks that a worker that was removed from the list before
-// the takeover holds tasks back until its lease has expired, and is then
-// removed from the journal.
+// TestRemovedWorker checks that a new owner does not start older tasks until the
+// lease of a worker that was removed from the list before the takeover has
+// expired, and that the worker is then removed from the journal.
 func TestRemovedWorker(t *testing.T) {
 	is := is.New(t)
 	old := newSpec("old", "a", rules.Batch, 1, core.Resources{Cores: 1000})
@@ -294,9 +294,9 @@
 	}
 }
 
-// TestRecharge checks that a task that uses more than it declared takes the
-// room that it uses, and that all of it is freed when the task ends.
-func TestRecharge(t *testing.T) {
+// TestAllocationFollowsUse checks that a task that uses more than it declared takes
+// the room that it uses, and that all of it is freed when the task ends.
+func TestAllocationFollowsUse(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1, nil)
 	h.answerHeartbeats(allWorkers)
@@ -329,7 +329,7 @@
 	task := core.TaskID{Job: core.NewJobID(id, "one")}
 	first := h.tasks["w0"][task]
 	first.State = cell.TaskStopped
-	lateReport := cell.Report{Stamp: "s", Incarnation: "b", Seq: h.seq + 1, Room: room, Tasks: []cell.TaskReport{first}}
+	lateReport := cell.Report{Stamp: "s", Incarnation: "b", Seq: h.seq + 1, Room: capacity, Tasks: []cell.TaskReport{first}}
 	h.seq++
 	hb := cell.Heartbeat{Worker: "w0", Wait: time.Second, Stamp: "s"}
 	h.cell.Report(h.now, hb, lateReport)
--- a/core/cell/estimator.go
+++ b/core/cell/estimator.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// minWeight is the least weight of the newest run in the learned means. The
-	// first runs weigh more, 1/n for run n.
+	// minWeight is the lower bound of the weight 1/n that run n gets in the
+	// learned means, so that the means keep adapting to new runs.
 	minWeight = 0.1
-	// defaultRunTime is the estimate where a run time was neither declared nor
-	// learned.
+	// defaultRunTime is the prediction for a run time that was neither declared
+	// nor learned.
 	defaultRunTime = time.Minute
 )
 
--- a/core/cell/gang.go
+++ b/core/cell/gang.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// reservationTTL is how long room is reserved for one gang before another
-	// may reserve, so that two partly placed gangs never block each other.
+	// reservationTTL is how long room stays reserved for one gang. Only one gang
+	// at a time has a reservation, because two gangs that each reserve a part of
+	// the room could block each other.
 	reservationTTL = 30 * time.Second
 	// gangBackoff is the delay before a gang is tried again after its
 	// reservation has expired.
@@ -21,7 +22,7 @@
 type gangReservation struct {
 	job     *Job
 	workers core.Set[core.WorkerID]
-	// expectedStart is when the last reserved worker is expected to be free.
+	// expectedStart is when the last reserved worker is expected to be idle.
 	expectedStart time.Time
 	expiresAt     time.Time
 }
@@ -62,8 +63,8 @@
 	return true
 }
 
-// fitGang looks for a placement of all tasks of a gang. It takes room in the
-// index for each task tried and restores the index at the end.
+// fitGang looks for a placement of all tasks of a gang, largest first. It takes room
+// in the index for each task tried and restores the index at the end.
 func (c *Cell) fitGang(p *placementPass, j *Job) (map[int]core.WorkerID, bool) {
 	placement := map[int]core.WorkerID{}
 	original := map[core.WorkerID]core.Resources{}
@@ -85,11 +86,11 @@
 			original[id], free[id] = w.free, w.free
 		}
 		free[id] = free[id].Sub(t.spec().Need)
-		c.roomIndex.Put(id, free[id], w.room)
+		c.roomIndex.Put(id, free[id], w.capacity)
 		placement[i] = id
 	}
 	for id, r := range original {
-		c.roomIndex.Put(id, r, c.workers[id].room)
+		c.roomIndex.Put(id, r, c.workers[id].capacity)
 	}
 	if !ok {
 		// These needs may fit once the room of the gang's tasks is restored.
@@ -98,7 +99,7 @@
 	return placement, ok
 }
 
-// reserveForGang reserves the workers that are expected to be free for the gang
+// reserveForGang reserves for the gang the workers that are expected to be idle
 // soonest.
 func (c *Cell) reserveForGang(j *Job) {
 	if !c.policy.Reserve || (c.reservation != nil && c.reservation.job != j) {
@@ -124,14 +125,14 @@
 		if len(unplaced) == 0 {
 			break
 		}
-		room := cand.worker.room
+		free := cand.worker.capacity
 		unplacedBefore := len(unplaced)
 		unplaced = slices.DeleteFunc(unplaced, func(i int) bool {
 			need := j.Spec.Tasks[i].Need
-			if !need.FitsIn(room) {
+			if !need.FitsIn(free) {
 				return false
 			}
-			room = room.Sub(need)
+			free = free.Sub(need)
 			return true
 		})
 		if len(unplaced) < unplacedBefore {
--- a/core/cell/heartbeat.go
+++ b/core/cell/heartbeat.go
@@ -50,19 +50,20 @@
 
 // Heartbeat is one message to a worker. It renews the worker's lease, counted
 // from the time at which the worker issued Stamp. A worker refuses a heartbeat of
-// an older epoch and starts no task if the stamp is older than the lease time.
+// an older epoch and starts no task if the stamp is older than TTL.
 type Heartbeat struct {
 	Worker core.WorkerID
 	Addr   netip.AddrPort
 	Cell   core.CellID
 	Epoch  core.Epoch
 	// Order increases with each heartbeat of an epoch. A worker starts no task if
-	// it has already received a higher order, so a delayed message is harmless.
+	// it has already received a higher Order, so a delayed heartbeat is harmless.
 	Order uint64
 	// Stamp is the newest stamp that the worker has reported; it is empty if there
 	// is none.
 	Stamp string
-	TTL   time.Duration
+	// TTL is the duration of the lease.
+	TTL time.Duration
 	// Incarnation is the worker's incarnation as last reported.
 	Incarnation string
 	// After is the sequence number of the last report. The worker reports only
@@ -77,7 +78,10 @@
 // TaskState is the state of a task on its worker.
 type TaskState string
 
-// The task states that a worker reports.
+// The task states that a worker reports. TaskCheckpointed is a run that was stopped
+// after it had written a checkpoint, and TaskStopped one that was stopped without a
+// checkpoint, by an order or because the lease expired. TaskRefused is a run that
+// the worker did not start.
 const (
 	TaskRunning      TaskState = "running"
 	TaskDone         TaskState = "done"
@@ -96,7 +100,7 @@
 	Need  core.Resources
 	// Used is the task's recent resource use; it is zero if not known yet.
 	Used core.Resources
-	// Elapsed is how long the task has run.
+	// Elapsed is how long this run has lasted.
 	Elapsed time.Duration
 }
 
@@ -109,7 +113,8 @@
 	Seq         uint64
 	// Full is set when Tasks holds all tasks of the worker. Otherwise it holds
 	// those that have changed since the sequence number After of the heartbeat.
-	Full  bool
+	Full bool
+	// Room is the worker's capacity.
 	Room  core.Resources
 	Tasks []TaskReport
 }
@@ -226,7 +231,7 @@
 	}
 	becameLive := w.state != workerStateLive
 	w.incarnation, w.stamp, w.reportSeq = r.Incarnation, r.Stamp, r.Seq
-	c.setReportedRoom(w, r.Room)
+	c.setReportedCapacity(w, r.Room)
 	c.applyTaskReports(w, h, r)
 	w.fire(workerEventReport)
 	if becameLive {
@@ -235,16 +240,16 @@
 	c.updateRoom(w)
 }
 
-// setReportedRoom sets the worker's room to the smaller of the listed and the
-// reported room in each dimension.
-func (c *Cell) setReportedRoom(w *Worker, room core.Resources) {
-	smaller := core.Resources{
-		Cores:  min(w.vm.Capacity.Cores, room.Cores),
-		Memory: min(w.vm.Capacity.Memory, room.Memory),
-		Accel:  min(w.vm.Capacity.Accel, room.Accel),
+// setReportedCapacity sets the worker's capacity to the smaller of the listed and
+// the reported capacity in each dimension.
+func (c *Cell) setReportedCapacity(w *Worker, reported core.Resources) {
+	capacity := core.Resources{
+		Cores:  min(w.vm.Capacity.Cores, reported.Cores),
+		Memory: min(w.vm.Capacity.Memory, reported.Memory),
+		Accel:  min(w.vm.Capacity.Accel, reported.Accel),
 	}
-	w.free = w.free.Add(smaller.Sub(w.room))
-	w.room = smaller
+	w.free = w.free.Add(capacity.Sub(w.capacity))
+	w.capacity = capacity
 }
 
 // applyTaskReports updates the tasks of a worker from its report.
@@ -262,9 +267,9 @@
 	c.handleUnreported(w, h, seen, r.Full)
 }
 
-// handleUnreported handles the tasks that are missing from a worker's report. The
-// worker does not run them, unless the heartbeat did not carry their start or
-// stop order yet, or the report is partial.
+// handleUnreported ends the runs of the tasks that a worker's report omits, because
+// the worker does not run them. Exceptions are tasks whose start or stop order the
+// heartbeat did not carry yet, and running tasks if the report is partial.
 func (c *Cell) handleUnreported(w *Worker, h Heartbeat, seen core.Set[core.TaskID], full bool) {
 	startsSent := core.NewSet[core.TaskID]()
 	for i := range h.Starts {
@@ -290,7 +295,7 @@
 	}
 }
 
-// overcommitted reports whether the tasks on a worker use more than its room.
+// overcommitted reports whether the allocations on a worker exceed its capacity.
 func (w *Worker) overcommitted() bool {
 	return w.free.Cores < 0 || w.free.Memory < 0 || w.free.Accel < 0
 }
@@ -372,8 +377,7 @@
 }
 
 // updateAllocation sets a task's allocation to the larger of its declared need
-// and its measured use, so that its worker is not given more tasks than it has
-// room for.
+// and its measured use, so that no more tasks are placed on its worker than fit.
 func (c *Cell) updateAllocation(t *Task, used core.Resources) {
 	if t.worker == nil {
 		return
@@ -390,9 +394,9 @@
 	}
 }
 
-// handleOrphanReport handles a report of a run that does not belong on the
-// worker. A running one is stopped. An ended one is acknowledged, unless the
-// outcome of its task has yet to be stored.
+// handleOrphanReport handles a report of a run that is not the current run of a
+// task on this worker. It stops the run if it is running. Otherwise it acknowledges
+// the run, unless the outcome of the task is not stored yet.
 func (c *Cell) handleOrphanReport(w *Worker, t *Task, r *TaskReport) {
 	if r.State != TaskRunning {
 		c.removeOrphan(w, r.Task)
@@ -417,8 +421,8 @@
 }
 
 // handleFailure handles a failed run. The task is not placed on the same worker
-// again unless it has failed on all others. A final failure is acknowledged
-// only once it is stored.
+// again unless it has failed on all workers. A final failure is acknowledged only
+// once it is stored.
 func (c *Cell) handleFailure(w *Worker, t *Task) {
 	t.pendingOutcome, t.ackWorker = Failed, w
 	t.failures++
@@ -433,8 +437,8 @@
 	}
 }
 
-// updateHealth counts consecutive failed tasks on a worker; a worker that
-// reaches the limit is excluded from placement. Until a task of a job has
+// updateHealth counts consecutive failed runs on a worker; a worker that reaches
+// maxConsecutiveFailures is excluded from placement. Until a task of a job has
 // succeeded, the job itself may be faulty, so consecutive failures of its tasks
 // count only once per worker.
 func (c *Cell) updateHealth(w *Worker, t *Task, ev chart.Event) {
--- a/core/cell/job.go
+++ b/core/cell/job.go
@@ -12,8 +12,8 @@
 //go:embed job.toml
 var jobChartText []byte
 
-// The chart, its events and states are bound in init, because the actions refer
-// to them in turn.
+// The chart, its events and states are set in init. The actions use them, so that
+// initializers here would form an initialization cycle.
 var (
 	jobChart *chart.Machine[*Job]
 
@@ -56,7 +56,7 @@
 	Tasks []TaskSpec
 	// Submitted is the wall-clock time of the gate at submission.
 	Submitted time.Time
-	// Start is the deadline for the start of the first task, and Due the deadline
+	// Start is the deadline for the start of the job's tasks, and Due the deadline
 	// for the end of the job. Zero means none.
 	Start time.Time
 	Due   time.Time
@@ -85,12 +85,13 @@
 	// number placed on a worker.
 	openTasks, activeTasks int
 	// latestStart is when the next task must start for the job to meet its
-	// deadlines. It orders the team's queue.
+	// deadlines, or the time of submission under ByArrival. It orders the team's
+	// queue.
 	latestStart time.Time
 	// seq is the order of submission. It breaks ties between equal latest
 	// starts.
 	seq uint64
-	// queuedCores is the sum over the queued tasks, in thousandths of a core.
+	// queuedCores is the cores of all queued tasks, in thousandths of a core.
 	queuedCores int64
 	// inTeamQueue is set while the job is in its team's queue.
 	inTeamQueue bool
@@ -121,6 +122,8 @@
 	Ended     time.Time
 	Due       time.Time
 	Tasks     int
+	// Running is the number of tasks placed on a worker, and Queued the number of
+	// all other tasks that have not ended.
 	Queued    int
 	Running   int
 	Done      int
--- a/core/cell/journal.go
+++ b/core/cell/journal.go
@@ -21,10 +21,13 @@
 
 // Entry is one entry of a cell's journal. Exactly one field is set.
 type Entry struct {
-	Accept *JobSpec      `json:",omitempty"`
-	Task   *TaskEnd      `json:",omitempty"`
-	End    *JobEnd       `json:",omitempty"`
-	Cancel core.JobID    `json:",omitempty"`
+	// Accept is a job that has been accepted.
+	Accept *JobSpec `json:",omitempty"`
+	Task   *TaskEnd `json:",omitempty"`
+	End    *JobEnd  `json:",omitempty"`
+	// Cancel names a job whose cancellation has been accepted.
+	Cancel core.JobID `json:",omitempty"`
+	// Worker names a worker on which tasks may be placed.
 	Worker core.WorkerID `json:",omitempty"`
 	// Gone names a worker that has been removed and can no longer run tasks.
 	Gone core.WorkerID `json:",omitempty"`
@@ -84,8 +87,8 @@
 	return accepted
 }
 
-// LoadJournal rebuilds the recorded state of a cell. Every open task may still be
-// running until all workers have reported or their leases have expired.
+// LoadJournal rebuilds the recorded state of a cell. It holds every open task, which
+// may still be running until all workers have reported or their leases have expired.
 func (c *Cell) LoadJournal(now time.Time, entries []Entry) {
 	c.now, c.loading = now, true
 	for i := range entries {
--- a/core/cell/plan.go
+++ b/core/cell/plan.go
@@ -58,15 +58,16 @@
 type Policy struct {
 	Order  Order
 	Weight Weight
-	// BestFit places a task on the worker with the least sufficient room
-	// instead of the first one with sufficient room.
+	// BestFit places a task on the worker on which it leaves the least room unused,
+	// instead of the one with the most free cores.
 	BestFit bool
 	// Backfill lets short tasks use room that is reserved for a gang.
 	Backfill bool
 	// Reserve reserves room for a gang that does not fit yet.
 	Reserve bool
-	// Preempt preempts batch tasks of teams above their share for urgent work and
-	// for teams that have long been below theirs.
+	// Preempt preempts batch tasks of teams above their share for jobs with a start
+	// deadline and for jobs of teams below theirs that have waited for
+	// preemptAfter.
 	Preempt bool
 }
 
@@ -159,8 +160,8 @@
 // placementPass is the state of one pass of placement.
 type placementPass struct {
 	cell *Cell
-	// unfitNeeds are needs for which no worker has room. Tasks with at least as
-	// large a need are skipped.
+	// unfitNeeds are needs for which the search found no worker with room. Tasks
+	// whose need is at least as large are skipped.
 	unfitNeeds []core.Resources
 	placements int
 }
@@ -268,8 +269,8 @@
 	}
 }
 
-// reorderFirst moves the first queue to its place by rank, or removes it if it
-// is empty.
+// reorderFirst moves the first queue to its position by rank after a placement
+// has changed the rank, or removes it if it is empty.
 func (p *placementPass) reorderFirst(queues []*teamQueue) []*teamQueue {
 	first := queues[0]
 	if first.jobs.Len() == 0 {
@@ -348,8 +349,8 @@
 		}
 	}
 	c := p.cell
-	// restricted is set when the search passes over a worker for a reason that
-	// need not apply to other tasks. The need then does not count as unfit.
+	// restricted is set when the search skips a worker for a reason that may not
+	// apply to other tasks. The need is then not added to unfitNeeds.
 	restricted := len(t.failedOn) > 0
 	allow := func(id core.WorkerID) bool {
 		if t.failedOn.Has(id) || !c.workers[id].usable() {
--- a/core/cell/preempt.go
+++ b/core/cell/preempt.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// preemptInterval is the minimum time between two preemptions for the same
-	// task.
+	// preemptInterval is the minimum time between two searches for tasks to
+	// preempt for the same task.
 	preemptInterval = 2 * time.Second
 	// preemptAfter is how long a job of a team below its share waits before
 	// tasks of teams above their shares are preempted for it.
@@ -34,9 +34,9 @@
 	return c.shares.Rank(j.Spec.Team) < 1 && c.now.Sub(j.Spec.Submitted) > preemptAfter
 }
 
-// preemptFor preempts batch tasks of teams above their share to make room for
-// t, on the worker where that affects the fewest cores. The preempted tasks
-// write a checkpoint, stop and are queued again.
+// preemptFor preempts batch tasks of teams above their share to make room for t, on
+// the worker where these tasks declared the fewest cores in total. The preempted
+// tasks write a checkpoint, stop and are queued again.
 func (c *Cell) preemptFor(t *Task) {
 	if c.now.Before(t.nextPreempt) {
 		return
@@ -47,7 +47,7 @@
 	for range min(maxPreemptWorkers, len(c.workersByID)) {
 		c.preemptCursor = (c.preemptCursor + 1) % len(c.workersByID)
 		w := c.workersByID[c.preemptCursor]
-		if !w.usable() || t.failedOn.Has(w.id) || !t.spec().Need.FitsIn(w.room) {
+		if !w.usable() || t.failedOn.Has(w.id) || !t.spec().Need.FitsIn(w.capacity) {
 			continue
 		}
 		victims, cost := c.victims(w, t)
--- a/core/cell/status.go
+++ b/core/cell/status.go
@@ -6,8 +6,8 @@
 	"chicoryturn/core"
 )
 
-// TeamStatus is the cores that a team uses and the cores of its queued tasks in a
-// cell, in thousandths of a core.
+// TeamStatus holds the cores that a team uses and the cores of its queued tasks in
+// a cell, in thousandths of a core.
 type TeamStatus struct {
 	Team   core.Team
 	Cores  int64
@@ -19,34 +19,37 @@
 	Cell          core.CellID
 	Epoch         core.Epoch
 	Workers, Live int
-	Total, Free   core.Resources
-	// Queued and Running are numbers of tasks.
+	// Total is the capacity of all workers, and Free the room on those on which
+	// tasks may be placed now.
+	Total, Free core.Resources
+	// Queued is the number of queued tasks, and Running the number of tasks placed
+	// on a worker.
 	Queued, Running int
 	Teams           []TeamStatus
 }
 
 // Status returns the state of the cell for display.
 func (c *Cell) Status() Status {
-	load := Status{Cell: c.id, Epoch: c.epoch, Workers: len(c.workersByID), Total: c.totalRoom(), Free: c.roomIndex.Free()}
+	status := Status{Cell: c.id, Epoch: c.epoch, Workers: len(c.workersByID), Total: c.totalCapacity(), Free: c.roomIndex.Free()}
 	for _, w := range c.workersByID {
 		if w.state == workerStateLive {
-			load.Live++
+			status.Live++
 		}
-		load.Running += len(w.tasks)
+		status.Running += len(w.tasks)
 	}
 	for _, j := range c.jobs {
-		load.Queued += len(j.queuedTasks)
+		status.Queued += len(j.queuedTasks)
 	}
 	for team, queue := range c.teamQueues {
-		load.Teams = append(load.Teams, TeamStatus{team, c.shares.Used(team).Cores, queue.queuedCores})
+		status.Teams = append(status.Teams, TeamStatus{team, c.shares.Used(team).Cores, queue.queuedCores})
 	}
-	slices.SortFunc(load.Teams, func(a, b TeamStatus) int {
+	slices.SortFunc(status.Teams, func(a, b TeamStatus) int {
 		if a.Team < b.Team {
 			return -1
 		}
 		return 1
 	})
-	return load
+	return status
 }
 
 // WorkerView is the state of a worker for display.
@@ -54,9 +57,10 @@
 	Name          core.WorkerID
 	State, Health string
 	Leaving       bool
-	Free, Room    core.Resources
-	Tasks         int
-	Orphans       int
+	// Free is the worker's room, and Room its capacity.
+	Free, Room core.Resources
+	Tasks      int
+	Orphans    int
 }
 
 // Workers returns the state of each worker for display.
@@ -64,7 +68,7 @@
 	out := make([]WorkerView, 0, len(c.workersByID))
 	for _, w := range c.workersByID {
 		out = append(out, WorkerView{
-			w.id, workerChart.Name(w.state), healthChart.Name(w.health), w.leaving, w.free, w.room, len(w.tasks), len(w.orphans),
+			w.id, workerChart.Name(w.state), healthChart.Name(w.health), w.leaving, w.free, w.capacity, len(w.tasks), len(w.orphans),
 		})
 	}
 	return out
--- a/core/cell/task.go
+++ b/core/cell/task.go
@@ -14,8 +14,8 @@
 // maxTaskFailures is the number of failed runs after which a task has failed.
 const maxTaskFailures = 5
 
-// The chart, its events and states are bound in init, because the actions refer
-// to them in turn.
+// The chart, its events and states are set in init. The actions use them, so that
+// initializers here would form an initialization cycle.
 var (
 	taskChart *chart.Machine[*Task]
 
@@ -76,16 +76,16 @@
 	failures int
 	// run is the number of the task's current run.
 	run uint64
-	// allocated is the room that the task takes on its worker: its declared
-	// need, or its measured use where that is more.
+	// allocated is the room that the task takes on its worker: the larger of its
+	// declared need and its measured use in each dimension.
 	allocated core.Resources
 	// checkpointed is the run time that the newest checkpoint covers.
 	checkpointed time.Duration
 	// nextPreempt is when tasks may next be preempted to make room for this
 	// one.
 	nextPreempt time.Time
-	// failedOn names the workers on which the task has failed. It is not placed
-	// there again unless it has failed on all workers.
+	// failedOn names the workers on which the task has failed. The task is not
+	// placed there again unless it has failed on all workers.
 	failedOn core.Set[core.WorkerID]
 	// pendingOutcome is the outcome that the task gets if the next event ends
 	// it.
@@ -98,15 +98,15 @@
 	ackWorker *Worker
 }
 
-// ID returns the task's name.
+// ID returns the ID of the task.
 func (t *Task) ID() core.TaskID { return core.TaskID{Job: t.job.Spec.ID, Index: t.index} }
 
 func (t *Task) spec() *TaskSpec { return &t.job.Spec.Tasks[t.index] }
 
 func (t *Task) fire(ev chart.Event) { t.job.cell.recordRefused(taskChart.Fire(&t.state, ev, t)) }
 
-// assign places the task on the chosen worker: it takes room and a part of the
-// team's limit, and starts a new run.
+// assign assigns a new run of the task to the chosen worker and allocates the
+// task's declared need there.
 func (t *Task) assign() {
 	w, c := t.eventWorker, t.job.cell
 	t.worker, t.placedAt = w, c.now
@@ -149,8 +149,8 @@
 	t.job.updateState()
 }
 
-// dequeue removes a task from the queue that was done on a worker whose lease
-// had expired.
+// dequeue removes a queued task from the queue after a worker whose lease had
+// expired has reported it as done.
 func (t *Task) dequeue() {
 	t.job.removeQueued(t.index)
 	t.job.cell.enqueue(t.job)
@@ -169,11 +169,11 @@
 	t.job.updateState()
 }
 
-// requestStop has the next heartbeat stop the task; the stop kind depends on
-// the task's state.
+// requestStop requests a heartbeat that stops the task. The heartbeat derives the
+// stop kind from the task's state.
 func (t *Task) requestStop() { t.worker.markOrdersChanged() }
 
-// requestCheckpoint has the next heartbeat stop the task after a checkpoint.
+// requestCheckpoint requests a heartbeat that stops the task after a checkpoint.
 func (t *Task) requestCheckpoint() { t.worker.markOrdersChanged() }
 
 // acknowledgeEnd marks the outcome as stored and lets the worker stop reporting
--- a/core/cell/worker.go
+++ b/core/cell/worker.go
@@ -16,7 +16,7 @@
 var healthChartText []byte
 
 const (
-	// maxConsecutiveFailures is the number of consecutive failed tasks after
+	// maxConsecutiveFailures is the number of consecutive failed runs after
 	// which a worker is excluded from placement (health state aside).
 	maxConsecutiveFailures = 3
 	// minProbeDelay is how long a worker is excluded before its first trial.
@@ -25,8 +25,8 @@
 	maxProbeDelay = 10 * time.Minute
 )
 
-// The charts, events and states are bound in init, because the actions refer to
-// them in turn.
+// The charts, events and states are set in init. The actions use them, so that
+// initializers here would form an initialization cycle.
 var (
 	workerChart, healthChart *chart.Machine[*Worker]
 
@@ -67,8 +67,8 @@
 	healthStateTrial = healthChart.State("trial")
 }
 
-// orphanedRun is a run on a worker that is not wanted there and is being
-// stopped.
+// orphanedRun is a run that a worker reports although it is not the current run of
+// a task on that worker. It is being stopped.
 type orphanedRun struct {
 	team core.Team
 	need core.Resources
@@ -81,15 +81,15 @@
 	cell   *Cell
 	state  chart.State
 	health chart.State
-	// room is the smaller of the listed and the reported room in each
+	// capacity is the smaller of the listed and the reported capacity in each
 	// dimension.
-	room core.Resources
-	// free is room minus the allocations of tasks and orphaned runs. It is
-	// negative if the worker has shrunk below them or tasks use more than they
-	// declared.
+	capacity core.Resources
+	// free is the worker's room: capacity minus the allocations of tasks and
+	// orphaned runs. It is negative if the capacity has shrunk below them or tasks
+	// use more than they declared.
 	free core.Resources
-	// stamp is the newest stamp received. The worker's lease ends one lease
-	// time after the worker issued it, whichever heartbeat returns it.
+	// stamp is the newest stamp received from the worker. A heartbeat that carries
+	// it renews the lease, counted from the time at which the worker issued it.
 	stamp string
 	// lastReportAt is when the newest report was received. The owner counts the
 	// worker's lease from it.
@@ -115,9 +115,10 @@
 	// acks are the ended runs to acknowledge in the next heartbeat, so that the
 	// worker may stop reporting them.
 	acks []Ack
-	// consecutiveFailures is the number of failed tasks since the last success.
+	// consecutiveFailures is the number of failed runs since the last success, as
+	// counted by updateHealth.
 	consecutiveFailures int
-	// lastFailedJob is the job of the newest failed task.
+	// lastFailedJob is the job of the newest failed run.
 	lastFailedJob core.JobID
 	// probeDelay is the length of the newest exclusion, or zero after a
 	// success.
@@ -161,8 +162,8 @@
 // include makes the worker's room available to placement again.
 func (w *Worker) include() { w.cell.updateRoom(w) }
 
-// markOrdersChanged makes the next heartbeat carry the worker's new orders at
-// once.
+// markOrdersChanged requests a heartbeat that delivers the worker's new orders at
+// once, even while a long poll is in flight.
 func (w *Worker) markOrdersChanged() {
 	w.hasNewOrders = true
 	w.cell.queueHeartbeat(w)
--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -114,11 +114,14 @@
 	return c.validateReachability()
 }
 
-// validateState checks that a state decides each event exactly once and names
-// only known states and events.
+// validateState checks that a state handles, ignores or refuses each event, that
+// it names only known states and events, and that each of its transitions can be
+// taken. Transitions that all have a guard must be combined with ignoring or
+// refusing the event, for the case that no guard returns true.
 func (c *Chart) validateState(def StateDef) error {
-	// handledBy tells whether transitions ("step") or a list ("list") decide an
-	// event; guarded is true while all transitions on it have a guard.
+	// handledBy maps an event to "step" if transitions handle it, and to "list" if
+	// it is in the list of ignored or refused events. guarded is true while all
+	// transitions on the event have a guard.
 	handledBy := map[string]string{}
 	guarded := map[string]bool{}
 	for _, tr := range def.Transitions {
--- a/core/conf/conf.go
+++ b/core/conf/conf.go
@@ -165,7 +165,8 @@
 	}
 }
 
-// Confirmed returns when the version in force was last known to be the newest.
+// Confirmed returns the latest time at which the version in force is known to
+// have been the newest.
 func (c *Config) Confirmed() time.Time { return c.confirmed }
 
 // Admit checks whether work may enter a queue and returns its team and the
--- a/core/place/index.go
+++ b/core/place/index.go
@@ -10,20 +10,23 @@
 const (
 	// A treeDegree of 32 keeps a tree node within a few cache lines.
 	treeDegree = 32
-	// scanLimit bounds the workers examined for one task.
+	// scanLimit is the number of workers examined for one task. It bounds the
+	// time of a placement in a large cell.
 	scanLimit = 48
-	// deepScanLimit replaces scanLimit while no examined worker fits.
+	// deepScanLimit replaces scanLimit while no examined worker fits, for example
+	// because most workers with enough free cores lack memory.
 	deepScanLimit = 2048
 )
 
 // entry is a worker in a tree, ordered by its free cores.
 type entry struct {
-	cores    int64
-	id       core.WorkerID
-	capacity *capacity
+	cores  int64
+	id     core.WorkerID
+	worker *worker
 }
 
-type capacity struct {
+// worker is the room and the capacity of one worker.
+type worker struct {
 	free, total core.Resources
 }
 
@@ -34,12 +37,12 @@
 	return a.id < b.id
 }
 
-// Index orders workers by free cores. Workers with accelerators are in a tree of
-// their own, so that tasks that need no accelerator use them only if no other
-// worker has room.
+// Index orders workers by free cores. Workers with accelerators are in a separate
+// tree, so that tasks that need no accelerator use them only if no other worker
+// has room.
 type Index struct {
 	plain, accel *btree.BTreeG[entry]
-	workers      map[core.WorkerID]*capacity
+	workers      map[core.WorkerID]*worker
 	free, total  core.Resources
 }
 
@@ -48,68 +51,69 @@
 	return &Index{
 		plain:   btree.NewG(treeDegree, less),
 		accel:   btree.NewG(treeDegree, less),
-		workers: map[core.WorkerID]*capacity{},
+		workers: map[core.WorkerID]*worker{},
 	}
 }
 
-func (x *Index) tree(c *capacity) *btree.BTreeG[entry] {
-	if c.total.Accel > 0 {
+func (x *Index) tree(w *worker) *btree.BTreeG[entry] {
+	if w.total.Accel > 0 {
 		return x.accel
 	}
 	return x.plain
 }
 
-// Put adds a worker or updates its free and total room.
+// Put adds a worker with its room and capacity or updates them.
 func (x *Index) Put(id core.WorkerID, free, total core.Resources) {
-	if c, ok := x.workers[id]; ok && c.total == total {
-		x.tree(c).Delete(entry{c.free.Cores, id, c})
-		x.free = x.free.Sub(c.free).Add(free)
-		c.free = free
-		x.tree(c).ReplaceOrInsert(entry{free.Cores, id, c})
+	if w, ok := x.workers[id]; ok && w.total == total {
+		x.tree(w).Delete(entry{w.free.Cores, id, w})
+		x.free = x.free.Sub(w.free).Add(free)
+		w.free = free
+		x.tree(w).ReplaceOrInsert(entry{free.Cores, id, w})
 		return
 	}
 	x.Remove(id)
-	c := &capacity{free, total}
-	x.workers[id] = c
+	w := &worker{free, total}
+	x.workers[id] = w
 	x.free, x.total = x.free.Add(free), x.total.Add(total)
-	x.tree(c).ReplaceOrInsert(entry{free.Cores, id, c})
+	x.tree(w).ReplaceOrInsert(entry{free.Cores, id, w})
 }
 
 // Remove removes a worker.
 func (x *Index) Remove(id core.WorkerID) {
-	c, ok := x.workers[id]
+	w, ok := x.workers[id]
 	if !ok {
 		return
 	}
-	x.tree(c).Delete(entry{c.free.Cores, id, c})
-	x.free, x.total = x.free.Sub(c.free), x.total.Sub(c.total)
+	x.tree(w).Delete(entry{w.free.Cores, id, w})
+	x.free, x.total = x.free.Sub(w.free), x.total.Sub(w.total)
 	delete(x.workers, id)
 }
 
-// Free returns the free room of all workers.
+// Free returns the sum of the room of all workers.
 func (x *Index) Free() core.Resources { return x.free }
 
-// Total returns the total room of all workers.
+// Total returns the sum of the capacity of all workers.
 func (x *Index) Total() core.Resources { return x.total }
 
 // Len returns the number of workers.
 func (x *Index) Len() int { return len(x.workers) }
 
 // BestFit returns the worker with the least waste once need is placed on it, among
-// the workers that allow accepts. It compares only the first scanLimit workers with
-// enough free cores, and prefers workers without accelerators.
+// the workers that allow accepts. It prefers workers without accelerators. To save
+// time it examines only the scanLimit workers with the fewest sufficient free cores,
+// or up to deepScanLimit if none of these fits.
 func (x *Index) BestFit(need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
 	if need.Accel == 0 {
-		if id, ok := best(x.plain, need, allow); ok {
+		if id, ok := bestInTree(x.plain, need, allow); ok {
 			return id, true
 		}
 	}
-	return best(x.accel, need, allow)
+	return bestInTree(x.accel, need, allow)
 }
 
 // WorstFit returns the worker with the most free cores among those that have room
 // for need and that allow accepts. It prefers workers without accelerators. It is
-// the baseline to which Best is compared.
+// the baseline to which BestFit is compared.
 func (x *Index) WorstFit(need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
 	var found core.WorkerID
 	for _, tree := range []*btree.BTreeG[entry]{x.plain, x.accel} {
@@ -117,7 +121,7 @@
 			if e.cores < need.Cores {
 				return false
 			}
-			if need.FitsIn(e.capacity.free) && allow(e.id) {
+			if need.FitsIn(e.worker.free) && allow(e.id) {
 				found = e.id
 			}
 			return found == ""
@@ -129,15 +133,16 @@
 	return "", false
 }
 
-func best(tree *btree.BTreeG[entry], need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
+// bestInTree returns the result of BestFit for one of the trees.
+func bestInTree(tree *btree.BTreeG[entry], need core.Resources, allow func(core.WorkerID) bool) (core.WorkerID, bool) {
 	var found core.WorkerID
 	leastWaste := 0.0
 	examined := 0
 	tree.AscendGreaterOrEqual(entry{cores: need.Cores}, func(e entry) bool {
 		examined++
-		if need.FitsIn(e.capacity.free) && allow(e.id) {
-			if w := waste(e.capacity, need); found == "" || w < leastWaste {
-				found, leastWaste = e.id, w
+		if need.FitsIn(e.worker.free) && allow(e.id) {
+			if wasted := waste(e.worker, need); found == "" || wasted < leastWaste {
+				found, leastWaste = e.id, wasted
 			}
 		}
 		return examined < scanLimit || (found == "" && examined < deepScanLimit)
@@ -148,10 +153,10 @@
 // waste scores the room that would be left on a worker. A remainder with cores and
 // memory out of proportion scores higher, because a worker that has run out of one
 // resource cannot use the rest of the others.
-func waste(c *capacity, need core.Resources) float64 {
-	left := c.free.Sub(need)
-	cores, memory := fraction(left.Cores, c.total.Cores), fraction(left.Memory, c.total.Memory)
-	return cores + memory + max(cores-memory, memory-cores) + fraction(left.Accel, c.total.Accel)
+func waste(w *worker, need core.Resources) float64 {
+	left := w.free.Sub(need)
+	cores, memory := fraction(left.Cores, w.total.Cores), fraction(left.Memory, w.total.Memory)
+	return cores + memory + max(cores-memory, memory-cores) + fraction(left.Accel, w.total.Accel)
 }
 
 func fraction(n, total int64) float64 {
--- a/core/rules/rules.go
+++ b/core/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules holds the rules that operators set: the teams with their shares and
-// limits, and one rule for each queue.
+// Package rules holds the rules that operators set: each team's share and limits,
+// and one rule for each queue.
 package rules
 
 import (
@@ -51,7 +51,7 @@
 	Line int
 }
 
-// Queue is the rule for one kind of work.
+// Queue is the rule for one queue.
 type Queue struct {
 	Name core.Queue
 	Kind Kind
@@ -69,11 +69,14 @@
 	Retry bool
 	// Backlog bounds the requests that wait at one gate.
 	Backlog int
-	// Start is the target for the time from submission to the start of a task.
+	// Start is the objective for the time from submission to the start of a task.
+	// Zero means none.
 	Start time.Duration
-	// Due is the target for the time from submission to the end of a job.
+	// Due is the objective for the time from submission to the end of a job. Zero
+	// means none.
 	Due time.Duration
-	// Cores is the smallest task of the queue, in thousandths of a core.
+	// Cores is the size of the queue's smallest task, in thousandths of a core. In
+	// a queue of jobs, the limit of each team in Teams must be at least as large.
 	Cores int64
 	// RequestedBy names the person who asked for the rule; it must not be empty.
 	RequestedBy string
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -7,21 +7,22 @@
 	"chicoryturn/core/rules"
 )
 
-// minShare is the share, in percent, of a team without one: it may use idle room
-// but ranks after every team that has a share.
+// minShare is the share, in percent, of a team without one. It keeps Rank finite,
+// and ranks such a team behind all teams with a share once it uses any room.
 const minShare = 0.01
 
 // Table holds the share and the use of each team.
 type Table struct {
-	// total is the room of this cell.
+	// total is the capacity of this cell.
 	total  core.Resources
 	shares map[core.Team]float64
 	// used is the use of each team in this cell.
 	used map[core.Team]core.Resources
-	// remote is the use of each team in other cells, in thousandths of a core,
-	// as last read from the store.
+	// remote stands for the use of each team in other cells. It is the part of
+	// the team's limit that other cells hold, in thousandths of a core, as last
+	// read from the store.
 	remote map[core.Team]int64
-	// fleetCores is the room of the whole fleet in thousandths of a core.
+	// fleetCores is the capacity of the whole fleet in thousandths of a core.
 	fleetCores int64
 }
 
@@ -45,20 +46,20 @@
 // SetShare sets one team's share in percent.
 func (t *Table) SetShare(team core.Team, percent float64) { t.shares[team] = max(percent, minShare) }
 
-// SetTotal sets the room of this cell.
+// SetTotal sets the capacity of this cell.
 func (t *Table) SetTotal(total core.Resources) { t.total = total }
 
-// SetRemoteUse sets what a team uses in other cells and the room of the whole fleet,
-// both in thousandths of a core.
+// SetRemoteUse sets the cores that count as a team's use in other cells and the
+// capacity of the whole fleet, both in thousandths of a core.
 func (t *Table) SetRemoteUse(team core.Team, cores, fleetCores int64) {
 	t.remote[team] = cores
 	t.fleetCores = fleetCores
 }
 
-// AddUse adds to what a team uses in this cell; negative amounts reduce it.
+// AddUse adds r to a team's use in this cell; negative amounts reduce it.
 func (t *Table) AddUse(team core.Team, r core.Resources) { t.used[team] = t.used[team].Add(r) }
 
-// Used returns what a team uses in this cell.
+// Used returns a team's use in this cell.
 func (t *Table) Used(team core.Team) core.Resources { return t.used[team] }
 
 // DominantShare returns the part of the whole fleet that a team uses: its use of
--- a/core/types.go
+++ b/core/types.go
@@ -16,7 +16,7 @@
 type (
 	// Team names a customer, who has keys, a share and a limit.
 	Team string
-	// Queue names the rule that applies to one kind of work.
+	// Queue names a queue of requests or jobs, to which one rule applies.
 	Queue string
 	// Service names a group of interchangeable targets.
 	Service string
@@ -38,7 +38,7 @@
 	Epoch uint64
 )
 
-// CellID names a cell, which is a part of a region's workers and jobs.
+// CellID names a cell, which schedules a part of a region's workers and jobs.
 type CellID struct {
 	Region Region
 	Index  int
@@ -53,7 +53,7 @@
 	Index int
 }
 
-// String returns the form used on the wire, such as "cure-1.0".
+// String returns the form used on the wire, such as "hobart.0.cure-1.0".
 func (t TaskID) String() string { return fmt.Sprintf("%s.%d", t.Job, t.Index) }
 
 // Resources is an amount of worker capacity.
@@ -91,8 +91,8 @@
 	return r.Cores <= o.Cores && r.Memory <= o.Memory && r.Accel <= o.Accel
 }
 
-// Dominant returns the dominant share of r: the largest of its fractions of
-// total in any dimension.
+// Dominant returns the dominant share of r: the largest fraction of total that r
+// takes in any one dimension.
 func (r Resources) Dominant(total Resources) float64 {
 	largest := 0.0
 	for _, pair := range [][2]int64{{r.Cores, total.Cores}, {r.Memory, total.Memory}, {r.Accel, total.Accel}} {
@@ -193,7 +193,8 @@
 	return JobID(fmt.Sprintf("%s.%d.%s", c.Region, c.Index, name))
 }
 
-// Cell returns the cell whose journal holds the job.
+// Cell returns the cell whose journal holds the job. It returns false if the ID
+// does not have the form that NewJobID returns.
 func (j JobID) Cell() (CellID, bool) {
 	parts := strings.SplitN(string(j), ".", 3)
 	if len(parts) != 3 || parts[0] == "" || parts[2] == "" {
