--- a/io/advice/client.go
+++ b/io/advice/client.go
@@ -16,7 +16,7 @@
 	// maxQueued bounds the queued requests; it is below the 32 that the advisor
 	// accepts.
 	maxQueued = 30
-	// The time-out of a call is timeoutFactor times its expected length, plus
+	// The time-out of a call is timeoutFactor times its expected duration, plus
 	// timeoutMargin.
 	timeoutFactor = 3
 	timeoutMargin = time.Second
@@ -60,10 +60,10 @@
 	advisor Advisor
 	queue   chan queuedCall
 
-	// mu guards the fields below and makes checking and filling the queue one
-	// step. queuedCost is the expected length of the queued calls, currentCost
-	// that of the call in progress, or 0 if there is none, and currentStart the
-	// time when that call began.
+	// mu guards the fields below. Senders hold it too, so that the queue cannot
+	// fill up between the check for space and the send. queuedCost is the
+	// expected duration of the queued calls, currentCost that of the call in
+	// progress, or 0 if there is none, and currentStart when that call began.
 	mu                      sync.Mutex
 	queuedCost, currentCost time.Duration
 	currentStart            time.Time
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -52,7 +52,7 @@
 	// JobAccepted notifies the owner of a stored job. AdvicePending reports that this VM
 	// has an advice request for the job's first phase in flight.
 	JobAccepted(spec jobs.Spec, advicePending bool)
-	// ReportAdvice sends the result of that request to the owner.
+	// ReportAdvice sends the result of an advice request to the owner.
 	ReportAdvice(r advice.Result)
 	// JobCancelled notifies the owner of a stored cancellation.
 	JobCancelled(id core.JobID)
@@ -67,8 +67,8 @@
 
 // Advisor sends advice requests of this VM to the placement advisor.
 type Advisor interface {
-	// Request queues a request and calls then with its result.
-	Request(r fleet.AdviceRequest, then func(advice.Result))
+	// Request queues a request and calls onResult with its result.
+	Request(r fleet.AdviceRequest, onResult func(advice.Result))
 	// Delay returns how long a new request would wait behind earlier ones.
 	Delay() time.Duration
 }
@@ -89,10 +89,10 @@
 
 	policy  atomic.Pointer[policy.Policy]
 	workers atomic.Pointer[[]fleet.WorkerInfo]
-	// maxRoom holds, for each service, the most of each resource that any of its
-	// workers has had since the process started. It includes workers that are no
-	// longer listed, since they may return.
-	maxRoom atomic.Pointer[map[core.Service]core.Resources]
+	// maxCapacity holds, for each service, the largest capacity of any of its workers
+	// since the process started, separately for each resource. It includes workers
+	// that are no longer listed, since they may return.
+	maxCapacity atomic.Pointer[map[core.Service]core.Resources]
 	// roomHint is the last room hint of the owner.
 	roomHint atomic.Pointer[roomHint]
 	// firstEpoch is the epoch of the first owner that may start a job accepted now.
@@ -124,7 +124,7 @@
 	e.firstEpoch.Store(uint64(first))
 }
 
-// New returns an entry without a configuration. Visit refuses all calls until
+// New returns an entry without a configuration. Authorize refuses all calls until
 // SetPolicy is called.
 func New(records RecordStore, link OwnerLink, advisor Advisor, meter Meter, log *logrus.Entry) *Entry {
 	return &Entry{records: records, link: link, advisor: advisor, meter: meter, log: log}
@@ -148,14 +148,14 @@
 // SetWorkers replaces the worker list. Only one goroutine may call it.
 func (e *Entry) SetWorkers(workers []fleet.WorkerInfo) {
 	e.workers.Store(&workers)
-	maxRoom := map[core.Service]core.Resources{}
-	if old := e.maxRoom.Load(); old != nil {
-		maps.Copy(maxRoom, *old)
+	maxCapacity := map[core.Service]core.Resources{}
+	if old := e.maxCapacity.Load(); old != nil {
+		maps.Copy(maxCapacity, *old)
 	}
 	for _, w := range workers {
-		maxRoom[w.Service] = maxRoom[w.Service].Max(w.Capacity)
+		maxCapacity[w.Service] = maxCapacity[w.Service].Max(w.Capacity)
 	}
-	e.maxRoom.Store(&maxRoom)
+	e.maxCapacity.Store(&maxCapacity)
 }
 
 // Drain makes Ready report false, so that clients are sent to other VMs.
@@ -165,8 +165,9 @@
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
 // Ready reports whether the load balancer should send clients to this VM. A VM that
-// can reach neither the store nor another VM is not ready. A VM that only cannot
-// reach the store is, because an outage of the store affects all VMs alike.
+// can reach neither the store nor another VM is not ready. A VM that can reach another
+// VM stays ready without the store, because an outage of the store affects all VMs
+// alike.
 func (e *Entry) Ready() bool {
 	isolated := e.records.Unreachable() && !e.link.Connected()
 	return !e.draining.Load() && e.policy.Load() != nil && !isolated
@@ -194,7 +195,7 @@
 	}
 	q, rest, ok := p.Route(host, path)
 	if !ok {
-		return nil, "", "", core.Refuse(core.CodeUnknownQueue, "no queue for %s%s in version %d", host, path, p.Version)
+		return nil, "", "", core.Refuse(core.CodeUnknownQueue, "no queue for %s%s in configuration version %d", host, path, p.Version)
 	}
 	t, known := p.TeamOf(key)
 	switch {
@@ -203,7 +204,7 @@
 	case q.Public:
 		return q, "", rest, nil
 	}
-	return nil, "", "", core.Refuse(core.CodeBadKey, "the key belongs to no team in version %d", p.Version)
+	return nil, "", "", core.Refuse(core.CodeBadKey, "the key belongs to no team in configuration version %d", p.Version)
 }
 
 // track runs f as a call of a kind, counts it and logs its outcome. It does not log
@@ -239,7 +240,7 @@
 		if err := spec.Validate(); err != nil {
 			return "", core.Refuse(core.CodeBadInput, "%v", err)
 		}
-		if err := e.checkRoom(&spec); err != nil {
+		if err := e.checkCapacity(&spec); err != nil {
 			return "", err
 		}
 		early := e.requestEarlyAdvice(&spec)
@@ -256,17 +257,17 @@
 	})
 }
 
-// checkRoom refuses a job with a task that would not fit even on an idle worker of its
-// service.
-func (e *Entry) checkRoom(spec *jobs.Spec) error {
-	q, maxRoom := e.policy.Load().Queues[spec.Queue], e.maxRoom.Load()
-	if q == nil || maxRoom == nil {
+// checkCapacity refuses a job with a task that would not fit even on an idle worker of
+// its service.
+func (e *Entry) checkCapacity(spec *jobs.Spec) error {
+	q, maxCapacity := e.policy.Load().Queues[spec.Queue], e.maxCapacity.Load()
+	if q == nil || maxCapacity == nil {
 		return nil
 	}
-	room, known := (*maxRoom)[q.Service]
+	capacity, known := (*maxCapacity)[q.Service]
 	for i, ph := range spec.Phases {
-		if known && !ph.Need.FitsIn(room) {
-			return core.Refuse(core.CodeTooLarge, "no worker of the service has room for a task of phase %d", i)
+		if known && !ph.Need.FitsIn(capacity) {
+			return core.Refuse(core.CodeTooLarge, "a task of phase %d needs more than the capacity of any worker of the service", i)
 		}
 	}
 	return nil
--- a/io/entry/entry_test.go
+++ b/io/entry/entry_test.go
@@ -85,9 +85,9 @@
 	return 3, d.connected, nil
 }
 
-func (d *fakeDeps) Request(r fleet.AdviceRequest, then func(advice.Result)) {
+func (d *fakeDeps) Request(r fleet.AdviceRequest, onResult func(advice.Result)) {
 	d.requests = append(d.requests, r)
-	then(advice.Result{Request: r})
+	onResult(advice.Result{Request: r})
 }
 
 func (d *fakeDeps) Delay() time.Duration { return d.delay }
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestVisit(t *testing.T) {
+func TestAuthorize(t *testing.T) {
 	is := is.New(t)
 	e := newEntry(&fakeDeps{})
 	_, _, _, err := e.Authorize("h", "/q/1", "k")
@@ -175,10 +175,10 @@
 		err     error
 		code    core.Code
 	}{
-		"accepted":          {workers: room(1000)},
-		"no list yet":       {},
-		"larger than any":   {workers: room(800), code: core.CodeTooLarge},
-		"the store refuses": {workers: room(1000), err: core.Refuse(core.CodeStoreUnavailable, "away"), code: core.CodeStoreUnavailable},
+		"accepted":               {workers: room(1000)},
+		"no worker list yet":     {},
+		"larger than any worker": {workers: room(800), code: core.CodeTooLarge},
+		"the store refuses":      {workers: room(1000), err: core.Refuse(core.CodeStoreUnavailable, "away"), code: core.CodeStoreUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/io/link/client.go
+++ b/io/link/client.go
@@ -38,9 +38,9 @@
 
 // OwnerWatcher is notified when the stream to the owner opens and ends.
 type OwnerWatcher interface {
-	// OwnerLost reports that the stream to holder has ended; hasEnded is
-	// set if holder's process seems to have ended, too.
-	OwnerLost(holder core.SessionID, hasEnded bool)
+	// OwnerLost reports that the stream to holder has ended; ended is set if
+	// holder's process seems to have ended, too.
+	OwnerLost(holder core.SessionID, ended bool)
 	// OwnerFound reports that the stream to the owner has opened.
 	OwnerFound()
 }
@@ -218,7 +218,8 @@
 	c.outgoing = outgoing
 }
 
-// streamClosed ends all requests to the owner that are in flight.
+// streamClosed stops the queueing of messages and ends all requests to the owner
+// that are in flight.
 func (c *Client) streamClosed() {
 	c.mu.Lock()
 	c.outgoing = nil
@@ -291,8 +292,8 @@
 	return c.outgoing != nil
 }
 
-// send queues a message and reports whether it did: without a stream, or with a
-// full queue, it does not.
+// send queues a message. It returns false if there is no stream or the queue is
+// full.
 func (c *Client) send(m *wire.Up) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -315,16 +316,16 @@
 	}
 }
 
-// JobAccepted notifies the owner of a job that has been stored. requestsAdvice is set
-// if this VM requests advice for the job's first phase. If the message is lost,
-// the owner reads the job from the store.
-func (c *Client) JobAccepted(spec jobs.Spec, requestsAdvice bool) {
+// JobAccepted notifies the owner of a job that has been stored. advicePending reports
+// that this VM has an advice request for the job's first phase in flight. If the
+// message is lost, the owner reads the job from the store.
+func (c *Client) JobAccepted(spec jobs.Spec, advicePending bool) {
 	text, err := json.Marshal(spec)
 	if err != nil {
 		c.log.WithError(err).WithField("job", spec.ID).Error("job not passed on")
 		return
 	}
-	if !c.send(&wire.Up{Kind: &wire.Up_Accepted{Accepted: &wire.Accepted{Spec: text, Asking: requestsAdvice}}}) {
+	if !c.send(&wire.Up{Kind: &wire.Up_Accepted{Accepted: &wire.Accepted{Spec: text, Asking: advicePending}}}) {
 		c.log.WithField("job", spec.ID).Info("job left to the store")
 	}
 }
--- a/io/link/link.go
+++ b/io/link/link.go
@@ -60,10 +60,15 @@
 
 var clientKeepAlive = keepalive.ClientParameters{Time: keepAliveInterval, Timeout: keepAliveTimeout, PermitWithoutStream: true}
 
+// keepAlivePolicy allows twice as many pings as clients send.
 var keepAlivePolicy = keepalive.EnforcementPolicy{MinTime: keepAliveInterval / 2, PermitWithoutStream: true}
 
+// serverKeepAlive sends pings at the shortest interval that gRPC allows a server.
 var serverKeepAlive = keepalive.ServerParameters{Time: time.Second, Timeout: keepAliveTimeout}
 
+// The functions below convert between core types and messages: fromX returns a message
+// and toX the core type.
+
 func fromPhase(p jobs.PhaseID) *wire.Phase {
 	return &wire.Phase{Job: string(p.Job), Occurrence: int32(p.Occurrence), Phase: int32(p.Phase)}
 }
--- a/io/link/server.go
+++ b/io/link/server.go
@@ -27,7 +27,7 @@
 	JobCancelled(id core.JobID)
 	AdviceReceived(vm string, r advice.Result)
 	State(ctx context.Context, id core.JobID) (state jobs.State, known, isOwner bool, err error)
-	Pending(ctx context.Context, q core.Queue) (n int, ok bool, err error)
+	Pending(ctx context.Context, q core.Queue) (n int, isOwner bool, err error)
 }
 
 // server implements wire.LinkServer.
@@ -79,12 +79,12 @@
 		if err != nil {
 			return o, err
 		}
-		answered := o.Answered() && o.RefusedStatus == 0
-		s.impl.recordResult(p, answered, time.Now())
+		processed := o.Answered() && o.RefusedStatus == 0
+		s.impl.recordResult(p, processed, time.Now())
 		// A call without an outcome may have taken effect, so only reads are
 		// retried.
 		retry := o.RefusedStatus != 0 || o.NoAnswer != "" && call.Write == nil
-		if answered || !retry || attempt+1 == maxForwardAttempts || ctx.Err() != nil {
+		if processed || !retry || attempt+1 == maxForwardAttempts || ctx.Err() != nil {
 			return o, nil
 		}
 	}
@@ -114,13 +114,13 @@
 	return nil
 }
 
-// recordResult updates the choice of peers after a call through p; answered
+// recordResult updates the choice of peers after a call through p; processed
 // reports whether the table processed the call.
-func (s *server) recordResult(p *peer, answered bool, now time.Time) {
+func (s *server) recordResult(p *peer, processed bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case answered:
+	case processed:
 		s.preferred = p
 	default:
 		p.avoidUntil = now.Add(forwardBackoff)
@@ -282,11 +282,11 @@
 		}
 		r.Known, r.State = known, string(state)
 	} else {
-		n, ok, err := s.owner.Pending(ctx, core.Queue(q.Queue))
+		n, isOwner, err := s.owner.Pending(ctx, core.Queue(q.Queue))
 		if err != nil {
 			return err
 		}
-		r.Known, r.Pending = ok, int64(n)
+		r.Known, r.Pending = isOwner, int64(n)
 	}
 	p.send(&wire.Down{Kind: &wire.Down_Reply{Reply: r}})
 	return nil
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -76,7 +76,7 @@
 type Lister interface {
 	owner.WorkerLister
 	// Policy reads the configuration, nil if there is none, and the version of
-	// the store to pass to Changed.
+	// the store to pass to AwaitPolicy.
 	Policy(ctx context.Context) (*policy.Policy, uint64, error)
 	// AwaitPolicy waits for a change of the configuration after a version of the
 	// store, for at most the duration wait. It returns nil if there was none,
@@ -307,7 +307,7 @@
 	for ctx.Err() == nil {
 		p, version, err := n.lister.Policy(ctx)
 		if err != nil {
-			log.WithError(err).Warn("configuration could not be read")
+			log.WithError(err).Warn("cannot read the configuration")
 			clock.Sleep(ctx, policyRetryDelay)
 			continue
 		}
@@ -317,7 +317,7 @@
 			if err != nil {
 				var compacted *table.CompactedError
 				if !errors.As(err, &compacted) {
-					log.WithError(err).Warn("configuration change could not be read")
+					log.WithError(err).Warn("cannot read changes of the configuration")
 					clock.Sleep(ctx, policyRetryDelay)
 				}
 				break
--- a/io/node/ownerlink.go
+++ b/io/node/ownerlink.go
@@ -34,13 +34,13 @@
 }
 
 // JobAccepted implements entry.OwnerLink.
-func (l *ownerLink) JobAccepted(spec jobs.Spec, requestsAdvice bool) {
+func (l *ownerLink) JobAccepted(spec jobs.Spec, advicePending bool) {
 	if !l.isOwner.Load() {
-		l.client.JobAccepted(spec, requestsAdvice)
+		l.client.JobAccepted(spec, advicePending)
 		return
 	}
 	requester := ""
-	if requestsAdvice {
+	if advicePending {
 		requester = l.vm
 	}
 	l.owner.JobAccepted(spec, requester)
--- a/io/node/reload.go
+++ b/io/node/reload.go
@@ -26,7 +26,7 @@
 		switch {
 		case err != nil && err.Error() != lastError:
 			lastError = err.Error()
-			n.logger("node").WithError(err).Error("settings could not be read; the last ones stay in force")
+			n.logger("node").WithError(err).Error("cannot read the settings; the previous ones stay in force")
 		case err == nil && changed != current:
 			n.applySettings(current, changed)
 			current, lastError = changed, ""
@@ -42,6 +42,7 @@
 	if level, err := logrus.ParseLevel(s.LogLevel); err == nil {
 		n.log.SetLevel(level)
 	}
+	// If any other setting has changed, old still differs from s.
 	old.Limits, old.Grace, old.LogLevel = s.Limits, s.Grace, s.LogLevel
 	n.logger("node").WithFields(logrus.Fields{
 		"lease": s.Limits.Lease.String(), "grace": s.Grace.String(), "level": s.LogLevel, "restart": old != s,
--- a/io/node/settings.go
+++ b/io/node/settings.go
@@ -20,8 +20,8 @@
 	// Callers, Probes, Peers and Ops are the addresses for clients, readiness
 	// probes, other VMs and operators.
 	Callers, Probes, Peers, Ops netip.AddrPort
-	// CoreShare is the share of a core that the process may use, Memory its
-	// limit in bytes and LinkMbps the VM's network bandwidth; 0 means not set.
+	// CoreShare is the share of a core that the process may use, MemoryBytes its
+	// memory limit and LinkMbps the VM's network bandwidth; 0 means not set.
 	CoreShare   float64
 	MemoryBytes int64
 	LinkMbps    float64
--- a/io/owner/dump.go
+++ b/io/owner/dump.go
@@ -10,6 +10,8 @@
 
 // Dump is the control state as operators read it.
 type Dump struct {
+	// State is the state of the leader election, Record the ownership record as last
+	// seen, and Version the version of that record.
 	State    string
 	Record   elect.Record `json:"Seat"`
 	Version  uint64
--- a/io/owner/election.go
+++ b/io/owner/election.go
@@ -111,7 +111,7 @@
 	})
 }
 
-// OwnerFound removes the suspicion of OwnerLost, since the owner answers.
+// OwnerFound clears the suspicion that OwnerLost has set, since the owner answers.
 func (o *Owner) OwnerFound() {
 	o.post(func(o *Owner, _ time.Time) { o.election.MarkSuspect("") })
 }
@@ -135,8 +135,8 @@
 	o.nextRecordRead = now
 }
 
-// yieldToLaterOwner steps down if a job names a later owner than this one, and
-// reports whether it did. It does so once for each later epoch.
+// yieldToLaterOwner steps down, once for each later epoch, if a job names a later
+// owner than this one. It reports whether it has stepped down.
 func (o *Owner) yieldToLaterOwner(now time.Time) bool {
 	later := o.scheduler.LaterEpoch()
 	if later <= o.yieldedToEpoch {
@@ -174,26 +174,26 @@
 	epoch, rosterVersion := next.Epoch, o.rosterVersion
 	o.async(func(ctx context.Context) func(*Owner, time.Time) {
 		began := time.Now()
-		done, err := o.records.Write(ctx, write)
+		result, err := o.records.Write(ctx, write)
 		took := time.Since(began)
 		return func(o *Owner, now time.Time) {
 			o.recordWriteInFlight = false
 			o.meter.Record(len(write.Progress), took)
-			o.handleWrite(now, write, rosterVersion, done, epoch, err)
+			o.handleWrite(now, write, rosterVersion, result, epoch, err)
 		}
 	})
 }
 
 // handleWrite handles the outcome of a write by the owner of an epoch.
 // RosterVersion is the version of the roster in the write.
-func (o *Owner) handleWrite(now time.Time, write record.OwnerWrite, rosterVersion uint64, done table.WriteResult, epoch core.Epoch, err error) {
+func (o *Owner) handleWrite(now time.Time, write record.OwnerWrite, rosterVersion uint64, result table.WriteResult, epoch core.Epoch, err error) {
 	sameEpoch := o.scheduler != nil && o.scheduler.Epoch() == epoch
 	o.nextWrite = now.Add(writeInterval)
 	var conflict *table.ConflictError
 	switch {
 	case err == nil:
 		wasHolder := o.election.IsHolder()
-		o.election.WriteSucceeded(now, write.Record, done.Version, done.Now)
+		o.election.WriteSucceeded(now, write.Record, result.Version, result.Now)
 		o.lastWrite = now
 		o.announceOwner()
 		if !wasHolder && o.election.Loading() {
@@ -310,14 +310,15 @@
 		o.log.WithError(e).Error("skipping a row that cannot be decoded")
 	}
 	if o.policy == nil {
-		// Nothing can be scheduled without a configuration. The feed of changes
-		// supplies the rows that are written until there is one.
+		// Nothing can be scheduled without a configuration. SetPolicy applies the
+		// snapshot; rows that are stored in between are in the feed of changes.
 		o.unappliedSnapshot = &loaded
 		return
 	}
 	if o.scheduler == nil {
 		var opts []fleet.Option
 		if epoch == o.lastOwnedEpoch {
+			// An earlier scheduler of this process has made decisions in this epoch.
 			opts = append(opts, fleet.WithLostState())
 		}
 		o.scheduler, o.lastOwnedEpoch = fleet.New(now, epoch, o.limits, o.policy, opts...), epoch
@@ -343,7 +344,8 @@
 	o.onOwner(o.announcedRecord, true)
 }
 
-// resign releases the ownership record, stores the last progress and closes drained.
+// resign releases the ownership record if this process holds it, stores the last
+// progress and closes drained.
 func (o *Owner) resign() {
 	if !o.election.IsHolder() {
 		o.election.Drain()
@@ -369,7 +371,7 @@
 		_, err := o.records.Write(ctx, write)
 		return func(o *Owner, _ time.Time) {
 			o.recordWriteInFlight = false
-			o.log.WithField("error", err).Info("ownership released")
+			o.log.WithField("error", err).Info("ownership release attempted")
 			o.election.Drain()
 			o.peers.notifyResigned()
 			close(o.drained)
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -26,8 +26,8 @@
 	workersInterval = 500 * time.Millisecond
 	// minChangesInterval and maxChangesInterval bound the time between two reads of
 	// the jobs and cancellations in the store. VMs that are connected to the owner
-	// notify it at once. While reads find jobs from VMs that are not, the interval is
-	// shorter.
+	// notify it at once. While reads find jobs that no VM has reported, the interval
+	// is shorter.
 	minChangesInterval = 150 * time.Millisecond
 	maxChangesInterval = time.Second
 	// cleanupInterval is the time between two deletions of ended jobs; cleanupBatch
@@ -77,7 +77,7 @@
 	Call(kind string, reply string, took time.Duration)
 	Record(rows int, took time.Duration)
 	Placement(took time.Duration)
-	SetOwning(owning bool)
+	SetOwning(isOwner bool)
 }
 
 // Owner is the control state of one process.
@@ -106,20 +106,21 @@
 	peers          *peers
 	// onOwner is called when the owner of the fleet changes and when this process
 	// starts to schedule.
-	onOwner func(rec elect.Record, owning bool)
+	onOwner func(rec elect.Record, isOwner bool)
 	// announcedRecord is the ownership record last passed to onOwner.
 	announcedRecord elect.Record
 	// onWorkers is called with each new worker list.
 	onWorkers func([]fleet.WorkerInfo)
-	// workerList is the last worker list, workerListAt the time of its arrival.
+	// workerList is the last worker list.
 	workerList []fleet.WorkerInfo
 	// absence tracks workers that the platform no longer lists, also while another
 	// process owns the fleet.
-	absence      *fleet.AbsenceTracker
+	absence *fleet.AbsenceTracker
+	// workerListAt is when the last worker list arrived; zero before the first.
 	workerListAt time.Time
 
 	// At most one call of each kind is in flight. The next one starts no earlier than
-	// its time below.
+	// its time below. lastWrite is the time of the last successful write.
 	recordReadInFlight, recordWriteInFlight, workersReadInFlight, changesReadInFlight, snapshotLoadInFlight bool
 	nextRecordRead, nextWorkersRead, nextChangesRead                                                        time.Time
 	nextWrite, nextTick, nextHint                                                                           time.Time
@@ -148,7 +149,7 @@
 
 // WithOwnerHook sets a function that is called when the owner of the fleet changes
 // and when this process becomes the owner.
-func WithOwnerHook(f func(rec elect.Record, owning bool)) Option {
+func WithOwnerHook(f func(rec elect.Record, isOwner bool)) Option {
 	return func(o *Owner) { o.onOwner = f }
 }
 
@@ -226,11 +227,11 @@
 
 // Tick implements loop.Handler.
 func (o *Owner) Tick(now time.Time) time.Time {
-	running := o.election.CheckSuspension(clock.BootTime(), clock.Monotonic())
+	maySendOrders := o.election.CheckSuspension(clock.BootTime(), clock.Monotonic())
 	o.readRecord(now)
 	o.readWorkers(now)
 	next := now.Add(elect.ReadInterval)
-	if o.scheduler != nil && running && !o.draining {
+	if o.scheduler != nil && maySendOrders && !o.draining {
 		o.readChanges(now)
 		o.deleteExpired(now)
 		if !now.Before(o.nextTick) {
@@ -250,14 +251,14 @@
 // tick runs the scheduler and sends its orders, advice requests and room hints.
 func (o *Owner) tick(now time.Time) {
 	began := time.Now()
-	until := o.scheduler.Tick(now)
+	next := o.scheduler.Tick(now)
 	o.dispatch(o.scheduler.Orders())
 	o.sendAdviceRequests(now)
 	o.sendRoomHint(now)
 	o.meter.Placement(time.Since(began))
 	o.meter.Counts(o.scheduler.Counts())
 	o.logDecisions()
-	o.nextTick = until
+	o.nextTick = next
 }
 
 // tickSoon schedules the next tick after tickDelay, unless it is due earlier.
@@ -417,8 +418,8 @@
 func (o *Owner) SetPolicy(p *policy.Policy) {
 	o.post(func(o *Owner, now time.Time) {
 		o.policy = p
-		if r := o.unappliedSnapshot; r != nil {
-			o.handleSnapshot(now, *r)
+		if loaded := o.unappliedSnapshot; loaded != nil {
+			o.handleSnapshot(now, *loaded)
 		}
 		if o.scheduler != nil {
 			o.scheduler.SetPolicy(p)
@@ -437,7 +438,7 @@
 	})
 }
 
-// Drain releases the ownership record and ends all claims of this process.
+// Drain releases the ownership record. The process claims nothing from then on.
 func (o *Owner) Drain() {
 	o.post(func(o *Owner, _ time.Time) {
 		o.draining = true
@@ -447,14 +448,14 @@
 
 // jobState holds the results of State.
 type jobState struct {
-	state  jobs.State
-	known  bool
-	owning bool
+	state   jobs.State
+	known   bool
+	isOwner bool
 }
 
-// State returns the state of a job as clients see it. Owning reports whether this
+// State returns the state of a job as clients see it. IsOwner reports whether this
 // process owns the fleet, known whether its scheduler has the job.
-func (o *Owner) State(ctx context.Context, id core.JobID) (state jobs.State, known, owning bool, err error) {
+func (o *Owner) State(ctx context.Context, id core.JobID) (state jobs.State, known, isOwner bool, err error) {
 	s, err := query(ctx, o, func(o *Owner, _ time.Time) jobState {
 		if o.scheduler == nil {
 			return jobState{}
@@ -462,12 +463,12 @@
 		st, ok := o.scheduler.State(id)
 		return jobState{st, ok, true}
 	})
-	return s.state, s.known, s.owning, err
+	return s.state, s.known, s.isOwner, err
 }
 
-// Pending returns how many jobs of a queue wait for their first start. Owning
+// Pending returns how many jobs of a queue wait for their first start. IsOwner
 // reports whether this process owns the fleet.
-func (o *Owner) Pending(ctx context.Context, q core.Queue) (n int, owning bool, err error) {
+func (o *Owner) Pending(ctx context.Context, q core.Queue) (n int, isOwner bool, err error) {
 	n, err = query(ctx, o, func(o *Owner, _ time.Time) int {
 		if o.scheduler == nil {
 			return -1
@@ -484,9 +485,9 @@
 	})
 }
 
-// JobAccepted adds a stored job to the scheduler. Advising names the VM that already
-// has a request for advice on the job's first phase in flight; it may be empty.
-func (o *Owner) JobAccepted(spec jobs.Spec, advising string) {
+// JobAccepted adds a stored job to the scheduler. Requester names the VM that has an
+// advice request for the job's first phase in flight; it is empty if there is none.
+func (o *Owner) JobAccepted(spec jobs.Spec, requester string) {
 	o.post(func(o *Owner, now time.Time) {
 		if o.scheduler == nil {
 			return
@@ -495,9 +496,9 @@
 		if o.yieldToLaterOwner(now) {
 			return
 		}
-		if id := (jobs.PhaseID{Job: spec.ID}); advising != "" {
+		if id := (jobs.PhaseID{Job: spec.ID}); requester != "" {
 			cost := o.scheduler.AdvicePending(now, id)
-			if s := o.peers.byName[advising]; s != nil && cost > 0 {
+			if s := o.peers.byName[requester]; s != nil && cost > 0 {
 				s.addRequest(now, id, cost)
 			}
 		}
--- a/io/owner/owner_test.go
+++ b/io/owner/owner_test.go
@@ -170,10 +170,10 @@
 	is.True(deps.feedReads <= deps.loads)
 }
 
-// quietStore is a store whose feed has no changes.
-type quietStore struct{ *fakeDeps }
+// emptyFeedStore is a store whose feed has no changes.
+type emptyFeedStore struct{ *fakeDeps }
 
-func (quietStore) Changes(context.Context, uint64) (record.Snapshot, error) {
+func (emptyFeedStore) Changes(context.Context, uint64) (record.Snapshot, error) {
 	return record.Snapshot{}, nil
 }
 
@@ -182,13 +182,13 @@
 func TestPolicyAfterSnapshot(t *testing.T) {
 	is := is.New(t)
 	deps := &fakeDeps{}
-	o := startOwner(t, quietStore{deps}, "a", nil)
+	o := startOwner(t, emptyFeedStore{deps}, "a", nil)
 	time.Sleep(2500 * time.Millisecond) // time for a claim and one load
 	o.SetPolicy(policy.New(1, nil, nil, nil, 0))
 	time.Sleep(100 * time.Millisecond)
-	_, _, owning, err := o.State(t.Context(), "j")
+	_, _, isOwner, err := o.State(t.Context(), "j")
 	is.NoErr(err)
-	is.True(owning)
+	is.True(isOwner)
 	deps.mu.Lock()
 	defer deps.mu.Unlock()
 	is.Equal(deps.loads, 1)
@@ -232,16 +232,16 @@
 	l.fakeDeps.mu.Lock()
 	defer l.fakeDeps.mu.Unlock()
 	is.Equal(l.loads, 2)
-	_, known, owning, err := o.State(t.Context(), "j")
+	_, known, isOwner, err := o.State(t.Context(), "j")
 	is.NoErr(err)
-	is.True(owning)
+	is.True(isOwner)
 	is.True(!known)
 }
 
 // restartedWorker is a fake of a worker whose incarnation is newer than the one in the
 // platform's list, and of a store whose writes take 150 ms.
 type restartedWorker struct {
-	quietStore
+	emptyFeedStore
 	mu      sync.Mutex
 	version uint64
 	rosters [][]fleet.WorkerInfo
@@ -286,7 +286,7 @@
 // new roster afterwards: it never uses a worker that is not in the stored roster.
 func TestRosterChangesDuringWrite(t *testing.T) {
 	is := is.New(t)
-	r := &restartedWorker{quietStore: quietStore{&fakeDeps{}}, rosterWriting: make(chan struct{})}
+	r := &restartedWorker{emptyFeedStore: emptyFeedStore{&fakeDeps{}}, rosterWriting: make(chan struct{})}
 	startOwner(t, r, "a", policy.New(1, nil, nil, []policy.Service{{Name: "s"}}, 0))
 	time.Sleep(4 * time.Second)
 	r.mu.Lock()
--- a/io/owner/peers.go
+++ b/io/owner/peers.go
@@ -57,7 +57,8 @@
 	inFlight map[jobs.PhaseID]inFlightRequest
 }
 
-// peers holds the VMs that are connected to the owner. It implements fleet.Turns.
+// peers holds the VMs that are connected to the owner. It implements
+// fleet.AdvicePeers.
 type peers struct {
 	byName map[string]*peerState
 	// list is sorted by name.
@@ -120,8 +121,8 @@
 }
 
 // leastLoaded returns the VM with the lowest load for a request of the given cost,
-// or nil if all loads exceed maxPeerLoad. Long requests use only the first half of
-// the VMs.
+// or nil if all loads exceed maxPeerLoad. It chooses from the first half of the VMs
+// for a long request.
 func (p *peers) leastLoaded(cost time.Duration) *peerState {
 	list := p.list
 	if cost >= longRequest {
@@ -138,11 +139,11 @@
 	return best
 }
 
-// HasCapacity implements fleet.Turns. It reports whether a VM accepts a request of the
-// given cost.
+// HasCapacity implements fleet.AdvicePeers. It reports whether a VM accepts a request of
+// the given cost.
 func (p *peers) HasCapacity(cost time.Duration) bool { return p.leastLoaded(cost) != nil }
 
-// MostlyIdle implements fleet.Turns. It reports whether most VMs are idle.
+// MostlyIdle implements fleet.AdvicePeers. It reports whether most VMs are idle.
 func (p *peers) MostlyIdle() bool {
 	idle := 0
 	for _, s := range p.list {
@@ -153,12 +154,12 @@
 	return idle > len(p.list)/2
 }
 
-// Send implements fleet.Turns. It sends a request to the least loaded VM.
+// Send implements fleet.AdvicePeers. It sends a request to the least loaded VM.
 func (p *peers) Send(r fleet.AdviceRequest) {
 	s := p.leastLoaded(r.Cost)
 	if s == nil {
-		// The scheduler calls Free before it knows the final cost of the request,
-		// which may be long.
+		// The scheduler calls HasCapacity before it knows the final cost of the
+		// request, which may be long.
 		s = p.leastLoaded(0)
 	}
 	s.addRequest(p.now, r.Phase, r.Cost)
@@ -174,8 +175,8 @@
 	})
 }
 
-// RemovePeer removes a VM that has disconnected. The scheduler sends the requests
-// in flight there to other VMs.
+// RemovePeer removes a VM that has disconnected. The scheduler sends the VM's
+// requests in flight to other VMs.
 func (o *Owner) RemovePeer(p Peer) {
 	o.post(func(o *Owner, now time.Time) {
 		s := o.peers.byName[p.Name()]
--- a/io/record/accept.go
+++ b/io/record/accept.go
@@ -21,7 +21,7 @@
 	// stays well below the platform's limits of 100 entries and 1 MB per transaction.
 	maxBatchJobs = 50
 	// refusalTimeout is how long writes of a job are retried while the store refuses
-	// them. The client is then told that the job was not accepted.
+	// them. The client then receives a refusal, since the job is not stored.
 	refusalTimeout = 800 * time.Millisecond
 	// writeRetryDelay is the time before a refused or unanswered write is retried.
 	writeRetryDelay = 80 * time.Millisecond
@@ -33,7 +33,7 @@
 	spec jobs.Spec
 	put  table.Put
 	// maybeStored is set when a write of the job has had no answer. That write may
-	// still take effect until a later write has found the row.
+	// have taken effect, and may still do so until a later write finds the row.
 	maybeStored bool
 	queuedAt    time.Time
 	// answered is set when the answer has been sent on result.
@@ -137,7 +137,7 @@
 		return spec, err
 	}
 	if len(put.Val) > maxRowBytes {
-		return spec, core.Refuse(core.CodeTooLarge, "the job takes %d bytes in the store, at most %d", len(put.Val), maxRowBytes)
+		return spec, core.Refuse(core.CodeTooLarge, "the job takes %d bytes in the store; the limit is %d", len(put.Val), maxRowBytes)
 	}
 	if s.Unreachable() {
 		return spec, s.refusal(spec.ID, s.unreachableError())
--- a/io/record/store.go
+++ b/io/record/store.go
@@ -89,7 +89,7 @@
 // reached.
 func WithReachability(r Reachability) Option { return func(s *Store) { s.reachability = r } }
 
-// New returns a Store on a table. Accept needs Run in another goroutine.
+// New returns a Store on a table. Accept blocks unless Run runs on another goroutine.
 func New(client table.Client, opts ...Option) *Store {
 	s := &Store{client: client, writerStarts: make(chan int, jobParts), unconfirmed: map[core.JobID]time.Time{}}
 	for _, o := range opts {
@@ -104,7 +104,7 @@
 // unreachableError returns the refusal of a call while the table cannot be reached.
 // Clients can retry through another VM instead of waiting for the table.
 func (s *Store) unreachableError() *core.RefusalError {
-	r := core.Refuse(core.CodeStoreUnavailable, "this VM does not reach the store")
+	r := core.Refuse(core.CodeStoreUnavailable, "this VM cannot reach the store")
 	r.RetryAfter = clientRetryAfter
 	return r
 }
@@ -170,7 +170,8 @@
 	return r, err
 }
 
-// getWithClock reads one row and the store's clock.
+// getWithClock reads one row and the store's clock. The range that it reads excludes
+// its end, so that it holds only the row named k.Name.
 func (s *Store) getWithClock(ctx context.Context, k table.Key) (table.Row, time.Duration, error) {
 	p, err := s.client.Read(ctx, table.Range{Table: k.Table, Part: k.Part, From: k.Name, To: k.Name + "\x01", Limit: 1})
 	if err != nil || len(p.Rows) == 0 {
@@ -316,7 +317,8 @@
 	return out, nil
 }
 
-// roster reads the roster of workers.
+// roster reads the roster of workers. Its range ends at "0", the character after the
+// "/" in the names of the rows.
 func (s *Store) roster(ctx context.Context) ([]fleet.WorkerInfo, error) {
 	p, err := s.client.Read(ctx, table.Range{Table: fleetTable, Part: fleetPart, From: rosterName, To: rosterName + "0"})
 	if err != nil {
@@ -386,8 +388,8 @@
 }
 
 // Changes reads the jobs and cancellations stored after a version. The next call
-// continues from the Version of the result. This way the owner learns of jobs whose
-// VM has failed before it notified the owner.
+// continues from the Version of the result. The owner finds here the jobs of VMs that
+// failed before they notified it.
 func (s *Store) Changes(ctx context.Context, after uint64) (Snapshot, error) {
 	out := Snapshot{Version: after}
 	ch, err := s.client.Feed(ctx, table.FeedRequest{Table: jobTable, Version: after})
--- a/io/record/store_test.go
+++ b/io/record/store_test.go
@@ -242,11 +242,11 @@
 		first, again := newSpec("a", "t"), newSpec("a", "t")
 		first.FirstEpoch, again.FirstEpoch, again.Payload = 3, 4, "other"
 		is.NoErr(accept(timeoutContext(t, time.Second), s, first))
-		recorded, err := s.Accept(timeoutContext(t, time.Second), again)
+		stored, err := s.Accept(timeoutContext(t, time.Second), again)
 		is.NoErr(err)
-		is.Equal(recorded, first) // the owner of epoch 3 may have started it
+		is.Equal(stored, first) // the owner of epoch 3 may have started it
 	})
-	t.Run("refused soon, and never recorded", func(t *testing.T) {
+	t.Run("refused soon, and never stored", func(t *testing.T) {
 		is := is.New(t)
 		tbl := newFakeTable()
 		tbl.setFaults(true, false, false)
@@ -258,7 +258,7 @@
 		_, err := s.State(context.Background(), "a")
 		is.Equal(execution(err), core.NotExecuted) // there is no such job
 	})
-	t.Run("recorded, but the answer was lost", func(t *testing.T) {
+	t.Run("stored, but the answer was lost", func(t *testing.T) {
 		is := is.New(t)
 		tbl := newFakeTable()
 		tbl.setFaults(false, true, true)
@@ -269,14 +269,14 @@
 		}()
 		is.NoErr(accept(timeoutContext(t, 5*time.Second), s, newSpec("a", "t")))
 	})
-	t.Run("no answer until the client's time is up", func(t *testing.T) {
+	t.Run("no answer until the client's deadline", func(t *testing.T) {
 		is := is.New(t)
 		tbl := newFakeTable()
 		tbl.setFaults(false, true, false)
 		s := startStore(t, tbl)
 		is.Equal(execution(accept(timeoutContext(t, 500*time.Millisecond), s, newSpec("a", "t"))), core.ExecutionUnknown)
 	})
-	t.Run("an unanswered write is not taken back by a refusal", func(t *testing.T) {
+	t.Run("the outcome stays unknown when a refusal follows an unanswered write", func(t *testing.T) {
 		is := is.New(t)
 		tbl := newFakeTable()
 		tbl.setFaults(false, true, false)
--- a/io/record/unconfirmed.go
+++ b/io/record/unconfirmed.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// unconfirmedTTL is how long the store remembers a job whose write had no answer.
-	// A pending write takes effect within seconds, and clients retry at once.
+	// unconfirmedTTL is how long a Store remembers a job whose write had no answer. A
+	// write in flight takes effect within seconds, and clients retry at once.
 	unconfirmedTTL = time.Minute
-	// maxUnconfirmed is the number of remembered jobs, at about 100 bytes each, from
-	// which the store removes expired ones.
+	// maxUnconfirmed is the number of remembered jobs at which markUnconfirmed removes
+	// the expired ones. Each job takes about 100 bytes.
 	maxUnconfirmed = 4000
 )
 
@@ -39,5 +39,5 @@
 	if at, ok := s.unconfirmed[id]; !ok || time.Since(at) > unconfirmedTTL {
 		return r
 	}
-	return core.RefuseUnknown(r.Code, r, "an earlier call may have recorded the job")
+	return core.RefuseUnknown(r.Code, r, "an earlier call may have stored the job")
 }
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -23,8 +23,8 @@
 	// table.
 	unreachableAfter = time.Second
 	// lateAnswerTimeout is how long a direct call still waits for an answer
-	// after its caller's deadline. A late answer shows that the table is slow
-	// and not that it rejects this VM.
+	// after its caller's deadline. A late answer shows that the table is slow,
+	// not that it rejects this VM.
 	lateAnswerTimeout = 3 * time.Second
 )
 
@@ -51,7 +51,7 @@
 	// unansweredSince is the start of the first call after that without an
 	// answer; it is zero if there is none.
 	answeredAt, unansweredSince time.Time
-	// relayed counts the calls that other VMs have made.
+	// relayed counts the calls that other VMs have made for this one.
 	relayed uint64
 }
 
@@ -70,7 +70,7 @@
 	return s
 }
 
-// Relayed returns how many calls other VMs have made.
+// Relayed returns how many calls other VMs have made for this one.
 func (s *Store) Relayed() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +85,8 @@
 	return !s.unansweredSince.IsZero() && s.clock().Sub(s.unansweredSince) > unreachableAfter
 }
 
-// updateReachability records whether the table answered a call that began at a
-// time.
+// updateReachability records whether the table answered a call that began at the
+// given time.
 func (s *Store) updateReachability(began time.Time, o table.Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,9 +115,9 @@
 	return true, true
 }
 
-// updateRoute records the result of a direct call that began at a time. It
-// ignores a failure if the table has processed another direct call since then:
-// the table is slow, or refuses some calls of every VM.
+// updateRoute records the result of a direct call that began at the given time. It
+// ignores a failure if the table has processed another direct call since then,
+// because the table is slow or refuses some calls of every VM.
 func (s *Store) updateRoute(began time.Time, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/table/call.go
+++ b/io/table/call.go
@@ -9,7 +9,7 @@
 type Client interface {
 	Write(ctx context.Context, t Txn) (WriteResult, error)
 	Read(ctx context.Context, r Range) (Page, error)
-	Feed(ctx context.Context, s FeedRequest) (Changes, error)
+	Feed(ctx context.Context, f FeedRequest) (Changes, error)
 }
 
 // Call is one table call, as it is forwarded to another VM. Exactly one field
@@ -20,7 +20,8 @@
 	Feed  *FeedRequest `json:",omitempty"`
 }
 
-// Outcome is the result of a call that another VM has made.
+// Outcome is the result of a call that another VM has made. Exactly one field is
+// set.
 type Outcome struct {
 	Done          *WriteResult    `json:",omitempty"`
 	Page          *Page           `json:",omitempty"`
--- a/io/table/table.go
+++ b/io/table/table.go
@@ -138,14 +138,17 @@
 	return fmt.Sprintf("the feed no longer keeps the changes after version %d", e.Version)
 }
 
-// FormatError reports a row or answer that cannot be decoded; What names it.
+// FormatError reports a row or answer that cannot be decoded; Subject names
+// it.
 type FormatError struct {
 	Subject string
 	Err     error
 }
 
 // Error implements error.
-func (e *FormatError) Error() string { return fmt.Sprintf("%s cannot be read: %v", e.Subject, e.Err) }
+func (e *FormatError) Error() string {
+	return fmt.Sprintf("%s cannot be decoded: %v", e.Subject, e.Err)
+}
 
 // Unwrap returns the cause.
 func (e *FormatError) Unwrap() error { return e.Err }
