--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -27,9 +27,9 @@
 	nonceBytes = 8
 	// compactDelay lets a change come into force before the snapshot is taken.
 	compactDelay = 2 * time.Second
-	// maxConflicts bounds how often a change of keys is written under the next
+	// maxChangeAttempts bounds how often a change of keys is written under the next
 	// version after other operators' changes took the previous ones.
-	maxConflicts = 64
+	maxChangeAttempts = 64
 )
 
 // configKey returns the key of the row that holds a version's change.
@@ -344,7 +344,7 @@
 func (a *Agent) appendChange(ctx context.Context, v core.Version, c storedChange, commutes bool) (core.Version, error) {
 	c.Nonce = randomHex(nonceBytes)
 	c.At = time.Now().UTC()
-	for range maxConflicts {
+	for range maxChangeAttempts {
 		c.Version = v
 		t := store.Txn{Checks: []store.Check{{Key: configKey(v)}}}
 		if err := t.Set(configKey(v), c); err != nil {
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -74,8 +74,8 @@
 	// rotation grows with every job, to spread the jobs over a region's cells.
 	rotation int
 	draining bool
-	// sessionEnded is set once the deletion of the session has been started.
-	sessionEnded bool
+	// sessionEnding is set once the deletion of the session has been started.
+	sessionEnding bool
 	// drained is closed once the session has been deleted or that has failed.
 	drained chan struct{}
 }
@@ -340,7 +340,7 @@
 // is in flight, gives all parts of the ledger back, waits until that is stored,
 // and then ends the session.
 func (g *Gate) finishDrain() {
-	if !g.draining || g.sessionEnded {
+	if !g.draining || g.sessionEnding {
 		return
 	}
 	if waiting, sending := g.admission.RequestCounts(); waiting+sending > 0 || g.intents.inFlight() > 0 {
@@ -352,7 +352,7 @@
 			return
 		}
 	}
-	g.sessionEnded = true
+	g.sessionEnding = true
 	g.Agent.Member.Drain()
 	g.Agent.DeleteSession(g.drained)
 }
@@ -365,17 +365,21 @@
 	return g.Agent.RenewOrPromise(ctx, row, version, resign)
 }
 
-// notSched returns the refusal of all calls that only a sched serves.
-func notSched() error { return core.Refuse(core.CodeNoOwner, "a gate owns no cells") }
+// notSchedRefusal returns the refusal of all calls that only a sched serves.
+func notSchedRefusal() error { return core.Refuse(core.CodeNoOwner, "a gate owns no cells") }
 
 // Submit implements peer.Backend.
-func (g *Gate) Submit(context.Context, cell.JobSpec) (bool, error) { return false, notSched() }
+func (g *Gate) Submit(context.Context, cell.JobSpec) (bool, error) { return false, notSchedRefusal() }
 
 // Cancel implements peer.Backend.
-func (g *Gate) Cancel(context.Context, core.JobID) error { return notSched() }
+func (g *Gate) Cancel(context.Context, core.JobID) error { return notSchedRefusal() }
 
 // Show implements peer.Backend.
-func (g *Gate) Show(context.Context, core.JobID) (cell.View, error) { return cell.View{}, notSched() }
+func (g *Gate) Show(context.Context, core.JobID) (cell.View, error) {
+	return cell.View{}, notSchedRefusal()
+}
 
 // List implements peer.Backend.
-func (g *Gate) List(context.Context, core.Team, int) ([]cell.View, error) { return nil, notSched() }
+func (g *Gate) List(context.Context, core.Team, int) ([]cell.View, error) {
+	return nil, notSchedRefusal()
+}
--- a/io/gate/jobs.go
+++ b/io/gate/jobs.go
@@ -249,13 +249,13 @@
 	g.rotation++
 	self := g.Agent.Member.Self().Region
 	slices.SortFunc(out, func(a, b core.CellID) int {
-		return cmp.Or(cmp.Compare(remoteRank(a, self), remoteRank(b, self)), cmp.Compare(g.rotated(a), g.rotated(b)), cmp.Compare(a.Region, b.Region))
+		return cmp.Or(cmp.Compare(remoteRank(a, self), remoteRank(b, self)), cmp.Compare(g.rotatedIndex(a), g.rotatedIndex(b)), cmp.Compare(a.Region, b.Region))
 	})
 	return out
 }
 
-// rotated returns a cell's position in the current rotation.
-func (g *Gate) rotated(id core.CellID) int {
+// rotatedIndex returns a cell's position in the current rotation.
+func (g *Gate) rotatedIndex(id core.CellID) int {
 	return (id.Index + g.rotation) % g.Agent.Member.CellCount()
 }
 
--- a/io/proc/proc.go
+++ b/io/proc/proc.go
@@ -30,8 +30,8 @@
 	"chicoryturn/io/work"
 )
 
-// sessionNameBytes is the number of random bytes in a session ID.
-const sessionNameBytes = 6
+// sessionIDBytes is the number of random bytes in a session ID.
+const sessionIDBytes = 6
 
 // ListenError reports an address that cannot be bound.
 type ListenError struct {
@@ -120,7 +120,7 @@
 
 // newIdentity returns the description of this process, with a new random session ID.
 func newIdentity(s parse.Settings, role core.Role) core.Process {
-	b := make([]byte, sessionNameBytes)
+	b := make([]byte, sessionIDBytes)
 	// rand.Read never returns an error; it crashes the program instead.
 	_, _ = rand.Read(b)
 	return core.Process{
--- a/io/sched/journal.go
+++ b/io/sched/journal.go
@@ -26,9 +26,9 @@
 	Entries []cell.Entry
 }
 
-// readJournal reads a claimed cell's snapshot and the journal rows after it.
+// loadCell reads a claimed cell's snapshot and the journal rows after it.
 // Rows before the snapshot are not applied; the next snapshot deletes them.
-func (s *Sched) readJournal(c member.Claim) {
+func (s *Sched) loadCell(c member.Claim) {
 	s.nextLoad[c.Cell] = time.Now().Add(loadTimeout)
 	s.loop.Go(func(ctx context.Context) loop.Message {
 		m := loadResult{claim: c, nextRow: c.Log}
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -232,7 +232,7 @@
 	for _, c := range loading {
 		kept.Add(c.Cell)
 		if now.After(s.nextLoad[c.Cell]) {
-			s.readJournal(c)
+			s.loadCell(c)
 		}
 	}
 	for id, oc := range s.cells {
--- a/io/sched/serve.go
+++ b/io/sched/serve.go
@@ -74,8 +74,8 @@
 	Jobs    []cell.View
 }
 
-// dumpJobs is the largest number of jobs of one cell in a dump.
-const dumpJobs = 500
+// maxDumpJobs is the largest number of jobs of one cell in a dump.
+const maxDumpJobs = 500
 
 // handleRequest handles the requests of traffic goroutines and reports whether the
 // message was one.
@@ -153,7 +153,7 @@
 	for _, oc := range s.cells {
 		d.Cells = append(d.Cells, CellDump{
 			Load: oc.cell.Status(), Pending: oc.cell.Pending(), Journal: oc.nextRow,
-			Workers: oc.cell.Workers(), Jobs: oc.cell.List("", dumpJobs),
+			Workers: oc.cell.Workers(), Jobs: oc.cell.List("", maxDumpJobs),
 		})
 	}
 	return d
