--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -1,7 +1,8 @@
-// Package agent holds the control state that gates and scheds share: the
-// session, the configuration in force, the list of VMs and the divided limits.
-// Only the process's control goroutine accesses that state. Exported methods that
-// take a context are for traffic goroutines and query the control goroutine.
+// Package agent holds the part of the control state that every gate and every
+// sched has: its session, the configuration in force, the list of VMs and the
+// divided limits. Only the process's control goroutine accesses that state.
+// Exported methods that take a context are for traffic goroutines and query the
+// control goroutine.
 package agent
 
 import (
@@ -31,10 +32,10 @@
 	// minLedgerInterval replaces ledgerInterval while the ledger needs more than
 	// it holds.
 	minLedgerInterval = 60 * time.Millisecond
-	// peerRenewTimeout bounds the renewal of a peer's session on its behalf.
+	// peerRenewTimeout bounds the renewal of a peer's session on its behalf. The
+	// peer waits for the answer for peer.ProbeTimeout.
 	peerRenewTimeout = 400 * time.Millisecond
-	// reclaimInterval is the time between two searches for the rows of dead
-	// sessions.
+	// reclaimInterval is the time between two searches for sessions to delete.
 	reclaimInterval = time.Second
 )
 
@@ -54,7 +55,8 @@
 	CloseExcept(addrs core.Set[netip.AddrPort])
 }
 
-// Callbacks is the process's own control state, which the agent notifies of changes.
+// Callbacks is implemented by the gate and the sched, which the agent notifies of
+// changes.
 type Callbacks interface {
 	// ConfigChanged is called after a new configuration has come into force.
 	ConfigChanged(now time.Time)
@@ -64,7 +66,7 @@
 	LedgerRead(now time.Time)
 }
 
-// Agent is the control state that gates and scheds share.
+// Agent is the part of the control state that every gate and every sched has.
 type Agent struct {
 	loop           *loop.Loop
 	store          Store
@@ -84,7 +86,7 @@
 	// failing holds the operations whose last attempt failed.
 	failing map[string]bool
 
-	// Each is set while the operation is in flight; there is at most one of a kind.
+	// Each is set while its operation is in flight, so that no second one starts.
 	readingConfig, readingVMs, confirming, reclaiming bool
 
 	nextConfigRead, nextVMsRead, nextConfirm, nextReclaim time.Time
--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -27,8 +27,9 @@
 	nonceBytes = 8
 	// compactDelay lets a change come into force before the snapshot is taken.
 	compactDelay = 2 * time.Second
-	// maxChangeAttempts bounds how often a change of keys is written under the next
-	// version after other operators' changes took the previous ones.
+	// maxChangeAttempts bounds the attempts to write a change. A change of keys is
+	// retried under the next version if another operator's change took its version,
+	// and any change is retried if its write was not answered.
 	maxChangeAttempts = 64
 )
 
@@ -372,7 +373,7 @@
 			}
 		}
 	}
-	return 0, core.Refuse(core.CodeConflict, "too many changes at once")
+	return 0, core.Refuse(core.CodeConflict, "change not written: too many attempts conflicted with other changes or were not answered")
 }
 
 // changeAccepted makes this process read, at once, a change that it has written,
@@ -456,11 +457,11 @@
 		if err := json.Unmarshal(r.Val, &c); err != nil {
 			return nil, &store.FormatError{Key: r.Key, Err: err}
 		}
-		what := c.Object
+		subject := c.Object
 		if c.Kind != conf.PushRules {
-			what = "key " + c.ID + " of team " + c.Team
+			subject = "key " + c.ID + " of team " + c.Team
 		}
-		out = append(out, History{c.Version, c.Kind, what, c.By, c.At})
+		out = append(out, History{c.Version, c.Kind, subject, c.By, c.At})
 	}
 	return out, nil
 }
--- a/io/agent/limits.go
+++ b/io/agent/limits.go
@@ -181,9 +181,10 @@
 	a.logFailureOnce("writing limits", m.err)
 }
 
-// reclaim frees the parts of sessions that have been proved dead, and deletes
-// their rows. It waits for the longest time that a request may take, since a
-// target may still be working on a request that a dead gate sent.
+// reclaim frees the parts of the sessions that the membership wants deleted, and
+// deletes their rows. A process must have been dead for the longest time that a
+// request may take, since a target may still be working on a request that a dead
+// gate sent.
 func (a *Agent) reclaim(now time.Time) {
 	if a.reclaiming || now.Before(a.nextReclaim) || a.Member.State() != "live" {
 		return
@@ -204,7 +205,7 @@
 	})
 }
 
-// longestRequestTime returns the highest run time limit of all queues.
+// longestRequestTime returns the longest run time-out of all queues.
 func (a *Agent) longestRequestTime() time.Duration {
 	longest := time.Duration(0)
 	for _, q := range a.Config.Rules().Queues {
--- a/io/agent/session.go
+++ b/io/agent/session.go
@@ -31,7 +31,7 @@
 
 // Messages to the control goroutine.
 type (
-	// sessionWriteDone carries the outcome of a write of the own session row.
+	// sessionWriteDone carries the outcome of a write of this process's session row.
 	sessionWriteDone struct {
 		id      core.SessionID
 		sent    time.Time
@@ -220,8 +220,8 @@
 	a.peers.CloseExcept(keep)
 }
 
-// writeClaim writes a cell's claim if the claim's row and the own session row
-// still have the versions that the action names.
+// writeClaim writes a cell's claim if the claim's row and this process's session
+// row still have the versions that the action names.
 func (a *Agent) writeClaim(ctx context.Context, action member.WriteClaim) (uint64, error) {
 	key := CellKey(action.Claim.Cell)
 	t := store.Txn{Checks: []store.Check{
@@ -236,8 +236,8 @@
 }
 
 // handleClaimWrite reports the outcome of a claim or a release to the
-// membership. It returns the error to be logged: a claim that lost to another
-// process is no failure.
+// membership. It returns the error to be logged. A conflict is not logged, since
+// losing a claim to another process is no failure.
 func (a *Agent) handleClaimWrite(m claimWriteDone) error {
 	var conflict *store.ConflictError
 	if m.claim.Owner == "" {
@@ -354,7 +354,7 @@
 func (a *Agent) ReleaseCell(now time.Time, c member.Claim) { a.perform(a.Member.Release(now, c)) }
 
 // DeleteSession deletes this process's session at the end of a drain, and then
-// closes done.
+// closes done, even if the deletion failed.
 func (a *Agent) DeleteSession(done chan<- struct{}) {
 	key := sessionKey(a.Member.Self().ID)
 	a.loop.Go(func(ctx context.Context) loop.Message {
--- a/io/gate/call.go
+++ b/io/gate/call.go
@@ -61,7 +61,7 @@
 // Unwrap returns the cause.
 func (e *ForwardError) Unwrap() error { return e.Err }
 
-// call is one caller's request on its way to a target.
+// call is one caller's request to a target.
 type call struct {
 	gate *Gate
 	// id is unique within the process.
@@ -123,7 +123,8 @@
 // off after part of it was passed on.
 const reasonTruncated = "response truncated"
 
-// resultLabel returns the metric label for a failed call.
+// resultLabel returns the metric label for a failed call: the code of the refusal,
+// or "cut" for any other error, such as a truncated response.
 func resultLabel(err error) string {
 	var r *core.RefusalError
 	if errors.As(err, &r) {
@@ -184,6 +185,7 @@
 			case ev.Err != nil:
 				return ev.Err
 			case !granted:
+				// The last event of a request carries no target.
 				return nil
 			case callerLeft:
 				c.post(requestDone{c.id, admit.Abandoned, nil})
@@ -196,6 +198,7 @@
 			c.countCrossRegionBytes(target, resp)
 			c.post(requestDone{c.id, outcome, err})
 			if outcome == admit.Truncated {
+				// Wait for the last event of the request.
 				<-events
 				return &ForwardError{reasonTruncated, err}
 			}
@@ -288,8 +291,8 @@
 		GotConn: func(info httptrace.GotConnInfo) { conn = startRequest(info.Conn) },
 	})
 	// The HTTP client retries a request only if it can rewind the body.
-	// NopCloser hides how to, so the client sends the request at most once,
-	// whatever the method and headers.
+	// io.NopCloser keeps it from rewinding the body, so the client sends the
+	// request at most once, whatever the method and headers.
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+target.Addr.String()+c.path, io.NopCloser(bytes.NewReader(c.body)))
 	if err != nil {
 		return nil, admit.Unsent, &ForwardError{"request could not be built", err}
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -63,8 +63,8 @@
 	ledger    *ledger.Ledger
 	intents   *intentWriter
 	transport http.RoundTripper
-	// eventChans leads to the traffic goroutine of each request that has not
-	// ended, by the request's ID.
+	// eventChans holds, by request ID, the channel to the traffic goroutine of each
+	// request that has not ended.
 	eventChans map[uint64]chan<- admit.Event
 	nextTick   time.Time
 	nextDemand time.Time
@@ -74,9 +74,9 @@
 	// rotation grows with every job, to spread the jobs over a region's cells.
 	rotation int
 	draining bool
-	// sessionEnding is set once the deletion of the session has been started.
+	// sessionEnding is set once the deletion of the session has started.
 	sessionEnding bool
-	// drained is closed once the session has been deleted or that has failed.
+	// drained is closed once the session has been deleted or its deletion has failed.
 	drained chan struct{}
 }
 
@@ -136,7 +136,8 @@
 		self  core.Process
 	}
 	dumpRequest struct{ reply chan<- Dump }
-	// cellsRequest asks for the cells whose workers are large enough.
+	// cellsRequest asks for the cells that have, for each need, a worker large enough
+	// for it.
 	cellsRequest struct {
 		needs []core.Resources
 		reply chan<- []core.CellID
@@ -291,7 +292,7 @@
 	}
 }
 
-// renameLedger moves the ledger to the new session ID after the session has
+// renameLedger moves the ledger to the new session ID after the process has
 // rejoined. The parts of the old ID stay in the rows until they are reclaimed.
 func (g *Gate) renameLedger() {
 	if h := ledger.Holder(g.Agent.Member.Self().ID); h != g.ledger.Holder() {
--- a/io/gate/jobs.go
+++ b/io/gate/jobs.go
@@ -205,7 +205,7 @@
 		return core.Refuse(core.CodeLeaving, "this gate has stopped")
 	}
 	if len(cells) == 0 {
-		return core.Refuse(core.CodeTooLarge, "no worker of the fleet is large enough for every task")
+		return core.Refuse(core.CodeTooLarge, "no cell has a large enough worker for each task")
 	}
 	spec.ID = core.NewJobID(cells[0], rand.Text()[:16])
 	key := r.Header.Get(idempotencyHeader)
@@ -227,7 +227,7 @@
 }
 
 // candidateCells returns the cells that have, for each task, a worker large
-// enough for it. Cells of the own region come first. Within a region, the first
+// enough for it. Cells of the gate's region come first. Within a region, the first
 // cell changes with each call.
 func (g *Gate) candidateCells(needs []core.Resources) []core.CellID {
 	// sizes holds the distinct sizes of each cell's workers.
@@ -259,7 +259,7 @@
 	return (id.Index + g.rotation) % g.Agent.Member.CellCount()
 }
 
-// remoteRank returns 0 for a cell of the own region and 1 for any other.
+// remoteRank returns 0 for a cell of the region self and 1 for any other.
 func remoteRank(id core.CellID, self core.Region) int {
 	if id.Region == self {
 		return 0
@@ -305,7 +305,7 @@
 func (g *Gate) callOwner(ctx context.Context, id core.JobID, do func(ctx context.Context, owner core.Process) error) error {
 	cellID, ok := id.Cell()
 	if !ok {
-		return core.Refuse(core.CodeUnknownJob, "%q is not the name of a job", id)
+		return core.Refuse(core.CodeUnknownJob, "%q is not a job ID", id)
 	}
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
--- a/io/peer/pool.go
+++ b/io/peer/pool.go
@@ -161,7 +161,7 @@
 	return toView(v), nil
 }
 
-// List returns up to limit of the newest jobs of a team that one sched owns.
+// List returns a team's newest jobs in the cells of one sched, at most limit per cell.
 func (p *Pool) List(ctx context.Context, to core.Process, team core.Team, limit int) ([]cell.View, error) {
 	c, err := p.client(to.Peer)
 	if err != nil {
--- a/io/proc/proc.go
+++ b/io/proc/proc.go
@@ -48,8 +48,8 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// NewLogger returns the logger of one part of the program, in the form and level of the
-// settings.
+// NewLogger returns the logger of one part of the program, in the format and level
+// of the settings.
 func NewLogger(s parse.Settings, part string) *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(os.Stderr)
@@ -129,8 +129,8 @@
 	}
 }
 
-// Gate runs a gate until the context ends or until a planned stop, which begins when
-// stop is closed, is complete.
+// Gate runs a gate until the context ends or the drain, which starts when stop is
+// closed, is complete or times out.
 func Gate(ctx context.Context, s parse.Settings, stop <-chan struct{}) error {
 	callers, err := Listen("callers", s.Callers)
 	if err != nil {
@@ -142,8 +142,8 @@
 	})
 }
 
-// Sched runs a sched until the context ends or until a planned stop, which begins
-// when stop is closed, has released its cells.
+// Sched runs a sched until the context ends or the drain, which starts when stop is
+// closed, is complete or times out.
 func Sched(ctx context.Context, s parse.Settings, stop <-chan struct{}, opts ...sched.Option) error {
 	opts = append([]sched.Option{sched.WithWorkerTTL(s.WorkerTTL)}, opts...)
 	return run(ctx, s, core.RoleSched, stop, func(l *loop.Loop, st *store.Client, p *peer.Pool, m *member.Member, log *logrus.Entry) (process, *agent.Agent, http.Handler, net.Listener) {
@@ -157,7 +157,7 @@
 type buildFunc func(l *loop.Loop, st *store.Client, p *peer.Pool, m *member.Member, log *logrus.Entry) (process, *agent.Agent, http.Handler, net.Listener)
 
 // run binds the addresses of a process, builds it and runs it until the context ends
-// or a planned stop is complete.
+// or the drain is complete or times out.
 func run(ctx context.Context, s parse.Settings, role core.Role, stop <-chan struct{}, build buildFunc) error {
 	peers, err := Listen("peers", s.Peers)
 	if err != nil {
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -25,12 +25,13 @@
 	minPlanInterval = 5 * time.Millisecond
 	// rowsPerSnapshot is how many journal rows a cell writes between two snapshots.
 	rowsPerSnapshot = 500
-	// slackDivisor divides a team's limit to get the slack that a cell keeps of it.
+	// slackDivisor divides a team's limit to get the unused part of it that a cell
+	// keeps while no other cell needs it.
 	slackDivisor = 16
-	// loadTimeout is how long the reading of a journal may take before another
-	// read starts.
+	// loadTimeout is how long loading a cell may take before it is started again.
 	loadTimeout = 10 * time.Second
-	// retryDelay is the wait before a failed read or write of a journal is retried.
+	// retryDelay is the wait before a cell is loaded again, and before a journal
+	// write or the release of a cell is retried.
 	retryDelay = 250 * time.Millisecond
 )
 
@@ -88,10 +89,10 @@
 	workerTTL time.Duration
 	policy    cell.Policy
 	cells     map[core.CellID]*ownedCell
-	// nextLoad is the earliest time at which a cell's journal is read again.
+	// nextLoad is the earliest time at which each cell is loaded again.
 	nextLoad map[core.CellID]time.Time
 	nextTick time.Time
-	// drained is closed once a planned stop has deleted the session.
+	// drained is closed once the session has been deleted or its deletion has failed.
 	drained  chan struct{}
 	draining bool
 	// sessionEnding is set once the deletion of the session has started.
@@ -121,8 +122,7 @@
 	return s
 }
 
-// Drained returns a channel that is closed once a planned stop has released every
-// cell and deleted the session.
+// Drained returns a channel that is closed once the drain is complete.
 func (s *Sched) Drained() <-chan struct{} { return s.drained }
 
 // These messages carry the results of I/O to the control goroutine.
@@ -154,7 +154,7 @@
 		version uint64
 		err     error
 	}
-	// drainRequest starts a planned stop.
+	// drainRequest starts the drain.
 	drainRequest struct{}
 )
 
@@ -173,7 +173,8 @@
 // Message implements loop.Message.
 func (drainRequest) Message() {}
 
-// Drain starts a planned stop: the sched releases its cells.
+// Drain starts the drain, in which the sched releases its cells and then deletes its
+// session.
 func (s *Sched) Drain() { _ = s.loop.Post(drainRequest{}) }
 
 // Handle implements loop.Handler.
@@ -201,22 +202,22 @@
 func (s *Sched) Tick(now time.Time) time.Time {
 	next := s.Agent.Tick(now)
 	s.syncOwnership(now)
-	tick := !now.Before(s.nextTick)
-	if tick {
+	tickDue := !now.Before(s.nextTick)
+	if tickDue {
 		s.nextTick = now.Add(tickInterval)
 	}
 	sessionValid := s.Agent.Member.SessionValid(now)
 	for _, oc := range s.cells {
 		if sessionValid {
-			next = core.Earlier(next, s.advance(now, oc, tick))
+			next = core.Earlier(next, s.advance(now, oc, tickDue))
 		}
 	}
 	s.finishDrain()
 	return core.Earlier(next, s.nextTick)
 }
 
-// syncOwnership reads the journals of newly claimed cells, marks the cells that
-// this process releases and closes those that it no longer owns.
+// syncOwnership loads newly claimed cells, marks the cells that this process
+// releases and closes those that it no longer owns.
 func (s *Sched) syncOwnership(now time.Time) {
 	owned, loading, releasing := s.Agent.Member.Owned()
 	kept := core.NewSet[core.CellID]()
@@ -255,14 +256,14 @@
 	}
 }
 
-// advance runs the decisions of one cell that are due, sends and stores their
-// results, and returns when to run it again.
-func (s *Sched) advance(now time.Time, oc *ownedCell, tick bool) time.Time {
+// advance makes the decisions of one cell that are due, sends and stores their
+// results, and returns when to call it again.
+func (s *Sched) advance(now time.Time, oc *ownedCell, tickDue bool) time.Time {
 	if oc.releasing {
 		s.releaseCell(now, oc)
 		return now.Add(tickInterval)
 	}
-	if tick {
+	if tickDue {
 		oc.cell.Tick(now)
 		s.meter.Counts(oc.claim.Cell, oc.cell.Counts())
 	}
--- a/io/store/store.go
+++ b/io/store/store.go
@@ -120,7 +120,7 @@
 
 // Error implements error.
 func (e *UnansweredError) Error() string {
-	return fmt.Sprintf("the platform does not answer: %v", e.Err)
+	return fmt.Sprintf("no usable answer from the platform: %v", e.Err)
 }
 
 // Unwrap returns the cause.
@@ -183,7 +183,7 @@
 // Counts returns the counters, which other goroutines may read.
 func (c *Client) Counts() *Counts { return &c.counts }
 
-// call sends a request and returns the body and status of the response. It returns a
+// call sends a request and returns the body and status of the response. It returns an
 // UnansweredError if there is no response or the status is 500 or above.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, int, error) {
 	// The HTTP client retries a request only if it can rewind the body. A body that
@@ -209,7 +209,7 @@
 	return data, resp.StatusCode, nil
 }
 
-// Write applies a transaction and returns the version of the rows written. After a
+// Write applies a transaction and returns the version of the rows written. After an
 // UnansweredError the transaction may have taken effect.
 func (c *Client) Write(ctx context.Context, t Txn) (uint64, error) {
 	c.counts.Writes.Add(1)
--- a/io/work/work.go
+++ b/io/work/work.go
@@ -89,8 +89,9 @@
 	Incarnation string `json:"born"`
 	Seq         uint64 `json:"seq"`
 	Full        bool   `json:"full,omitempty"`
-	Room        Room   `json:"room"`
-	Tasks       []Task `json:"tasks,omitempty"`
+	// Room is the worker's whole capacity, not the free part of it.
+	Room  Room   `json:"room"`
+	Tasks []Task `json:"tasks,omitempty"`
 }
 
 // StaleEpochError reports that the worker has accepted a newer epoch and so refused the
@@ -140,6 +141,8 @@
 	if err != nil {
 		return fail(err)
 	}
+	// The HTTP client retries a request only if it can rewind the body. A body that
+	// cannot be rewound prevents that.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.Addr.String()+"/contact", io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return fail(err)
@@ -173,7 +176,7 @@
 	return core.Resources{Cores: r.Cores, Memory: r.Memory, Accel: r.Accel}
 }
 
-// toMessage returns the encoded form of a heartbeat.
+// toMessage converts a heartbeat to the form that is sent as JSON.
 func toMessage(h cell.Heartbeat) Heartbeat {
 	out := Heartbeat{
 		Cell: h.Cell.String(), Epoch: uint64(h.Epoch), Order: h.Order, Stamp: h.Stamp,
