--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -63,8 +63,8 @@
 	ledger    *ledger.Ledger
 	intents   *intentWriter
 	transport http.RoundTripper
-	// eventChans leads to the traffic goroutine of each request that has not
-	// ended, by the request's ID.
+	// eventChans holds, by request ID, the channel to the traffic goroutine of each
+	// request that has not ended.
 	eventChans map[uint64]chan<- admit.Event
 	nextTick   time.Time
 	nextDemand time.Time
@@ -74,9 +74,9 @@
 	// rotation grows with every job, to spread the jobs over a region's cells.
 	rotation int
 	draining bool
-	// sessionEnded is set once the deletion of the session has been started.
-	sessionEnded bool
-	// drained is closed once the session has been deleted or that has failed.
+	// sessionEnding is set once the deletion of the session has started.
+	sessionEnding bool
+	// drained is closed once the session has been deleted or its deletion has failed.
 	drained chan struct{}
 }
 
@@ -136,7 +136,8 @@
 		self  core.Process
 	}
 	dumpRequest struct{ reply chan<- Dump }
-	// cellsRequest asks for the cells whose workers are large enough.
+	// cellsRequest asks for the cells that have, for each need, a worker large enough
+	// for it.
 	cellsRequest struct {
 		needs []core.Resources
 		reply chan<- []core.CellID
@@ -291,7 +292,7 @@
 	}
 }
 
-// renameLedger moves the ledger to the new session ID after the session has
+// renameLedger moves the ledger to the new session ID after the process has
 // rejoined. The parts of the old ID stay in the rows until they are reclaimed.
 func (g *Gate) renameLedger() {
 	if h := ledger.Holder(g.Agent.Member.Self().ID); h != g.ledger.Holder() {
@@ -340,7 +341,7 @@
 // is in flight, gives all parts of the ledger back, waits until that is stored,
 // and then ends the session.
 func (g *Gate) finishDrain() {
-	if !g.draining || g.sessionEnded {
+	if !g.draining || g.sessionEnding {
 		return
 	}
 	if waiting, sending := g.admission.RequestCounts(); waiting+sending > 0 || g.intents.inFlight() > 0 {
@@ -352,7 +353,7 @@
 			return
 		}
 	}
-	g.sessionEnded = true
+	g.sessionEnding = true
 	g.Agent.Member.Drain()
 	g.Agent.DeleteSession(g.drained)
 }
@@ -365,17 +366,21 @@
 	return g.Agent.RenewOrPromise(ctx, row, version, resign)
 }
 
-// notSched returns the refusal of all calls that only a sched serves.
-func notSched() error { return core.Refuse(core.CodeNoOwner, "a gate owns no cells") }
+// notSchedRefusal returns the refusal of all calls that only a sched serves.
+func notSchedRefusal() error { return core.Refuse(core.CodeNoOwner, "a gate owns no cells") }
 
 // Submit implements peer.Backend.
-func (g *Gate) Submit(context.Context, cell.JobSpec) (bool, error) { return false, notSched() }
+func (g *Gate) Submit(context.Context, cell.JobSpec) (bool, error) { return false, notSchedRefusal() }
 
 // Cancel implements peer.Backend.
-func (g *Gate) Cancel(context.Context, core.JobID) error { return notSched() }
+func (g *Gate) Cancel(context.Context, core.JobID) error { return notSchedRefusal() }
 
 // Show implements peer.Backend.
-func (g *Gate) Show(context.Context, core.JobID) (cell.View, error) { return cell.View{}, notSched() }
+func (g *Gate) Show(context.Context, core.JobID) (cell.View, error) {
+	return cell.View{}, notSchedRefusal()
+}
 
 // List implements peer.Backend.
-func (g *Gate) List(context.Context, core.Team, int) ([]cell.View, error) { return nil, notSched() }
+func (g *Gate) List(context.Context, core.Team, int) ([]cell.View, error) {
+	return nil, notSchedRefusal()
+}
