--- a/cmd/chicoryturn/demo.go
+++ b/cmd/chicoryturn/demo.go
@@ -34,7 +34,7 @@
 				}
 				workload := demoWorkload(name)
 				workload.Duration, workload.Seed = demoDuration, uint64(seed)
-				if err := demo.RunDemo(ctx, os.Stdout, plans[name], workload); err != nil {
+				if err := demo.Run(ctx, os.Stdout, plans[name], workload); err != nil {
 					return err
 				}
 			}
--- a/io/demo/demo.go
+++ b/io/demo/demo.go
@@ -136,9 +136,9 @@
 	jobs []submittedJob
 	// refused counts the refused jobs of each queue.
 	refused map[core.Queue]int
-	// offerStart and offerEnd are the times between which work is offered.
-	offerStart time.Time
-	offerEnd   time.Time
+	// sendStart and offerEnd are the times between which work is offered.
+	sendStart time.Time
+	sendEnd   time.Time
 }
 
 // Open pushes the rules of a plan to a deployment and creates a key for each team.
@@ -217,7 +217,7 @@
 // SendWorkload sends a workload and waits until its requests are answered, but not until
 // its jobs have ended.
 func (d *Driver) SendWorkload(ctx context.Context, w Workload) error {
-	d.offerStart = time.Now()
+	d.sendStart = time.Now()
 	group, gctx := errgroup.WithContext(ctx)
 	for i, stream := range w.Requests {
 		group.Go(func() error {
@@ -231,7 +231,7 @@
 		})
 	}
 	err := group.Wait()
-	d.offerEnd = time.Now()
+	d.sendEnd = time.Now()
 	return err
 }
 
@@ -242,7 +242,7 @@
 	defer ticker.Stop()
 	group, ctx := errgroup.WithContext(ctx)
 	c := d.callers[s.Team]
-	for n := 0; time.Since(d.offerStart) < duration; n++ {
+	for n := 0; time.Since(d.sendStart) < duration; n++ {
 		gateAddr := d.addrs.Callers[rng.IntN(len(d.addrs.Callers))]
 		workTime := time.Duration((0.5 + rng.Float64()) * float64(s.WorkTime))
 		id := fmt.Sprintf("%s-%s-%d", s.Queue, s.Team, n)
@@ -263,7 +263,7 @@
 func (d *Driver) submitJobs(ctx context.Context, s JobStream, duration time.Duration, rng *rand.Rand) error {
 	ticker := time.NewTicker(s.Interval)
 	defer ticker.Stop()
-	for time.Since(d.offerStart) < duration {
+	for time.Since(d.sendStart) < duration {
 		gateAddr := d.addrs.Callers[rng.IntN(len(d.addrs.Callers))]
 		if err := d.submitJob(ctx, gateAddr, s, rng); err != nil {
 			return err
@@ -353,9 +353,9 @@
 	return violations
 }
 
-// RunDemo starts a deployment, runs a workload on it and prints the report. It returns
+// Run starts a deployment, runs a workload on it and prints the report. It returns
 // an *InvariantError if an invariant was violated.
-func RunDemo(ctx context.Context, out io.Writer, p deploy.Plan, w Workload) error {
+func Run(ctx context.Context, out io.Writer, p deploy.Plan, w Workload) error {
 	fmt.Fprintf(out, "%s: starting %d gates, %d scheds, %d workers, %d targets\n", p.Name,
 		p.Gates*len(p.Regions), p.Scheds*len(p.Regions), p.Workers, p.Targets)
 	d, err := deploy.Start(ctx, p)
--- a/io/demo/fairness.go
+++ b/io/demo/fairness.go
@@ -25,7 +25,7 @@
 	starts := log.Starts()
 	var out ShareDeviation
 	sum, count := 0.0, 0
-	for from := d.offerStart; from.Add(window).Before(d.offerEnd) || from.Equal(d.offerStart); from = from.Add(window) {
+	for from := d.sendStart; from.Add(window).Before(d.sendEnd) || from.Equal(d.sendStart); from = from.Add(window) {
 		to := from.Add(window)
 		used := map[core.Team]float64{}
 		demand := map[core.Team]float64{}
--- a/io/demo/report.go
+++ b/io/demo/report.go
@@ -104,12 +104,12 @@
 
 // addTeams computes the packing and the teams' use.
 func (d *Driver) addTeams(s *Summary, log *check.Log) {
-	useByTeam := log.Usage(d.offerStart, d.offerEnd)
+	useByTeam := log.Usage(d.sendStart, d.sendEnd)
 	sum := core.Resources{}
 	for _, use := range useByTeam {
 		sum = sum.Add(use)
 	}
-	span := d.offerEnd.Sub(d.offerStart).Seconds()
+	span := d.sendEnd.Sub(d.sendStart).Seconds()
 	s.CorePacking = float64(sum.Cores) / (float64(d.capacity.Cores) * span)
 	s.MemoryPacking = float64(sum.Memory) / (float64(d.capacity.Memory) * span)
 	for name, t := range d.rules.Teams {
--- a/io/deploy/deployment.go
+++ b/io/deploy/deployment.go
@@ -182,8 +182,8 @@
 // portAllocator allocates ports from the blocks that this program has reserved.
 type portAllocator struct {
 	mu sync.Mutex
-	// guards are the listeners on the first ports of the reserved blocks.
-	guards    []net.Listener
+	// listeners are the listeners on the first ports of the reserved blocks.
+	listeners []net.Listener
 	nextPort  int
 	portsLeft int
 }
@@ -202,7 +202,7 @@
 		first := firstPort + (os.Getpid()+i)%blockCount*blockSize
 		var l net.Listener
 		if l, err = proc.Listen("port block", loopback(first)); err == nil {
-			p.guards = append(p.guards, l)
+			p.listeners = append(p.listeners, l)
 			p.nextPort, p.portsLeft = first+1, blockSize-1
 			return nil
 		}
--- a/io/fakes/platform.go
+++ b/io/fakes/platform.go
@@ -117,15 +117,15 @@
 // Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /txn", p.handle(true, false, p.runTxn))
-	mux.HandleFunc("GET /rows", p.handle(false, false, p.scanRows))
-	mux.HandleFunc("PUT /objects/", p.handle(true, false, p.putObject))
-	mux.HandleFunc("GET /objects/", p.handle(false, false, p.getObject))
-	mux.HandleFunc("DELETE /objects/", p.handle(true, false, p.deleteObject))
-	mux.HandleFunc("GET /vms", p.handle(false, false, p.listVMs))
-	mux.HandleFunc("PUT /stand/vms", p.handle(false, true, p.setVMs))
-	mux.HandleFunc("PUT /stand/faults", p.handle(false, true, p.setFaults))
-	mux.HandleFunc("GET /stand/counts", p.handle(false, true, p.getCounts))
+	mux.HandleFunc("POST /txn", p.httpHandler(true, false, p.runTxn))
+	mux.HandleFunc("GET /rows", p.httpHandler(false, false, p.scanRows))
+	mux.HandleFunc("PUT /objects/", p.httpHandler(true, false, p.putObject))
+	mux.HandleFunc("GET /objects/", p.httpHandler(false, false, p.getObject))
+	mux.HandleFunc("DELETE /objects/", p.httpHandler(true, false, p.deleteObject))
+	mux.HandleFunc("GET /vms", p.httpHandler(false, false, p.listVMs))
+	mux.HandleFunc("PUT /stand/vms", p.httpHandler(false, true, p.setVMs))
+	mux.HandleFunc("PUT /stand/faults", p.httpHandler(false, true, p.setFaults))
+	mux.HandleFunc("GET /stand/counts", p.httpHandler(false, true, p.getCounts))
 	return mux
 }
 
@@ -133,8 +133,8 @@
 // control goroutine.
 type parseFunc func(r *http.Request, body []byte) func(p *Platform) reply
 
-// handle returns the HTTP handler of one kind of call.
-func (p *Platform) handle(isWrite, isAdmin bool, parse parseFunc) http.HandlerFunc {
+// httpHandler returns the HTTP handler of one kind of call.
+func (p *Platform) httpHandler(isWrite, isAdmin bool, parse parseFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
--- a/io/fakes/worker.go
+++ b/io/fakes/worker.go
@@ -108,8 +108,8 @@
 // heartbeatMsg carries a heartbeat to the control goroutine.
 type heartbeatMsg struct {
 	heartbeat work.Heartbeat
-	// wantsFull requests a report of all runs.
-	wantsFull bool
+	// needsFull requests a report of all runs.
+	needsFull bool
 	reply     chan<- reply
 }
 
@@ -202,18 +202,18 @@
 	}
 	if hb.Epoch > w.epoch {
 		w.epoch, w.lastOrder = hb.Epoch, 0
-		m.wantsFull = true
+		m.needsFull = true
 		w.answerLongPolls()
 	}
-	m.wantsFull = m.wantsFull || hb.Incarnation != w.incarnation() || hb.Stamp == ""
+	m.needsFull = m.needsFull || hb.Incarnation != w.incarnation() || hb.Stamp == ""
 	mayStart := w.renew(now, hb)
 	if hb.Order > w.lastOrder {
 		w.lastOrder = hb.Order
 		w.applyOrders(now, hb, mayStart)
 	}
 	wait, _ := time.ParseDuration(hb.Wait)
-	if w.lastSeq > hb.After || wait <= 0 || m.wantsFull {
-		m.reply <- reply{value: w.report(now, hb.After, m.wantsFull)}
+	if w.lastSeq > hb.After || wait <= 0 || m.needsFull {
+		m.reply <- reply{value: w.report(now, hb.After, m.needsFull)}
 		return
 	}
 	w.longPolls = append(w.longPolls, longPoll{hb, now.Add(wait), m.reply})
