--- a/cmd/chicoryturn/client.go
+++ b/cmd/chicoryturn/client.go
@@ -79,7 +79,8 @@
 	return text, nil
 }
 
-// parseRefusal turns a response with an error status into a RefusalError.
+// parseRefusal turns a response with an error status into a RefusalError. A response
+// without a refusal code gets CodeNoOwner and reports the execution as unknown.
 func parseRefusal(status int, text []byte) error {
 	var r httpx.Refusal
 	if json.Unmarshal(text, &r) != nil || r.Code == "" {
--- a/cmd/chicoryturn/demo.go
+++ b/cmd/chicoryturn/demo.go
@@ -18,7 +18,7 @@
 func demoCommand() *command {
 	seed, only := 1, ""
 	return &command{
-		name: "demo", about: "Runs each sample deployment on loopback with stand-ins and prints its measurements.",
+		name: "demo", about: "Runs each sample deployment on loopback with fakes of the platform, workers and targets, and prints its measurements.",
 		flags: func(s *flaggy.Subcommand) {
 			s.Int(&seed, "seed", "seed", "seed of the random numbers")
 			s.String(&only, "p", "plan", "run only this deployment: glaze or bagmati")
--- a/cmd/chicoryturn/node.go
+++ b/cmd/chicoryturn/node.go
@@ -18,7 +18,8 @@
 	"chicoryturn/platform"
 )
 
-// nodeCommand runs the process of one VM on the users' platform.
+// nodeCommand returns the subcommand that runs the process of one VM on the users'
+// platform.
 func nodeCommand() *command {
 	return &command{
 		name:  "node",
@@ -58,7 +59,7 @@
 	}
 }
 
-// checkCommand validates a settings file of the platform.
+// checkCommand returns the subcommand that validates a settings file of the platform.
 func checkCommand() *command {
 	file := ""
 	return &command{
--- a/cmd/chicoryturn/rules.go
+++ b/cmd/chicoryturn/rules.go
@@ -66,27 +66,27 @@
 			if err != nil {
 				return err
 			}
-			var pushed httpx.ChangeResult
-			body, err := c.call(ctx, http.MethodPost, c.opsAddr, fmt.Sprintf("/rules?base=%d", base), text, &pushed)
+			var accepted httpx.ChangeResult
+			body, err := c.call(ctx, http.MethodPost, c.opsAddr, fmt.Sprintf("/rules?base=%d", base), text, &accepted)
 			if err != nil {
 				return err
 			}
-			c.print(body, func() { fmt.Printf("accepted as version %d\n", pushed.Version) })
-			return c.awaitInForce(ctx, pushed)
+			c.print(body, func() { fmt.Printf("accepted as version %d\n", accepted.Version) })
+			return c.awaitInForce(ctx, accepted)
 		},
 	}
 }
 
 // awaitInForce waits until a change is in force in every live process. After
 // inForceTimeout it prints a warning and returns nil.
-func (c *client) awaitInForce(ctx context.Context, pushed httpx.ChangeResult) error {
+func (c *client) awaitInForce(ctx context.Context, accepted httpx.ChangeResult) error {
 	began := time.Now()
 	for time.Since(began) < inForceTimeout {
 		var config httpx.Config
 		if _, err := c.call(ctx, http.MethodGet, c.opsAddr, "/config", nil, &config); err != nil {
 			return err
 		}
-		if config.Lowest >= pushed.Version {
+		if config.Lowest >= accepted.Version {
 			if !c.printJSON {
 				fmt.Printf("in force in all processes after %s\n", time.Since(began).Round(time.Millisecond))
 			}
@@ -99,7 +99,7 @@
 			return ctx.Err()
 		}
 	}
-	fmt.Fprintf(os.Stderr, "accepted, but version %d is not yet in force in every process; see chicoryturn status\n", pushed.Version)
+	fmt.Fprintf(os.Stderr, "accepted, but version %d is not yet in force in every process; see chicoryturn status\n", accepted.Version)
 	return nil
 }
 
@@ -151,13 +151,13 @@
 			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var pushed httpx.ChangeResult
-			body, err := c.call(ctx, http.MethodPost, c.opsAddr, "/keys?team="+team, nil, &pushed)
+			var accepted httpx.ChangeResult
+			body, err := c.call(ctx, http.MethodPost, c.opsAddr, "/keys?team="+team, nil, &accepted)
 			if err != nil {
 				return err
 			}
-			c.print(body, func() { fmt.Printf("%s\n", pushed.Key) })
-			return c.awaitInForce(ctx, pushed)
+			c.print(body, func() { fmt.Printf("%s\n", accepted.Key) })
+			return c.awaitInForce(ctx, accepted)
 		},
 	}
 }
@@ -172,13 +172,13 @@
 			c.operatorFlag(s)
 		},
 		run: func(ctx context.Context) error {
-			var pushed httpx.ChangeResult
-			body, err := c.call(ctx, http.MethodDelete, c.opsAddr, "/keys/"+id, nil, &pushed)
+			var accepted httpx.ChangeResult
+			body, err := c.call(ctx, http.MethodDelete, c.opsAddr, "/keys/"+id, nil, &accepted)
 			if err != nil {
 				return err
 			}
-			c.print(body, func() { fmt.Printf("withdrawn as version %d\n", pushed.Version) })
-			return c.awaitInForce(ctx, pushed)
+			c.print(body, func() { fmt.Printf("withdrawal accepted as version %d\n", accepted.Version) })
+			return c.awaitInForce(ctx, accepted)
 		},
 	}
 }
--- a/cmd/chicoryturn/why.go
+++ b/cmd/chicoryturn/why.go
@@ -12,7 +12,7 @@
 	"chicoryturn/io/trace"
 )
 
-// whyCommand prints the history of one job from the logs.
+// whyCommand returns the subcommand that prints the history of one job.
 func whyCommand() *command {
 	job, file := "", ""
 	return &command{
--- a/cmd/measure/idle.go
+++ b/cmd/measure/idle.go
@@ -11,7 +11,8 @@
 	"chicoryturn/io/deploy"
 )
 
-// measureIdle measures what deployments of several sizes cost without any work.
+// measureIdle measures the store calls, bytes and CPU time of deployments of several
+// sizes that have no work.
 func measureIdle(ctx context.Context, duration time.Duration) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "processes\tworkers\tstore writes/s\treads/s\tKB/s read\tKB/s written\ttotal CPU, % of a core\t")
@@ -35,7 +36,7 @@
 			return ctx.Err()
 		}
 		after, cpuUsed := deployment.Platform.Counts(), cpuTime()-cpuBefore
-		perSecond := func(a, readPerPair uint64) float64 { return float64(readPerPair-a) / duration.Seconds() }
+		perSecond := func(first, last uint64) float64 { return float64(last-first) / duration.Seconds() }
 		// Each of the plan's three regions has perRole gates and perRole scheds.
 		processes := float64(6 * size.perRole)
 		writesPerSecond, readsPerSecond := perSecond(before.Writes, after.Writes), perSecond(before.Reads, after.Reads)
@@ -60,6 +61,6 @@
 	readPerPair, _ := fitLine(pairReads)
 	cpuPerWorker, _ := fitLine(cpuPercent)
 	fmt.Printf("per process: %.2f store writes/s, %.2f reads/s; per pair of processes: %.1f B/s read\n", writesPerSecond, readsPerSecond, readPerPair*1000)
-	fmt.Printf("per worker (sched and stand-in together): %.3f %% of a core\n", cpuPerWorker)
+	fmt.Printf("per worker (sched and fake worker together): %.3f %% of a core\n", cpuPerWorker)
 	return nil
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -26,7 +26,7 @@
 	flaggy.SetName("measure")
 	flaggy.SetDescription("Produces the figures in docs/MEASURED.md and docs/CAPACITY.md.")
 	policy := flaggy.NewSubcommand("policy")
-	policy.Description = "Measures waiting time, packing and distance from the fair share under several policies and loads."
+	policy.Description = "Measures waiting time, packing and deviation from the fair shares under several policies and loads."
 	policy.Int(&seconds, "t", "time", "duration of each run in seconds")
 	policy.Int(&seed, "s", "seed", "seed of the random numbers")
 	policy.String(&planName, "p", "plan", "run only this deployment: glaze or bagmati")
--- a/cmd/measure/policy.go
+++ b/cmd/measure/policy.go
@@ -46,6 +46,8 @@
 // fleet's cores. A few teams are large, task sizes and run times differ, and
 // estimates are wrong by a factor of up to 10.
 func jobStreams(plan deploy.Plan, fraction float64) []demo.JobStream {
+	// baseInterval is the approximate interval between two jobs of a stream. The task
+	// count is rounded first, and then the interval is adapted to it.
 	const baseInterval = 200 * ms
 	cores := float64(plan.Capacity().Cores) / 1000 * fraction
 	// Sizes are given for a worker with 16 cores; scale adapts them to the plan.
@@ -100,7 +102,7 @@
 // measurePolicy measures all policies under several loads on each deployment.
 func measurePolicy(ctx context.Context, planName, policyName string, duration time.Duration, seed uint64) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "plan\tload\tpolicy\ttasks\turgent p50\tp99\tbatch p50\tp99\tgang p50\tp99\tcores\tmean distance\tlargest\tCPU ms/task\tviolations\t")
+	fmt.Fprintln(table, "plan\tload\tpolicy\ttasks\turgent p50\tp99\tbatch p50\tp99\tgang p50\tp99\tcores\tmean deviation\tlargest\tCPU ms/task\tviolations\t")
 	for _, plan := range []deploy.Plan{deploy.Glaze(), deploy.Bagmati()} {
 		if planName != "" && planName != plan.Name {
 			continue
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin runs a stand-in for the platform, a worker, a target or a
-// network link whose faults can be set. It is for tests only.
+// Command standin runs one of the fakes of package io/fakes as a process: a platform,
+// a worker, a target, or a proxy that injects faults into a network link. It is for
+// tests only.
 package main
 
 import (
@@ -38,14 +39,14 @@
 func run(ctx context.Context) error {
 	f := flags{name: "stand", slots: 8, cores: 16000, memory: 32768}
 	flaggy.SetName("standin")
-	flaggy.SetDescription("Runs a stand-in for a system that chicoryturn depends on. For tests only.")
+	flaggy.SetDescription("Runs a fake of a system that chicoryturn depends on, or a proxy with network faults. For tests only.")
 	starters := map[string]func(context.Context, *errgroup.Group, flags) error{
 		"platform": startPlatform, "worker": startWorker, "target": startTarget, "proxy": startProxy,
 	}
 	cmds := map[string]*flaggy.Subcommand{}
 	for _, name := range []string{"platform", "worker", "target", "proxy"} {
 		c := flaggy.NewSubcommand(name)
-		c.Description = "Runs the stand-in for a " + name + "."
+		c.Description = "Runs a " + name + " for tests."
 		c.String(&f.addr, "a", "addr", "address to listen on (IP:port)")
 		c.String(&f.name, "n", "name", "name of a worker or target in its records")
 		c.Int(&f.slots, "s", "slots", "number of slots of a target")
--- a/io/demo/caller.go
+++ b/io/demo/caller.go
@@ -1,6 +1,6 @@
-// Package demo offers requests and jobs to a running deployment as its users do.
-// It reports waiting times, packing and the deviation from fair shares, and checks
-// the invariants.
+// Package demo sends requests and submits jobs to a running deployment. It reports
+// waiting times, packing and the deviation from fair shares, and checks the
+// invariants.
 package demo
 
 import (
--- a/io/demo/demo.go
+++ b/io/demo/demo.go
@@ -136,7 +136,7 @@
 	jobs []submittedJob
 	// refused counts the refused jobs of each queue.
 	refused map[core.Queue]int
-	// sendStart and offerEnd are the times between which work is offered.
+	// sendStart and sendEnd are the times at which SendWorkload starts and ends.
 	sendStart time.Time
 	sendEnd   time.Time
 }
@@ -227,6 +227,8 @@
 	}
 	for i, stream := range w.Jobs {
 		group.Go(func() error {
+			// The offset keeps the random numbers of job streams apart from those of
+			// request streams.
 			return d.submitJobs(gctx, stream, w.Duration, rand.New(rand.NewPCG(w.Seed, uint64(1000+i))))
 		})
 	}
@@ -235,8 +237,8 @@
 	return err
 }
 
-// sendRequests sends the requests of a stream, each on a goroutine of its own, and
-// waits for the answers.
+// sendRequests sends the requests of a stream, each on its own goroutine, and waits
+// for the answers. It does not wait if the context ends while it sends.
 func (d *Driver) sendRequests(ctx context.Context, s RequestStream, duration time.Duration, rng *rand.Rand) {
 	ticker := time.NewTicker(s.Interval)
 	defer ticker.Stop()
@@ -353,8 +355,8 @@
 	return violations
 }
 
-// Run starts a deployment, runs a workload on it and prints the report. It returns
-// an *InvariantError if an invariant was violated.
+// Run starts a deployment, runs a workload on it and prints the report. It returns an
+// *InvariantError if an invariant was violated.
 func Run(ctx context.Context, out io.Writer, p deploy.Plan, w Workload) error {
 	fmt.Fprintf(out, "%s: starting %d gates, %d scheds, %d workers, %d targets\n", p.Name,
 		p.Gates*len(p.Regions), p.Scheds*len(p.Regions), p.Workers, p.Targets)
--- a/io/demo/fairness.go
+++ b/io/demo/fairness.go
@@ -19,7 +19,8 @@
 // ShareDeviation compares, in each window of time, the core time that each team used
 // with its max-min fair part of all core time used. The fair part is proportional
 // to the team's share and at most the team's demand: the core time that its tasks
-// used plus the core time for which they waited.
+// used plus the core time for which they waited. It ignores an incomplete window at
+// the end, unless that is the only one.
 func (d *Driver) ShareDeviation(window time.Duration) ShareDeviation {
 	log := check.NewLog(d.fleet.WorkerRecords())
 	starts := log.Starts()
--- a/io/demo/report.go
+++ b/io/demo/report.go
@@ -23,9 +23,10 @@
 
 func pow(base, exp float64) float64 { return math.Pow(base, exp) }
 
-// waitStats holds the waiting times of one queue and counts its requests and
-// tasks.
+// waitStats holds the statistics of one queue.
 type waitStats struct {
+	// count counts requests and tasks, refused the refused or failed requests and the
+	// refused jobs.
 	count, refused int
 	// hist holds waiting times in microseconds.
 	hist *hdrhistogram.Histogram
@@ -45,7 +46,7 @@
 	Queues map[core.Queue]*waitStats
 	Teams  map[core.Team]TeamSummary
 	// CorePacking and MemoryPacking are the fractions of the workers' cores and memory
-	// that were in use while work was offered.
+	// that were in use while the workload was sent.
 	CorePacking, MemoryPacking float64
 	// Tasks is the number of tasks of all accepted jobs.
 	Tasks int
@@ -53,8 +54,8 @@
 
 // TeamSummary compares a team's share with its use.
 type TeamSummary struct {
-	// Share is the team's share in the rules, Used its fraction of all core time
-	// used.
+	// Share is the team's share in the rules, Used its part of all core time used.
+	// Both are fractions.
 	Share, Used float64
 	// CoreLimit is in thousandths of a core.
 	CoreLimit int64
@@ -71,7 +72,8 @@
 }
 
 // Summary computes the measurements of the run. The waiting time of a request is
-// its duration without the work time; that of a task ends at its first start.
+// its duration without the work time; that of a task is the time from the submission
+// of its job to its first start.
 func (d *Driver) Summary() *Summary {
 	s := &Summary{Queues: map[core.Queue]*waitStats{}, Teams: map[core.Team]TeamSummary{}}
 	for _, res := range d.results {
@@ -137,7 +139,7 @@
 		fmt.Fprintf(t, "%s\t%.0f%%\t%.0f%%\t%g\t\t\t\n", name, v.Share*100, v.Used*100, float64(v.CoreLimit)/1000)
 	}
 	_ = t.Flush()
-	fmt.Fprintf(out, "packing while work was offered: %.0f%% of cores, %.0f%% of memory; %d tasks\n",
+	fmt.Fprintf(out, "packing while the workload was sent: %.0f%% of cores, %.0f%% of memory; %d tasks\n",
 		s.CorePacking*100, s.MemoryPacking*100, s.Tasks)
 }
 
--- a/io/deploy/deployment.go
+++ b/io/deploy/deployment.go
@@ -1,6 +1,5 @@
-// Package deploy describes the sample deployments of two customers and starts
-// them in one process on loopback: gates, scheds, and the fakes of the platform,
-// the workers and the targets.
+// Package deploy describes two sample deployments and starts them in one process on
+// loopback: gates, scheds, and fakes of the platform, workers and targets.
 package deploy
 
 import (
@@ -182,7 +181,7 @@
 // portAllocator allocates ports from the blocks that this program has reserved.
 type portAllocator struct {
 	mu sync.Mutex
-	// listeners are the listeners on the first ports of the reserved blocks.
+	// listeners hold the first ports of the reserved blocks.
 	listeners []net.Listener
 	nextPort  int
 	portsLeft int
--- a/io/fakes/platform.go
+++ b/io/fakes/platform.go
@@ -1,6 +1,6 @@
 // Package fakes holds fakes of the systems around chicoryturn: the platform,
 // workers, targets and faulty links. Only tests, measurements and the
-// demonstration use them.
+// demonstration use them; command standin runs each of them as a process.
 package fakes
 
 import (
@@ -27,8 +27,8 @@
 	Down bool `json:"down"`
 	// Delay is the duration by which every answer is delayed; empty means none.
 	Delay string `json:"delay"`
-	// LostReplies is a number of writes: the next ones are applied, but their connections
-	// are closed without an answer.
+	// LostReplies is how many of the next writes are applied but get no answer: the
+	// platform closes their connections instead.
 	LostReplies int `json:"lose"`
 }
 
@@ -133,7 +133,7 @@
 // control goroutine.
 type parseFunc func(r *http.Request, body []byte) func(p *Platform) reply
 
-// httpHandler returns the HTTP handler of one kind of call.
+// httpHandler returns the HTTP handler for one kind of call.
 func (p *Platform) httpHandler(isWrite, isAdmin bool, parse parseFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -221,6 +221,7 @@
 
 func objectName(r *http.Request) string { return strings.TrimPrefix(r.URL.Path, "/objects/") }
 
+// putObject stores an object unless one with the same name exists.
 func (p *Platform) putObject(r *http.Request, body []byte) func(*Platform) reply {
 	name := objectName(r)
 	return func(p *Platform) reply {
--- a/io/fakes/proxy.go
+++ b/io/fakes/proxy.go
@@ -120,8 +120,8 @@
 	return group.Wait()
 }
 
-// forward connects to the server and copies data in both directions. If the first
-// direction to end has failed, it closes both connections, which ends the other.
+// forward connects to the server and copies data in both directions. If one direction
+// fails while the other still runs, it closes both connections to end the other.
 func (p *Proxy) forward(ctx context.Context, in net.Conn) {
 	defer in.Close()
 	if !p.waitUnblocked(ctx, func(s *linkState) bool { return s.Cut }) {
@@ -161,9 +161,9 @@
 	}
 }
 
-// copyDirection copies data from one connection to the other until EOF. It
-// returns true at EOF, when the other direction may continue, and false if the
-// connections must be closed.
+// copyDirection copies data from one connection to the other until EOF; isUp is set
+// if the data goes to the server. It returns true at EOF, when the other direction may
+// continue, and false if the connections must be closed.
 func (p *Proxy) copyDirection(ctx context.Context, to, from net.Conn, isUp bool) bool {
 	buf := make([]byte, proxyBufferSize)
 	copied := int64(0)
--- a/io/fakes/target.go
+++ b/io/fakes/target.go
@@ -22,7 +22,8 @@
 }
 
 // TargetRecord is the log of a target. MaxInFlight is the largest number of
-// requests in flight; Overfull counts the requests that arrived when all slots were in use.
+// requests in flight; Overfull counts the requests that arrived when all slots were
+// in use.
 type TargetRecord struct {
 	Slots       int   `json:"slots"`
 	MaxInFlight int   `json:"most"`
--- a/io/fakes/worker.go
+++ b/io/fakes/worker.go
@@ -56,7 +56,8 @@
 	endState string
 	// changeSeq is the sequence number of the run's newest change.
 	changeSeq uint64
-	// usageFactor is the reported use as a multiple of the declared need.
+	// usageFactor is the reported use as a multiple of the declared need. A run with
+	// the factor 0 reports no use.
 	usageFactor float64
 	// usageReported is set once the run has lasted for usageDelay.
 	usageReported bool
@@ -74,8 +75,8 @@
 }
 
 // Worker fakes a VM that runs tasks under a lease. A task only occupies room for
-// the duration in its command: "sleep 2s" ends as done, "fail 2s" as failed. A suffix such as " use=1.5" sets the reported use as a multiple of the
-// declared need.
+// the duration in its command: "sleep 2s" ends as done, "fail 2s" as failed. A suffix
+// such as " use=1.5" sets the reported use as a multiple of the declared need.
 type Worker struct {
 	loop      *loop.Loop
 	name      string
@@ -108,7 +109,7 @@
 // heartbeatMsg carries a heartbeat to the control goroutine.
 type heartbeatMsg struct {
 	heartbeat work.Heartbeat
-	// needsFull requests a report of all runs.
+	// needsFull is set by handleHeartbeat if the report must contain all runs.
 	needsFull bool
 	reply     chan<- reply
 }
@@ -191,8 +192,9 @@
 }
 
 // handleHeartbeat renews the lease and applies the orders of a heartbeat. It
-// answers at once if there are changes or the caller does not wait; otherwise it
-// adds a long poll. It refuses a heartbeat of an old epoch with status 409.
+// answers at once if there are changes, the report must contain all runs or the
+// caller does not wait; otherwise it adds a long poll. It refuses a heartbeat of an
+// old epoch with status 409.
 func (w *Worker) handleHeartbeat(now time.Time, m heartbeatMsg) {
 	hb := m.heartbeat
 	w.updateRuns(now)
@@ -219,8 +221,8 @@
 	w.longPolls = append(w.longPolls, longPoll{hb, now.Add(wait), m.reply})
 }
 
-// renew extends the lease to the heartbeat's stamp plus TTL and reports whether
-// that time is still to come, so that new tasks may start. It ignores a stamp of
+// renew extends the lease to the heartbeat's stamp plus TTL and reports whether that
+// time is in the future, in which case new tasks may start. It ignores a stamp of
 // another incarnation.
 func (w *Worker) renew(now time.Time, hb work.Heartbeat) bool {
 	var incarnation, age int64
@@ -242,109 +244,110 @@
 // starts if mayStart is set.
 func (w *Worker) applyOrders(now time.Time, hb work.Heartbeat, mayStart bool) {
 	for _, a := range hb.Acks {
-		if t := w.runs[a.Task]; t != nil && t.state != "running" && t.start.Run == a.Run {
+		if r := w.runs[a.Task]; r != nil && r.state != "running" && r.start.Run == a.Run {
 			delete(w.runs, a.Task)
 		}
 	}
 	for _, s := range hb.Stops {
-		if t := w.runs[s.Task]; t != nil && t.state == "running" {
+		if r := w.runs[s.Task]; r != nil && r.state == "running" {
 			if s.Kind == "slow" {
-				w.throttle(t)
+				w.throttle(r)
 				continue
 			}
 			state := "stopped"
 			if s.Kind == "saved" {
 				state = "saved"
 			}
-			w.endRun(now, t, state)
+			w.endRun(now, r, state)
 		}
 	}
 	for _, s := range hb.Starts {
-		if t := w.runs[s.Task]; mayStart && (t == nil || t.state != "running" && t.start.Run != s.Run) {
+		if r := w.runs[s.Task]; mayStart && (r == nil || r.state != "running" && r.start.Run != s.Run) {
 			w.startRun(now, s)
 		}
 	}
 }
 
 func (w *Worker) startRun(now time.Time, s work.Start) {
-	t := &run{start: s, state: "running", startedAt: now, endState: "done"}
-	length := time.Duration(0)
+	r := &run{start: s, state: "running", startedAt: now, endState: "done"}
+	duration := time.Duration(0)
 	verb, arg, _ := strings.Cut(s.Command, " ")
 	arg, factor, _ := strings.Cut(arg, " use=")
-	t.usageFactor, _ = strconv.ParseFloat(factor, 64)
+	r.usageFactor, _ = strconv.ParseFloat(factor, 64)
 	if d, err := time.ParseDuration(arg); err == nil {
-		length = d
+		duration = d
 	}
 	if checkpoint, err := time.ParseDuration(s.Checkpoint); err == nil {
-		length = max(length-checkpoint, 0)
+		duration = max(duration-checkpoint, 0)
 	}
 	switch {
 	case w.faults.FailAll:
-		t.endState, length = "failed", time.Millisecond
+		r.endState, duration = "failed", time.Millisecond
 	case verb == "fail":
-		t.endState = "failed"
+		r.endState = "failed"
 	}
-	t.endsAt = now.Add(length)
-	w.runs[s.Task] = t
-	w.record(now, t, "start")
+	r.endsAt = now.Add(duration)
+	w.runs[s.Task] = r
+	w.record(now, r, "start")
 	if !w.reserved().FitsIn(w.room.Core()) {
 		w.overfull++
 		fmt.Printf("worker %s: OVERFULL: running tasks need %+v of %+v\n", w.name, w.reserved(), w.room)
 	}
-	w.markChanged(t)
+	w.markChanged(r)
 }
 
-// throttle limits a task to its declared need, so that no use is reported.
-func (w *Worker) throttle(t *run) {
-	if t.usageFactor > 0 {
-		t.usageFactor = 0
-		w.markChanged(t)
+// throttle limits a task to its declared need: its reported use of cores and memory
+// becomes 0.
+func (w *Worker) throttle(r *run) {
+	if r.usageFactor > 0 {
+		r.usageFactor = 0
+		w.markChanged(r)
 	}
 }
 
 // reserved returns the sum of the declared needs of all running tasks.
 func (w *Worker) reserved() core.Resources {
 	sum := core.Resources{}
-	for _, t := range w.runs {
-		if t.state == "running" {
-			sum = sum.Add(t.start.Need.Core())
+	for _, r := range w.runs {
+		if r.state == "running" {
+			sum = sum.Add(r.start.Need.Core())
 		}
 	}
 	return sum
 }
 
-func (w *Worker) endRun(now time.Time, t *run, state string) {
-	t.state, t.elapsed = state, now.Sub(t.startedAt)
-	w.record(now, t, state)
-	w.markChanged(t)
+func (w *Worker) endRun(now time.Time, r *run, state string) {
+	r.state, r.elapsed = state, now.Sub(r.startedAt)
+	w.record(now, r, state)
+	w.markChanged(r)
 }
 
-func (w *Worker) record(now time.Time, t *run, event string) {
-	w.records = append(w.records, TaskRecord{w.name, t.start.Task, t.start.Team, t.start.Need, event, now})
+func (w *Worker) record(now time.Time, r *run, event string) {
+	w.records = append(w.records, TaskRecord{w.name, r.start.Task, r.start.Team, r.start.Need, event, now})
 }
 
 // markChanged gives a run the next sequence number. The next call of Tick then
 // answers the long polls.
-func (w *Worker) markChanged(t *run) {
+func (w *Worker) markChanged(r *run) {
 	w.lastSeq++
-	t.changeSeq = w.lastSeq
+	r.changeSeq = w.lastSeq
 }
 
 // updateRuns ends the runs that have lasted for their full duration within the
 // lease. Once the lease has expired, it stops all other runs.
 func (w *Worker) updateRuns(now time.Time) {
 	for _, id := range w.sortedTaskIDs() {
-		t := w.runs[id]
-		if t.state == "running" && !now.Before(t.endsAt) && t.endsAt.Before(w.leaseEnd) {
-			w.endRun(t.endsAt, t, t.endState)
+		r := w.runs[id]
+		if r.state == "running" && !now.Before(r.endsAt) && r.endsAt.Before(w.leaseEnd) {
+			w.endRun(r.endsAt, r, r.endState)
 		}
 	}
 	if now.Before(w.leaseEnd) {
 		return
 	}
 	for _, id := range w.sortedTaskIDs() {
-		if t := w.runs[id]; t.state == "running" {
-			w.endRun(now, t, "stopped")
+		if r := w.runs[id]; r.state == "running" {
+			w.endRun(now, r, "stopped")
 		}
 	}
 }
@@ -362,30 +365,30 @@
 
 // report returns every run, or those that have changed since a sequence number.
 func (w *Worker) report(now time.Time, after uint64, full bool) work.Report {
-	r := work.Report{
+	out := work.Report{
 		Incarnation: w.incarnation(), Full: full, Stamp: fmt.Sprintf("%d/%d", w.startedAt.UnixNano(), now.Sub(w.startedAt)), Seq: w.lastSeq, Room: w.room,
 	}
 	if w.faults.Room != nil {
-		r.Room = *w.faults.Room
+		out.Room = *w.faults.Room
 	}
 	for _, id := range w.sortedTaskIDs() {
-		t := w.runs[id]
-		if !full && t.changeSeq <= after {
+		r := w.runs[id]
+		if !full && r.changeSeq <= after {
 			continue
 		}
 		used := work.Room{}
-		if t.usageReported {
+		if r.usageReported {
 			used = work.Room{
-				Cores: int64(t.usageFactor * float64(t.start.Need.Cores)), Memory: int64(t.usageFactor * float64(t.start.Need.Memory)), Accel: t.start.Need.Accel,
+				Cores: int64(r.usageFactor * float64(r.start.Need.Cores)), Memory: int64(r.usageFactor * float64(r.start.Need.Memory)), Accel: r.start.Need.Accel,
 			}
 		}
-		elapsed := t.elapsed
-		if t.state == "running" {
-			elapsed = now.Sub(t.startedAt)
+		elapsed := r.elapsed
+		if r.state == "running" {
+			elapsed = now.Sub(r.startedAt)
 		}
-		r.Tasks = append(r.Tasks, work.Task{Task: id, Run: t.start.Run, State: t.state, Team: t.start.Team, Need: t.start.Need, Used: used, Elapsed: elapsed.String()})
+		out.Tasks = append(out.Tasks, work.Task{Task: id, Run: r.start.Run, State: r.state, Team: r.start.Team, Need: r.start.Need, Used: used, Elapsed: elapsed.String()})
 	}
-	return r
+	return out
 }
 
 // answerLongPolls answers all long polls, those of an old epoch with status 409.
@@ -404,15 +407,15 @@
 func (w *Worker) Tick(now time.Time) time.Time {
 	w.updateRuns(now)
 	next := now.Add(idleInterval)
-	for _, t := range w.runs {
-		if t.state != "running" || t.usageReported || t.usageFactor == 0 {
+	for _, r := range w.runs {
+		if r.state != "running" || r.usageReported || r.usageFactor == 0 {
 			continue
 		}
-		if at := t.startedAt.Add(usageDelay); now.Before(at) {
+		if at := r.startedAt.Add(usageDelay); now.Before(at) {
 			next = core.Earlier(next, at)
 		} else {
-			t.usageReported = true
-			w.markChanged(t)
+			r.usageReported = true
+			w.markChanged(r)
 		}
 	}
 	if w.faults.Frozen {
@@ -428,9 +431,9 @@
 		pending = append(pending, p)
 	}
 	w.longPolls = pending
-	for _, t := range w.runs {
-		if t.state == "running" {
-			next = core.Earlier(next, t.endsAt)
+	for _, r := range w.runs {
+		if r.state == "running" {
+			next = core.Earlier(next, r.endsAt)
 		}
 	}
 	if now.Before(w.leaseEnd) {
--- a/proof/call_test.go
+++ b/proof/call_test.go
@@ -98,11 +98,11 @@
 	return nil
 }
 
-// inRotation tells for an entry whether the load balancer sends requests to it.
+// inRotation records for each entry whether the load balancer sends requests to it.
 // Entries that are not in the map get requests.
 var inRotation sync.Map
 
-// setInRotation adds a gate to the load balancer or removes it.
+// setInRotation adds an entry to the load balancer or removes it.
 func (f *fleet) setInRotation(e *entry, enabled bool) { inRotation.Store(e, enabled) }
 
 // gateInRotation returns a gate to which the load balancer sends requests, or nil.
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -175,6 +175,7 @@
 	is := is.New(t)
 	f := newFleet(t, smallPlan(deploy.Glaze()))
 	d := f.openDriver()
+	// The first changes are deleted at the second snapshot, after 512 changes.
 	for range 530 {
 		resp, err := httpClient.Post("http://"+f.gates[0].ops.String()+"/keys?team=press", "", nil)
 		is.NoErr(err)
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -223,7 +223,7 @@
 	return f
 }
 
-// region returns the region of the VM with index i.
+// region returns the region of the VM with index i among those of its kind.
 func (f *fleet) region(i int) string { return f.plan.Regions[i%len(f.plan.Regions)] }
 
 func (f *fleet) addWorker(i int) {
@@ -270,7 +270,7 @@
 	return e
 }
 
-// httpClient calls stand-ins and operators' interfaces. Its time-out ends calls to
+// httpClient calls fakes and operators' interfaces. Its time-out ends calls to
 // paused processes, which do not answer.
 var httpClient = &http.Client{Timeout: 2 * time.Second}
 
@@ -278,7 +278,7 @@
 // a takeover takes.
 var shortTimeoutClient = &http.Client{Timeout: 250 * time.Millisecond}
 
-// put sends a value as JSON to a stand-in.
+// put sends a value as JSON to a fake.
 func put(addr netip.AddrPort, path string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -330,7 +330,7 @@
 	}
 }
 
-// addrOf returns the address on which a stand-in listens.
+// addrOf returns the address on which a fake worker or target listens.
 func (f *fleet) addrOf(p *process) netip.AddrPort {
 	for i, a := range p.args {
 		if a == "-a" {
