--- a/io/demo/fairness.go
+++ b/io/demo/fairness.go
@@ -19,13 +19,14 @@
 // ShareDeviation compares, in each window of time, the core time that each team used
 // with its max-min fair part of all core time used. The fair part is proportional
 // to the team's share and at most the team's demand: the core time that its tasks
-// used plus the core time for which they waited.
+// used plus the core time for which they waited. It ignores an incomplete window at
+// the end, unless that is the only one.
 func (d *Driver) ShareDeviation(window time.Duration) ShareDeviation {
 	log := check.NewLog(d.fleet.WorkerRecords())
 	starts := log.Starts()
 	var out ShareDeviation
 	sum, count := 0.0, 0
-	for from := d.offerStart; from.Add(window).Before(d.offerEnd) || from.Equal(d.offerStart); from = from.Add(window) {
+	for from := d.sendStart; from.Add(window).Before(d.sendEnd) || from.Equal(d.sendStart); from = from.Add(window) {
 		to := from.Add(window)
 		used := map[core.Team]float64{}
 		demand := map[core.Team]float64{}
--- a/io/deploy/deployment.go
+++ b/io/deploy/deployment.go
@@ -1,6 +1,5 @@
-// Package deploy describes the sample deployments of two customers and starts
-// them in one process on loopback: gates, scheds, and the fakes of the platform,
-// the workers and the targets.
+// Package deploy describes two sample deployments and starts them in one process on
+// loopback: gates, scheds, and fakes of the platform, workers and targets.
 package deploy
 
 import (
@@ -182,8 +181,8 @@
 // portAllocator allocates ports from the blocks that this program has reserved.
 type portAllocator struct {
 	mu sync.Mutex
-	// guards are the listeners on the first ports of the reserved blocks.
-	guards    []net.Listener
+	// listeners hold the first ports of the reserved blocks.
+	listeners []net.Listener
 	nextPort  int
 	portsLeft int
 }
@@ -202,7 +201,7 @@
 		first := firstPort + (os.Getpid()+i)%blockCount*blockSize
 		var l net.Listener
 		if l, err = proc.Listen("port block", loopback(first)); err == nil {
-			p.guards = append(p.guards, l)
+			p.listeners = append(p.listeners, l)
 			p.nextPort, p.portsLeft = first+1, blockSize-1
 			return nil
 		}
--- a/io/fakes/platform.go
+++ b/io/fakes/platform.go
@@ -1,6 +1,6 @@
 // Package fakes holds fakes of the systems around chicoryturn: the platform,
 // workers, targets and faulty links. Only tests, measurements and the
-// demonstration use them.
+// demonstration use them; command standin runs each of them as a process.
 package fakes
 
 import (
@@ -27,8 +27,8 @@
 	Down bool `json:"down"`
 	// Delay is the duration by which every answer is delayed; empty means none.
 	Delay string `json:"delay"`
-	// LostReplies is a number of writes: the next ones are applied, but their connections
-	// are closed without an answer.
+	// LostReplies is how many of the next writes are applied but get no answer: the
+	// platform closes their connections instead.
 	LostReplies int `json:"lose"`
 }
 
@@ -117,15 +117,15 @@
 // Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /txn", p.handle(true, false, p.runTxn))
-	mux.HandleFunc("GET /rows", p.handle(false, false, p.scanRows))
-	mux.HandleFunc("PUT /objects/", p.handle(true, false, p.putObject))
-	mux.HandleFunc("GET /objects/", p.handle(false, false, p.getObject))
-	mux.HandleFunc("DELETE /objects/", p.handle(true, false, p.deleteObject))
-	mux.HandleFunc("GET /vms", p.handle(false, false, p.listVMs))
-	mux.HandleFunc("PUT /stand/vms", p.handle(false, true, p.setVMs))
-	mux.HandleFunc("PUT /stand/faults", p.handle(false, true, p.setFaults))
-	mux.HandleFunc("GET /stand/counts", p.handle(false, true, p.getCounts))
+	mux.HandleFunc("POST /txn", p.httpHandler(true, false, p.runTxn))
+	mux.HandleFunc("GET /rows", p.httpHandler(false, false, p.scanRows))
+	mux.HandleFunc("PUT /objects/", p.httpHandler(true, false, p.putObject))
+	mux.HandleFunc("GET /objects/", p.httpHandler(false, false, p.getObject))
+	mux.HandleFunc("DELETE /objects/", p.httpHandler(true, false, p.deleteObject))
+	mux.HandleFunc("GET /vms", p.httpHandler(false, false, p.listVMs))
+	mux.HandleFunc("PUT /stand/vms", p.httpHandler(false, true, p.setVMs))
+	mux.HandleFunc("PUT /stand/faults", p.httpHandler(false, true, p.setFaults))
+	mux.HandleFunc("GET /stand/counts", p.httpHandler(false, true, p.getCounts))
 	return mux
 }
 
@@ -133,8 +133,8 @@
 // control goroutine.
 type parseFunc func(r *http.Request, body []byte) func(p *Platform) reply
 
-// handle returns the HTTP handler of one kind of call.
-func (p *Platform) handle(isWrite, isAdmin bool, parse parseFunc) http.HandlerFunc {
+// httpHandler returns the HTTP handler for one kind of call.
+func (p *Platform) httpHandler(isWrite, isAdmin bool, parse parseFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -221,6 +221,7 @@
 
 func objectName(r *http.Request) string { return strings.TrimPrefix(r.URL.Path, "/objects/") }
 
+// putObject stores an object unless one with the same name exists.
 func (p *Platform) putObject(r *http.Request, body []byte) func(*Platform) reply {
 	name := objectName(r)
 	return func(p *Platform) reply {
