--- a/cmd/chicoryturn/rules.go
+++ b/cmd/chicoryturn/rules.go
@@ -122,7 +122,7 @@
 	return &command{
 		name: "history", about: "Lists all accepted changes.", flags: c.opsFlags,
 		run: func(ctx context.Context) error {
-			var changes []agent.History
+			var changes []agent.HistoryEntry
 			body, err := c.call(ctx, http.MethodGet, c.opsAddr, "/rules/history", nil, &changes)
 			if err != nil {
 				return err
--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -173,9 +173,9 @@
 	}
 }
 
-// Refusals returns the errors of the chart events that were refused since the
+// RefusedEvents returns the errors of the chart events that were refused since the
 // last call.
-func (c *Controller) Refusals() []error {
+func (c *Controller) RefusedEvents() []error {
 	out := c.refusals
 	c.refusals = nil
 	return out
--- a/core/cell/cell.go
+++ b/core/cell/cell.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// Refusals returns the events that a chart refused since the last call.
-func (c *Cell) Refusals() []error {
+// RefusedEvents returns the events that a chart refused since the last call.
+func (c *Cell) RefusedEvents() []error {
 	out := c.refusedEvents
 	c.refusedEvents = nil
 	return out
@@ -353,7 +353,7 @@
 }
 
 // Tick handles everything that is due at a given time: expired leases, trials of
-// excluded workers, heartbeats, gang reservations and lowered limits.
+// workers set aside, heartbeats, gang reservations and lowered limits.
 func (c *Cell) Tick(now time.Time) {
 	c.now = now
 	removeGone := false
--- a/core/cell/worker.go
+++ b/core/cell/worker.go
@@ -17,9 +17,9 @@
 
 const (
 	// maxConsecutiveFailures is the number of consecutive failed runs after
-	// which a worker is excluded from placement (health state aside).
+	// which a worker is set aside (health state aside).
 	maxConsecutiveFailures = 3
-	// minProbeDelay is how long a worker is excluded before its first trial.
+	// minProbeDelay is how long a worker is set aside before its first trial.
 	// The delay doubles with each failed trial up to maxProbeDelay.
 	minProbeDelay = 10 * time.Second
 	maxProbeDelay = 10 * time.Minute
@@ -55,8 +55,8 @@
 	healthChart = chart.Must(chart.Load(healthChartText, map[string]chart.Guard[*Worker]{
 		"failing": func(w *Worker) bool { return w.consecutiveFailures >= maxConsecutiveFailures },
 	}, map[string]chart.Action[*Worker]{
-		"exclude": (*Worker).exclude,
-		"include": (*Worker).include,
+		"aside":   (*Worker).setAside,
+		"readmit": (*Worker).readmit,
 		"reset":   func(w *Worker) { w.consecutiveFailures, w.probeDelay = 0, 0 },
 	}))
 	healthEventDone = healthChart.Event("done")
@@ -120,7 +120,7 @@
 	consecutiveFailures int
 	// lastFailedJob is the job of the newest failed run.
 	lastFailedJob core.JobID
-	// probeDelay is the length of the newest exclusion, or zero after a
+	// probeDelay is how long the worker was last set aside, or zero after a
 	// success.
 	probeDelay time.Duration
 	// leaving is set when the platform is about to remove the VM.
@@ -152,15 +152,15 @@
 	w.cell.requeueHeld()
 }
 
-// exclude stops the placement of tasks until the next trial.
-func (w *Worker) exclude() {
+// setAside sets the worker aside: no task is placed on it until its next trial.
+func (w *Worker) setAside() {
 	w.probeDelay = min(max(2*w.probeDelay, minProbeDelay), maxProbeDelay)
 	w.nextProbe = w.cell.now.Add(w.probeDelay)
 	w.cell.roomIndex.Remove(w.id)
 }
 
-// include makes the worker's room available to placement again.
-func (w *Worker) include() { w.cell.updateRoom(w) }
+// readmit makes the worker's room available to placement again.
+func (w *Worker) readmit() { w.cell.updateRoom(w) }
 
 // markOrdersChanged requests a heartbeat that delivers the worker's new orders at
 // once, even while a long poll is in flight.
--- a/core/fleet/model_test.go
+++ b/core/fleet/model_test.go
@@ -123,7 +123,7 @@
 func (h *harness) Present(id jobs.PhaseID, run uint64) int {
 	n := 0
 	for _, w := range h.workers {
-		n += w.GangSize(id, run)
+		n += w.ActiveInGang(id, run)
 	}
 	return n
 }
@@ -324,8 +324,8 @@
 	active := map[jobs.TaskID]*model.RunRecord{}
 	var starts []*model.RunRecord
 	for _, w := range h.workers {
-		if !w.Running().FitsIn(w.Info.Capacity) {
-			h.t.Fatalf("worker %s runs tasks of %+v with room for %+v", w.Info.Name, w.Running(), w.Info.Capacity)
+		if !w.UsedResources().FitsIn(w.Info.Capacity) {
+			h.t.Fatalf("worker %s runs tasks of %+v with room for %+v", w.Info.Name, w.UsedResources(), w.Info.Capacity)
 		}
 		starts = append(starts, w.Log...)
 	}
@@ -380,7 +380,7 @@
 		h.tick()
 	}
 	is.Equal(h.completedJobs(), 20)
-	is.Equal(h.currentOwner().scheduler.Refusals(), nil)
+	is.Equal(h.currentOwner().scheduler.RefusedEvents(), nil)
 }
 
 // TestRandomFaults simulates lost and late orders, crashes, unreachable workers, and
@@ -407,7 +407,7 @@
 				h.logState()
 			}
 			is.Equal(h.completedJobs(), jobCount)
-			is.Equal(h.currentOwner().scheduler.Refusals(), nil)
+			is.Equal(h.currentOwner().scheduler.RefusedEvents(), nil)
 		})
 	}
 }
--- a/core/fleet/scheduler.go
+++ b/core/fleet/scheduler.go
@@ -208,9 +208,9 @@
 	return out
 }
 
-// Refusals returns the events that a chart has refused since the last call and
+// RefusedEvents returns the events that a chart has refused since the last call and
 // clears them.
-func (s *Scheduler) Refusals() []error {
+func (s *Scheduler) RefusedEvents() []error {
 	out := s.refusals
 	s.refusals = nil
 	return out
@@ -410,8 +410,9 @@
 	return out
 }
 
-// BatchFailed queues the progress in flight again after a write that certainly
-// had no effect.
+// BatchFailed queues the progress in flight again after a write that failed or
+// had no answer. If the write took effect after all, writing the same progress
+// again is harmless.
 func (s *Scheduler) BatchFailed() {
 	for _, row := range s.inFlight {
 		s.dirty[row.job.Spec.ID] = row.job
--- a/core/fleet/task.go
+++ b/core/fleet/task.go
@@ -21,9 +21,9 @@
 	progressInterval = 250 * time.Millisecond
 	// stallTimeout is how long the progress of a run may stay unchanged before
 	// the run is stopped and the task starts on another worker; for long runs it
-	// is a tenth of their expected run time. On a slow worker, a run takes 6.5
-	// times the expected run time, so one percent of it takes 6.5 % of that
-	// time, still less than a tenth.
+	// is a tenth of their expected run time. On a slow worker, a run may take up
+	// to 6.5 times its expected run time, so one percent of progress takes up to
+	// 6.5 % of that time, which is less than a tenth.
 	stallTimeout = 2500 * time.Millisecond
 	stallDivisor = 10
 )
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -244,9 +244,9 @@
 	}
 }
 
-// Refusals returns the errors of the chart events that were refused since the
+// RefusedEvents returns the errors of the chart events that were refused since the
 // last call.
-func (m *Member) Refusals() []error {
+func (m *Member) RefusedEvents() []error {
 	out := m.refusals
 	m.refusals = nil
 	return out
--- a/core/model/worker.go
+++ b/core/model/worker.go
@@ -270,8 +270,8 @@
 	return l, fleet.ReplyOK
 }
 
-// Running returns the resources that the active runs use.
-func (w *Worker) Running() core.Resources {
+// UsedResources returns the resources that the active runs use.
+func (w *Worker) UsedResources() core.Resources {
 	var sum core.Resources
 	for _, r := range w.active {
 		sum = sum.Add(w.tasks.Task(r.key.task).Need)
@@ -279,8 +279,8 @@
 	return sum
 }
 
-// GangSize returns how many tasks of a gang's run are active on the worker.
-func (w *Worker) GangSize(id jobs.PhaseID, run uint64) int {
+// ActiveInGang returns how many tasks of a gang's run are active on the worker.
+func (w *Worker) ActiveInGang(id jobs.PhaseID, run uint64) int {
 	n := 0
 	for _, r := range w.active {
 		if r.key.task.PhaseID == id && r.key.run == run {
--- a/io/agent/agent.go
+++ b/io/agent/agent.go
@@ -211,7 +211,7 @@
 	for _, action := range a.Member.Plan(now) {
 		a.perform(action)
 	}
-	a.LogRefusals(a.Member.Refusals())
+	a.LogRefusals(a.Member.RefusedEvents())
 	if a.Member.HasLeft() {
 		return now.Add(time.Second)
 	}
--- a/io/agent/config.go
+++ b/io/agent/config.go
@@ -435,8 +435,8 @@
 	return r
 }
 
-// History is one accepted change, as operators see it.
-type History struct {
+// HistoryEntry is one accepted change, as operators see it.
+type HistoryEntry struct {
 	Version core.Version
 	Kind    conf.ChangeKind
 	// Subject names the object of a rules file, or the key and its team.
@@ -446,12 +446,12 @@
 }
 
 // History returns the accepted changes that compaction has kept, oldest first.
-func (a *Agent) History(ctx context.Context) ([]History, error) {
+func (a *Agent) History(ctx context.Context) ([]HistoryEntry, error) {
 	rows, err := a.store.Scan(ctx, configPrefix, "")
 	if err != nil {
 		return nil, storeRefusal(err)
 	}
-	var out []History
+	var out []HistoryEntry
 	for _, r := range rows {
 		var c storedChange
 		if err := json.Unmarshal(r.Val, &c); err != nil {
@@ -461,7 +461,7 @@
 		if c.Kind != conf.PushRules {
 			subject = "key " + c.ID + " of team " + c.Team
 		}
-		out = append(out, History{c.Version, c.Kind, subject, c.By, c.At})
+		out = append(out, HistoryEntry{c.Version, c.Kind, subject, c.By, c.At})
 	}
 	return out, nil
 }
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -267,7 +267,7 @@
 // reportAdmission logs the events that admission's charts refused and records
 // the waits of the requests that were granted a slot.
 func (g *Gate) reportAdmission() {
-	g.Agent.LogRefusals(g.admission.Refusals())
+	g.Agent.LogRefusals(g.admission.RefusedEvents())
 	for _, w := range g.admission.Waits() {
 		g.meter.RequestWait(w.Queue, w.Time)
 	}
--- a/io/node/reload.go
+++ b/io/node/reload.go
@@ -26,7 +26,7 @@
 		switch {
 		case err != nil && err.Error() != lastError:
 			lastError = err.Error()
-			n.logger("node").WithError(err).Error("cannot read the settings; the previous ones stay in force")
+			n.logger("node").WithError(err).Error("cannot read the settings; the last ones stay in force")
 		case err == nil && changed != current:
 			n.applySettings(current, changed)
 			current, lastError = changed, ""
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -285,7 +285,7 @@
 		}
 		o.log.WithFields(f).Info(d.Event)
 	}
-	for _, err := range o.scheduler.Refusals() {
+	for _, err := range o.scheduler.RefusedEvents() {
 		o.log.WithError(err).Error("state chart refused an event")
 	}
 }
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -289,7 +289,7 @@
 // reportMetrics logs refused events of a cell and records the wait times of its
 // started tasks.
 func (s *Sched) reportMetrics(oc *ownedCell) {
-	s.Agent.LogRefusals(oc.cell.Refusals())
+	s.Agent.LogRefusals(oc.cell.RefusedEvents())
 	for _, w := range oc.cell.TaskWaits() {
 		s.meter.TaskWait(w.Queue, w.Team, w.Time)
 	}
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -88,7 +88,7 @@
 		_ = resp.Body.Close()
 	}
 	is.NoErr(f.setPlatformFaults(fakes.PlatformFaults{}))
-	var history []agent.History
+	var history []agent.HistoryEntry
 	is.NoErr(get(f.gates[0].ops, "/rules/history", &history))
 	for i, change := range history {
 		is.Equal(change.Version, core.Version(i+1)) // no version is missing or repeated
@@ -182,7 +182,7 @@
 		_ = resp.Body.Close()
 	}
 	f.eventually("old changes are deleted", func() error {
-		var list []agent.History
+		var list []agent.HistoryEntry
 		if err := get(f.gates[0].ops, "/rules/history", &list); err != nil {
 			return err
 		}
