--- a/core/admit/controller.go
+++ b/core/admit/controller.go
@@ -148,8 +148,8 @@
 	// retryBudget is the number of retries that are allowed now; see retryRatio.
 	retryBudget float64
 	waits       []Wait
-	// refusals holds the errors of chart events refused in their state.
-	refusals []error
+	// refusedEvents holds the errors of chart events refused in their state.
+	refusedEvents []error
 }
 
 // Wait is the time that a request waited for its slot.
@@ -167,17 +167,17 @@
 	}
 }
 
-func (c *Controller) addRefusal(err error) {
+func (c *Controller) recordRefused(err error) {
 	if err != nil {
-		c.refusals = append(c.refusals, err)
+		c.refusedEvents = append(c.refusedEvents, err)
 	}
 }
 
 // RefusedEvents returns the errors of the chart events that were refused since the
 // last call.
 func (c *Controller) RefusedEvents() []error {
-	out := c.refusals
-	c.refusals = nil
+	out := c.refusedEvents
+	c.refusedEvents = nil
 	return out
 }
 
@@ -341,7 +341,7 @@
 }
 
 func (c *Controller) fireRequest(r *request, ev chart.Event) {
-	c.addRefusal(requestChart.Fire(&r.state, ev, r))
+	c.recordRefused(requestChart.Fire(&r.state, ev, r))
 }
 
 func (r *request) mayRetry() bool {
--- a/core/admit/target.go
+++ b/core/admit/target.go
@@ -56,7 +56,7 @@
 	demand demand
 }
 
-func (t *target) fire(ev chart.Event) { t.ctrl.addRefusal(targetChart.Fire(&t.state, ev, t)) }
+func (t *target) fire(ev chart.Event) { t.ctrl.recordRefused(targetChart.Fire(&t.state, ev, t)) }
 
 // SlotsRow returns the name of the ledger row that divides a target's slots.
 func SlotsRow(r core.Region, t string) string { return "slots/" + string(r) + "/" + t }
--- a/core/cell/heartbeat.go
+++ b/core/cell/heartbeat.go
@@ -438,9 +438,9 @@
 }
 
 // updateHealth counts consecutive failed runs on a worker; a worker that reaches
-// maxConsecutiveFailures is set aside. Until a task of a job has
-// succeeded, the job itself may be faulty, so consecutive failures of its tasks
-// count only once per worker.
+// maxConsecutiveFailures is set aside. Until a task of a job has succeeded, the job
+// itself may be faulty, so consecutive failures of its tasks count only once per
+// worker.
 func (c *Cell) updateHealth(w *Worker, t *Task, ev chart.Event) {
 	if ev == healthEventFail {
 		if t.job.hasSucceeded || w.lastFailedJob != t.job.Spec.ID {
--- a/core/elect/election.go
+++ b/core/elect/election.go
@@ -295,7 +295,7 @@
 // decisions.
 func (e *Election) StateLoaded() { e.fire(eventLoaded) }
 
-// Drain ends the process's part in the election: it claims nothing from now on.
+// Drain withdraws the process from the election: it makes no further claims.
 func (e *Election) Drain() { e.fire(eventLeave) }
 
 // CheckSuspension reports whether orders may be sent. An owner must first confirm
--- a/core/fleet/job.go
+++ b/core/fleet/job.go
@@ -98,7 +98,7 @@
 	return j
 }
 
-func (j *Job) fire(ev chart.Event) { j.scheduler.addRefusal(jobChart.Fire(&j.state, ev, j)) }
+func (j *Job) fire(ev chart.Event) { j.scheduler.recordRefused(jobChart.Fire(&j.state, ev, j)) }
 
 // ended reports whether the job's end has been decided.
 func (j *Job) ended() bool { return j.state == jobClosing || j.state == jobClosed }
--- a/core/fleet/order.go
+++ b/core/fleet/order.go
@@ -117,7 +117,7 @@
 	Task   jobs.TaskID
 	Run    uint64
 	Kind   EndKind
-	// Reason says in the worker's words how the run ended.
+	// Reason is the worker's description of how the run ended.
 	Reason     string
 	Checkpoint string
 }
--- a/core/fleet/scheduler.go
+++ b/core/fleet/scheduler.go
@@ -103,13 +103,13 @@
 	// closed holds the jobs whose end has been stored, the oldest end first.
 	closed []closedJob
 
-	// orders, decisions and refusals hold what the caller has not collected
+	// orders, decisions and refusedEvents hold what the caller has not collected
 	// yet.
-	orders     []Order
-	decisions  []Decision
-	refusals   []error
-	counts     Counts
-	lastJobSeq uint64
+	orders        []Order
+	decisions     []Decision
+	refusedEvents []error
+	counts        Counts
+	lastJobSeq    uint64
 	// needsPlacement is set when a change may let waiting tasks start.
 	needsPlacement bool
 	// progressSeen is set once any worker has reported progress of a run.
@@ -211,14 +211,14 @@
 // RefusedEvents returns the events that a chart has refused since the last call and
 // clears them.
 func (s *Scheduler) RefusedEvents() []error {
-	out := s.refusals
-	s.refusals = nil
+	out := s.refusedEvents
+	s.refusedEvents = nil
 	return out
 }
 
-func (s *Scheduler) addRefusal(err error) {
+func (s *Scheduler) recordRefused(err error) {
 	if err != nil {
-		s.refusals = append(s.refusals, err)
+		s.refusedEvents = append(s.refusedEvents, err)
 	}
 }
 
--- a/core/fleet/task.go
+++ b/core/fleet/task.go
@@ -69,7 +69,7 @@
 func (t *Task) position() int { return t.phase.firstPosition + t.index }
 
 func (t *Task) fire(ev chart.Event) {
-	t.phase.job.scheduler.addRefusal(taskChart.Fire(&t.state, ev, t))
+	t.phase.job.scheduler.recordRefused(taskChart.Fire(&t.state, ev, t))
 }
 
 // addUnresolved marks a recovered task that may be running on a worker that has
--- a/core/fleet/worker.go
+++ b/core/fleet/worker.go
@@ -127,7 +127,7 @@
 	asidePeriod time.Duration
 }
 
-func (w *Worker) fire(ev chart.Event) { w.scheduler.addRefusal(workerChart.Fire(&w.state, ev, w)) }
+func (w *Worker) fire(ev chart.Event) { w.scheduler.recordRefused(workerChart.Fire(&w.state, ev, w)) }
 
 // SetWorkers updates the workers from a new list of the platform.
 func (s *Scheduler) SetWorkers(now time.Time, infos []WorkerInfo) {
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -184,8 +184,8 @@
 	// round is the latest round of RenewOrPromise requests since the last renewal.
 	round         *peerRound
 	pendingResign core.Option[Resign]
-	// refusals holds the errors of chart events refused in their state.
-	refusals []error
+	// refusedEvents holds the errors of chart events refused in their state.
+	refusedEvents []error
 }
 
 // Option configures a new member.
@@ -230,7 +230,7 @@
 func (m *Member) HasLeft() bool { return m.state == sessionGone }
 
 // EndSession completes a planned stop.
-func (m *Member) EndSession() { m.addRefusal(sessionChart.Fire(&m.state, sessionLeft, m)) }
+func (m *Member) EndSession() { m.recordRefused(sessionChart.Fire(&m.state, sessionLeft, m)) }
 
 // StoreReachedAt returns when the latest successful renewal or scan was sent.
 func (m *Member) StoreReachedAt() time.Time { return m.storeReachedAt }
@@ -238,17 +238,17 @@
 // SetConfig sets the configuration version that the session row reports.
 func (m *Member) SetConfig(v core.Version) { m.config = v }
 
-func (m *Member) addRefusal(err error) {
+func (m *Member) recordRefused(err error) {
 	if err != nil {
-		m.refusals = append(m.refusals, err)
+		m.refusedEvents = append(m.refusedEvents, err)
 	}
 }
 
 // RefusedEvents returns the errors of the chart events that were refused since the
 // last call.
 func (m *Member) RefusedEvents() []error {
-	out := m.refusals
-	m.refusals = nil
+	out := m.refusedEvents
+	m.refusedEvents = nil
 	return out
 }
 
@@ -256,14 +256,14 @@
 func (m *Member) loseCells() {
 	m.lease.Release()
 	for _, e := range m.cells {
-		m.addRefusal(cellChart.Fire(&e.state, cellLapse, e))
+		m.recordRefused(cellChart.Fire(&e.state, cellLapse, e))
 	}
 }
 
 // releaseCells starts the release of all cells.
 func (m *Member) releaseCells() {
 	for _, e := range m.cells {
-		m.addRefusal(cellChart.Fire(&e.state, cellRelease, e))
+		m.recordRefused(cellChart.Fire(&e.state, cellRelease, e))
 	}
 }
 
@@ -276,7 +276,7 @@
 }
 
 // Drain begins a planned stop.
-func (m *Member) Drain() { m.addRefusal(sessionChart.Fire(&m.state, sessionLeave, m)) }
+func (m *Member) Drain() { m.recordRefused(sessionChart.Fire(&m.state, sessionLeave, m)) }
 
 // Row returns the session row of the next renewal.
 func (m *Member) Row() Session {
@@ -292,7 +292,7 @@
 	m.round = nil
 	if m.state == sessionJoining {
 		m.joinedAt = now
-		m.addRefusal(sessionChart.Fire(&m.state, sessionJoined, m))
+		m.recordRefused(sessionChart.Fire(&m.state, sessionJoined, m))
 	}
 	m.lease.Renew(sent, m.ttl)
 }
@@ -346,7 +346,7 @@
 		}
 	}
 	if !present.Has(m.self.ID) && m.state == sessionLive && sent.After(m.joinedAt) {
-		m.addRefusal(sessionChart.Fire(&m.state, sessionLapse, m))
+		m.recordRefused(sessionChart.Fire(&m.state, sessionLapse, m))
 	}
 	for _, row := range claims {
 		m.observeClaim(now, row.Version, row.Val)
@@ -379,7 +379,7 @@
 	}
 	e.version, e.claim = version, c
 	if c.Owner != m.self.ID && e.state != cellOther && cellChart.Name(e.state) != "claiming" {
-		m.addRefusal(cellChart.Fire(&e.state, cellLost, e))
+		m.recordRefused(cellChart.Fire(&e.state, cellLost, e))
 	}
 	if m.ownerLive(now, c.Owner) && (c.Owner != m.self.ID || e.state != cellOther) {
 		e.freeSince = time.Time{}
--- a/core/member/outage.go
+++ b/core/member/outage.go
@@ -92,7 +92,7 @@
 		return
 	}
 	m.pendingResign = core.Some(Resign{p.session.Process, m.self})
-	m.addRefusal(sessionChart.Fire(&m.state, sessionLapse, m))
+	m.recordRefused(sessionChart.Fire(&m.state, sessionLapse, m))
 }
 
 // extendIfPromised extends the lease once every other sched of the region has
--- a/core/member/plan.go
+++ b/core/member/plan.go
@@ -85,14 +85,14 @@
 	// another process may take over once a lease has lapsed: it keeps its slots
 	// until it is known to be dead.
 	if m.state == sessionLive && m.self.Role == core.RoleSched && !m.lease.Valid(now) {
-		m.addRefusal(sessionChart.Fire(&m.state, sessionLapse, m))
+		m.recordRefused(sessionChart.Fire(&m.state, sessionLapse, m))
 	}
 	if r, ok := m.pendingResign.Get(); ok {
 		m.pendingResign = core.Option[Resign]{}
 		out = append(out, r)
 	}
 	// The chart ignores this event unless the session has lapsed.
-	m.addRefusal(sessionChart.Fire(&m.state, sessionRejoin, m))
+	m.recordRefused(sessionChart.Fire(&m.state, sessionRejoin, m))
 	if !m.renewalInFlight && m.claimWrites == 0 && !now.Before(m.nextRenew) {
 		m.renewalInFlight = true
 		m.nextRenew = now.Add(m.ttl / renewalsPerTTL)
@@ -127,7 +127,7 @@
 			continue
 		}
 		if e.state == cellOther && m.mayClaim(now, e, candidates, owned, fairShare) {
-			m.addRefusal(cellChart.Fire(&e.state, cellClaim, e))
+			m.recordRefused(cellChart.Fire(&e.state, cellClaim, e))
 			owned++
 			next := e.claim
 			next.Cell, next.Owner, next.Offer = e.id, m.self.ID, ""
@@ -136,7 +136,7 @@
 			out = append(out, m.writeClaim(next))
 		}
 		if e.state == cellOwned && m.leastLoaded(candidates, owned-1) != "" {
-			m.addRefusal(cellChart.Fire(&e.state, cellRelease, e))
+			m.recordRefused(cellChart.Fire(&e.state, cellRelease, e))
 			owned--
 		}
 	}
@@ -259,7 +259,7 @@
 	}
 	m.SetClaim(c, version)
 	e.freeSince = time.Time{}
-	m.addRefusal(cellChart.Fire(&e.state, cellReleased, e))
+	m.recordRefused(cellChart.Fire(&e.state, cellReleased, e))
 }
 
 // Claimed handles the end of a claim's write. An unknown outcome counts as a lost
@@ -271,19 +271,19 @@
 		return
 	}
 	if !ok || m.state != sessionLive || c.Owner != m.self.ID {
-		m.addRefusal(cellChart.Fire(&e.state, cellLost, e))
+		m.recordRefused(cellChart.Fire(&e.state, cellLost, e))
 		m.nextScan = time.Time{}
 		return
 	}
 	m.SetClaim(c, version)
 	e.freeSince = time.Time{}
-	m.addRefusal(cellChart.Fire(&e.state, cellWon, e))
+	m.recordRefused(cellChart.Fire(&e.state, cellWon, e))
 }
 
 // CellLoaded handles the end of reading a cell's journal.
 func (m *Member) CellLoaded(id core.CellID) {
 	if e := m.cells[id]; e != nil {
-		m.addRefusal(cellChart.Fire(&e.state, cellLoaded, e))
+		m.recordRefused(cellChart.Fire(&e.state, cellLoaded, e))
 	}
 }
 
@@ -291,7 +291,7 @@
 // store has refused this process's epoch.
 func (m *Member) CellLost(id core.CellID) {
 	if e := m.cells[id]; e != nil {
-		m.addRefusal(cellChart.Fire(&e.state, cellLost, e))
+		m.recordRefused(cellChart.Fire(&e.state, cellLost, e))
 		m.nextScan = time.Time{}
 	}
 }
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -18,9 +18,9 @@
 	shares map[core.Team]float64
 	// used is the use of each team in this cell.
 	used map[core.Team]core.Resources
-	// remote stands for the use of each team in other cells. It is the part of
-	// the team's limit that other cells hold, in thousandths of a core, as last
-	// read from the store.
+	// remote is the part of each team's limit that other cells hold, in
+	// thousandths of a core, as last read from the store. It counts as the
+	// team's use in these cells.
 	remote map[core.Team]int64
 	// fleetCores is the capacity of the whole fleet in thousandths of a core.
 	fleetCores int64
--- a/io/agent/session.go
+++ b/io/agent/session.go
@@ -259,7 +259,7 @@
 }
 
 // probe checks whether a process is alive. A refused connection proves that it
-// is dead, since a process listens on its port for as long as it lives. So does
+// is dead, since a process listens on its port for as long as it runs. So does
 // an answer under another session ID, since two processes cannot bind one port.
 func (a *Agent) probe(ctx context.Context, p core.Process) member.Liveness {
 	ctx, cancel := context.WithTimeout(ctx, peer.ProbeTimeout)
--- a/io/gate/call.go
+++ b/io/gate/call.go
@@ -191,8 +191,8 @@
 				c.post(requestDone{c.id, admit.Abandoned, nil})
 				continue
 			}
-			// The target goes on working on the request if the caller leaves,
-			// and uses its slot until it has finished.
+			// If the caller disconnects, the target keeps working on the
+			// request and uses its slot until it has finished.
 			disconnected = nil
 			resp, outcome, err := c.send(context.WithoutCancel(r.Context()), w, target)
 			c.countCrossRegionBytes(target, resp)
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -178,8 +178,8 @@
 	return core.SessionID(fmt.Sprintf("%s/%x", vm, b))
 }
 
-// ownerChanged connects to a new owner, or to none if this process is the owner
-// or nobody is.
+// ownerChanged connects to a new owner. It closes the stream if this process is
+// the owner or if there is no owner.
 func (n *Node) ownerChanged(l *ownerLink, r elect.Record, isOwner bool) {
 	l.isOwner.Store(isOwner)
 	n.entry.SetOwner(r)
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -438,7 +438,7 @@
 	})
 }
 
-// Drain releases the ownership record. The process claims nothing from then on.
+// Drain releases the ownership record. The process makes no further claims.
 func (o *Owner) Drain() {
 	o.post(func(o *Owner, _ time.Time) {
 		o.draining = true
--- a/io/record/store.go
+++ b/io/record/store.go
@@ -75,7 +75,7 @@
 	// mu guards the fields below.
 	mu sync.Mutex
 	// unconfirmed holds the jobs that may have been stored although their clients
-	// were told that the outcome is unknown, each with the time of that answer.
+	// received an unknown outcome, each with the time of that answer.
 	unconfirmed map[core.JobID]time.Time
 	queues      [jobParts]partQueue
 	// closed is set when Run ends; enqueue then refuses all jobs.
--- a/io/record/unconfirmed.go
+++ b/io/record/unconfirmed.go
@@ -15,8 +15,8 @@
 	maxUnconfirmed = 4000
 )
 
-// markUnconfirmed remembers a job that may have been stored although its client was
-// told that the outcome is unknown.
+// markUnconfirmed remembers a job that may have been stored although its client
+// received an unknown outcome.
 func (s *Store) markUnconfirmed(id core.JobID) {
 	now := time.Now()
 	s.mu.Lock()
