--- a/core/fleet/task.go
+++ b/core/fleet/task.go
@@ -21,9 +21,9 @@
 	progressInterval = 250 * time.Millisecond
 	// stallTimeout is how long the progress of a run may stay unchanged before
 	// the run is stopped and the task starts on another worker; for long runs it
-	// is a tenth of their expected run time. On a slow worker, a run takes 6.5
-	// times the expected run time, so one percent of it takes 6.5 % of that
-	// time, still less than a tenth.
+	// is a tenth of their expected run time. On a slow worker, a run may take up
+	// to 6.5 times its expected run time, so one percent of progress takes up to
+	// 6.5 % of that time, which is less than a tenth.
 	stallTimeout = 2500 * time.Millisecond
 	stallDivisor = 10
 )
@@ -69,7 +69,7 @@
 func (t *Task) position() int { return t.phase.firstPosition + t.index }
 
 func (t *Task) fire(ev chart.Event) {
-	t.phase.job.scheduler.addRefusal(taskChart.Fire(&t.state, ev, t))
+	t.phase.job.scheduler.recordRefused(taskChart.Fire(&t.state, ev, t))
 }
 
 // addUnresolved marks a recovered task that may be running on a worker that has
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -285,7 +285,7 @@
 		}
 		o.log.WithFields(f).Info(d.Event)
 	}
-	for _, err := range o.scheduler.Refusals() {
+	for _, err := range o.scheduler.RefusedEvents() {
 		o.log.WithError(err).Error("state chart refused an event")
 	}
 }
@@ -438,7 +438,7 @@
 	})
 }
 
-// Drain releases the ownership record. The process claims nothing from then on.
+// Drain releases the ownership record. The process makes no further claims.
 func (o *Owner) Drain() {
 	o.post(func(o *Owner, _ time.Time) {
 		o.draining = true
