--- /dev/null
+++ b/io/record/format_test.go
@@ -0,0 +1,238 @@
+package record_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"net/netip"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"chicoryturn/core"
+	"chicoryturn/core/elect"
+	"chicoryturn/core/fleet"
+	"chicoryturn/core/jobs"
+	"chicoryturn/io/record"
+	"chicoryturn/io/table"
+)
+
+// oldRows returns the rows and messages encoded by build 1a3cc7e, the last one
+// before Go identifiers were renamed. Stored rows are under "table/part/name".
+func oldRows(t *testing.T) map[string]json.RawMessage {
+	t.Helper()
+	data, err := os.ReadFile("testdata/rows-1a3cc7e.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var rows map[string]json.RawMessage
+	if err := json.Unmarshal(data, &rows); err != nil {
+		t.Fatal(err)
+	}
+	return rows
+}
+
+// compact returns JSON without white space between its tokens.
+func compact(t *testing.T, data []byte) string {
+	t.Helper()
+	var out bytes.Buffer
+	if err := json.Compact(&out, data); err != nil {
+		t.Fatal(err)
+	}
+	return out.String()
+}
+
+// markSet marks the path of v, and of each field below it, as true if the value
+// is not zero, or as false if no earlier call has marked it as true.
+func markSet(set map[string]bool, path string, v reflect.Value) {
+	set[path] = set[path] || !v.IsZero()
+	switch v.Kind() {
+	case reflect.Pointer:
+		if !v.IsNil() {
+			markSet(set, path, v.Elem())
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			markSet(set, path+"[]", v.Index(i))
+		}
+	case reflect.Map:
+		for _, k := range v.MapKeys() {
+			markSet(set, path+"[]", v.MapIndex(k))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() {
+				markSet(set, path+"."+f.Name, v.Field(i))
+			}
+		}
+	}
+}
+
+// checkAllSet fails the test for each exported field that is zero in all values. A
+// field that a later build adds needs a row written by that build.
+func checkAllSet(t *testing.T, values ...any) {
+	t.Helper()
+	set := map[string]bool{}
+	for _, v := range values {
+		markSet(set, reflect.TypeOf(v).String(), reflect.ValueOf(v))
+	}
+	for path, ok := range set {
+		if !ok {
+			t.Errorf("%s is zero in all rows", path)
+		}
+	}
+}
+
+// second returns a time in a fixed minute.
+func second(s int) time.Time { return time.Date(2026, 3, 4, 5, 6, s, 0, time.UTC) }
+
+// TestStoredRowFormat guards against a renamed field or table key that changes a
+// stored row, so that a VM cannot read the rows of earlier builds. It loads the
+// rows of build 1a3cc7e, compares each field, and writes the same rows again.
+func TestStoredRowFormat(t *testing.T) {
+	is := is.New(t)
+	budgets := []int{13, 33}
+	specs := map[core.JobID]jobs.Spec{
+		"full": {
+			ID: "full", Team: "red", Queue: "bulk", Payload: "payload", Repeat: 2, First: second(1), Every: 3,
+			Accepted: second(4), FirstEpoch: 5,
+			Phases: []jobs.Phase{{
+				Count: 6, Need: core.Resources{Cores: 7, Memory: 8, Accel: 9}, Estimate: 10, After: []int{11},
+				Gang: true, SameRack: true, Checkpoints: true, Speculative: true, LongRunning: true, Filler: true,
+				Label: "label-1", Rack: "rack-1", PerWorker: 12, Image: "image-1", LatencyTarget: 14,
+				DisruptionBudget: &budgets[0],
+			}, {
+				Count: 26, Need: core.Resources{Cores: 27, Memory: 28, Accel: 29}, Estimate: 30, After: []int{31, 35},
+				Gang: true, SameRack: true, Checkpoints: true, Speculative: true, LongRunning: true, Filler: true,
+				Label: "label-2", Rack: "rack-2", PerWorker: 32, Image: "image-2", LatencyTarget: 34,
+				DisruptionBudget: &budgets[1],
+			}},
+		},
+		// Each phase sets one flag, so that two flags with exchanged keys differ.
+		"flags": {
+			ID: "flags", Team: "blue", Queue: "fast", Payload: "payload-2", Accepted: second(6),
+			Phases: []jobs.Phase{
+				{Count: 1, Gang: true}, {Count: 2, SameRack: true}, {Count: 3, Checkpoints: true},
+				{Count: 4, Speculative: true}, {Count: 5, LongRunning: true}, {Count: 6, Filler: true},
+			},
+		},
+	}
+	progress := jobs.Progress{
+		Job: "full", State: jobs.Failed, Done: []byte{15, 16}, FailedRuns: map[int][]uint64{17: {18, 19}, 20: {21}},
+	}
+	owner := elect.Record{
+		Holder: "sched-1", VM: "entry-1", Addr: netip.MustParseAddrPort("10.0.0.2:72"), Epoch: 22, WriteNumber: 23, Stamp: 24,
+	}
+	roster := []fleet.WorkerInfo{{
+		VM: core.VM{
+			Name: "worker-1", Kind: "worker", Addr: netip.MustParseAddrPort("10.0.0.1:71"), Region: "hobart",
+			Zone: "hobart-a", Rack: "rack-3", Leaving: true, Capacity: core.Resources{Cores: 41, Memory: 42, Accel: 43},
+			Service: "svc-1", Slots: 44,
+		},
+		Labels: []string{"label-3"}, LeavesIn: 45, Incarnation: second(40), Renewals: 46,
+	}, {
+		VM: core.VM{
+			Name: "worker-2", Kind: "worker", Addr: netip.MustParseAddrPort("10.0.0.1:71"), Region: "hobart",
+			Zone: "hobart-a", Rack: "rack-4", Leaving: true, Capacity: core.Resources{Cores: 51, Memory: 52, Accel: 53},
+			Service: "svc-2", Slots: 54,
+		},
+		Labels: []string{"label-4"}, LeavesIn: 55, Incarnation: second(50), Renewals: 56,
+	}}
+
+	old := newFakeTable()
+	old.version = 1
+	for name, val := range oldRows(t) {
+		if parts := strings.SplitN(name, "/", 3); len(parts) == 3 {
+			k := table.Key{Table: parts[0], Part: parts[1], Name: parts[2]}
+			old.rows[k] = table.Row{Key: k, Val: val, Version: 1}
+		}
+	}
+	is.Equal(len(old.rows), 6) // two jobs, a cancellation, progress, owner, roster
+
+	store := startStore(t, old)
+	snap, err := store.Load(context.Background())
+	is.NoErr(err)
+	is.Equal(snap.RowErrors, nil)
+	loaded := map[core.JobID]jobs.Spec{}
+	for _, s := range snap.Specs {
+		loaded[s.ID] = s
+	}
+	is.Equal(loaded, specs)
+	is.Equal(snap.Cancelled, []core.JobID{"flags"})
+	is.Equal(snap.Progress, map[core.JobID]jobs.Progress{"full": progress})
+	is.Equal(snap.Roster, roster)
+	obs, err := store.OwnerRecord(context.Background())
+	is.NoErr(err)
+	is.Equal(obs.Record, owner)
+	checkAllSet(t, loaded["full"].Phases[0])
+	checkAllSet(t, loaded["full"].Phases[1])
+	checkAllSet(t, loaded["full"])
+	checkAllSet(t, snap.Progress["full"])
+	checkAllSet(t, snap.Roster[0])
+	checkAllSet(t, snap.Roster[1])
+	checkAllSet(t, obs.Record)
+
+	again := newFakeTable()
+	store = startStore(t, again)
+	for _, s := range snap.Specs {
+		_, err := store.Accept(timeoutContext(t, 5*time.Second), s)
+		is.NoErr(err)
+	}
+	is.NoErr(store.Cancel(context.Background(), "flags", second(7)))
+	_, err = store.Write(context.Background(), record.OwnerWrite{
+		Record: obs.Record, Progress: []jobs.Progress{snap.Progress["full"]}, Roster: snap.Roster,
+	})
+	is.NoErr(err)
+	is.Equal(len(again.rows), len(old.rows))
+	for k, row := range old.rows {
+		is.Equal(string(again.rows[k].Val), compact(t, row.Val))
+	}
+}
+
+// TestTableMessageFormat guards against a renamed field that changes a call or
+// an outcome, so that VMs of different builds cannot make calls for each other.
+func TestTableMessageFormat(t *testing.T) {
+	key := func(n string) table.Key { return table.Key{Table: "table-" + n, Part: "part-" + n, Name: "name-" + n} }
+	row := func(n string, version uint64) table.Row {
+		return table.Row{Key: key(n), Val: []byte("val-" + n), Version: version, Deleted: true}
+	}
+	tests := []struct {
+		name string
+		want any
+	}{
+		{"call:write", table.Call{Write: &table.Txn{
+			Checks:  []table.Check{{Key: key("1"), Version: 2}},
+			Puts:    []table.Put{{Key: key("3"), Val: []byte("val-3")}},
+			Deletes: []table.Key{key("4")},
+		}}},
+		{"call:read", table.Call{Read: &table.Range{Table: "table-5", Part: "part-5", From: "from", To: "to", Limit: 6}}},
+		{"call:feed", table.Call{Feed: &table.FeedRequest{Table: "table-7", Version: 8, Wait: 9}}},
+		{"outcome:done", table.Outcome{Done: &table.WriteResult{Version: 1, Now: 2}}},
+		{"outcome:page", table.Outcome{Page: &table.Page{Rows: []table.Row{row("3", 4)}, More: true, Version: 5, Now: 6}}},
+		{"outcome:changes", table.Outcome{Changes: &table.Changes{Rows: []table.Row{row("7", 8)}, Version: 9}}},
+		{"outcome:refused", table.Outcome{RefusedStatus: 503}},
+		{"outcome:conflict", table.Outcome{Conflict: &table.ConflictError{Rows: []table.Row{row("10", 11)}}}},
+		{"outcome:trimmed", table.Outcome{Compacted: &table.CompactedError{Version: 12}}},
+		{"outcome:down", table.Outcome{NoAnswer: "reason"}},
+	}
+	rows := oldRows(t)
+	var decoded []any
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			got := reflect.New(reflect.TypeOf(tt.want))
+			is.NoErr(json.Unmarshal(rows[tt.name], got.Interface()))
+			is.Equal(got.Elem().Interface(), tt.want)
+			data, err := json.Marshal(got.Interface())
+			is.NoErr(err)
+			is.Equal(string(data), compact(t, rows[tt.name]))
+			decoded = append(decoded, got.Elem().Interface())
+		})
+	}
+	// Each call and each outcome sets one field; together they set all fields.
+	checkAllSet(t, decoded...)
+}
