--- a/io/check/check.go
+++ b/io/check/check.go
@@ -33,7 +33,7 @@
 	Limit = "limit"
 	// LostTask is a submitted task that never ran to its end.
 	LostTask = "lost task"
-	// Slots is a target with more requests at once than slots.
+	// Slots is a target with more requests in flight than slots.
 	Slots = "slots"
 	// Repeat is a request that reached targets twice but must not be retried.
 	Repeat = "request run twice"
@@ -91,11 +91,11 @@
 		runningOn[e.Task] = e.Worker
 		used[e.Worker] = used[e.Worker].Add(need)
 		if !used[e.Worker].FitsIn(l.capacity[e.Worker]) {
-			out = append(out, Violation{Room, fmt.Sprintf("%s holds %+v of %+v", e.Worker, used[e.Worker], l.capacity[e.Worker]), e.At})
+			out = append(out, Violation{Room, fmt.Sprintf("%s uses %+v of %+v", e.Worker, used[e.Worker], l.capacity[e.Worker]), e.At})
 		}
 		teamCores[e.Team] += need.Cores
 		if limit, ok := limits[core.Team(e.Team)]; ok && teamCores[e.Team] > limit {
-			out = append(out, Violation{Limit, fmt.Sprintf("team %s runs %d of %d", e.Team, teamCores[e.Team], limit), e.At})
+			out = append(out, Violation{Limit, fmt.Sprintf("team %s uses %d thousandths of a core, limit %d", e.Team, teamCores[e.Team], limit), e.At})
 		}
 	}
 	return out
@@ -159,50 +159,52 @@
 }
 
 // RequestViolations returns a violation for every request that started while its
-// team had as many requests running as its limit allows.
+// team already had as many requests in flight as its limit allows.
 func RequestViolations(targets []fakes.TargetRecord, limits map[core.Team]int64) []Violation {
-	type edge struct {
-		at   time.Time
-		team string
-		add  int64
+	// change is the start or end of one request.
+	type change struct {
+		at    time.Time
+		team  string
+		delta int64
 	}
-	var edges []edge
+	var changes []change
 	for _, t := range targets {
 		for _, h := range t.Hits {
-			edges = append(edges, edge{h.Began, h.Team, 1})
+			changes = append(changes, change{h.Began, h.Team, 1})
 			if !h.Ended.IsZero() {
-				edges = append(edges, edge{h.Ended, h.Team, -1})
+				changes = append(changes, change{h.Ended, h.Team, -1})
 			}
 		}
 	}
-	sort.SliceStable(edges, func(i, j int) bool {
-		if !edges[i].at.Equal(edges[j].at) {
-			return edges[i].at.Before(edges[j].at)
+	// Of two changes at the same time, the end comes before the start.
+	sort.SliceStable(changes, func(i, j int) bool {
+		if !changes[i].at.Equal(changes[j].at) {
+			return changes[i].at.Before(changes[j].at)
 		}
-		return edges[i].add < edges[j].add
+		return changes[i].delta < changes[j].delta
 	})
 	var out []Violation
-	running := map[string]int64{}
-	for _, e := range edges {
-		running[e.team] += e.add
-		if limit, ok := limits[core.Team(e.team)]; ok && e.add > 0 && running[e.team] > limit {
-			out = append(out, Violation{Limit, fmt.Sprintf("team %s has %d requests of %d", e.team, running[e.team], limit), e.at})
+	inFlight := map[string]int64{}
+	for _, c := range changes {
+		inFlight[c.team] += c.delta
+		if limit, ok := limits[core.Team(c.team)]; ok && c.delta > 0 && inFlight[c.team] > limit {
+			out = append(out, Violation{Limit, fmt.Sprintf("team %s has %d requests in flight, limit %d", c.team, inFlight[c.team], limit), c.at})
 		}
 	}
 	return out
 }
 
-// TargetViolations returns the violations of Slots and Repeat. The parameter once
+// TargetViolations returns the violations of Slots and Repeat. notRetried
 // holds the IDs of the requests that must not be retried.
-func TargetViolations(targets []fakes.TargetRecord, once core.Set[string]) []Violation {
+func TargetViolations(targets []fakes.TargetRecord, notRetried core.Set[string]) []Violation {
 	var out []Violation
 	seen := map[string]fakes.Hit{}
 	for _, t := range targets {
 		if t.Overfull > 0 {
-			out = append(out, Violation{Slots, fmt.Sprintf("%d requests at once on %d slots", t.MaxInFlight, t.Slots), time.Time{}})
+			out = append(out, Violation{Slots, fmt.Sprintf("%d requests in flight on %d slots", t.MaxInFlight, t.Slots), time.Time{}})
 		}
 		for _, h := range t.Hits {
-			if first, ok := seen[h.ID]; ok && once.Has(h.ID) {
+			if first, ok := seen[h.ID]; ok && notRetried.Has(h.ID) {
 				out = append(out, Violation{Repeat, fmt.Sprintf("request %s on %s and %s", h.ID, first.Target, h.Target), h.Began})
 			}
 			seen[h.ID] = h
--- a/io/httpx/httpx.go
+++ b/io/httpx/httpx.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// opsHandlers are the handlers that use the agent.
+// opsHandlers holds the handlers that read or change the configuration.
 type opsHandlers struct{ agent *agent.Agent }
 
 // operatorName returns the name that the operator gives for the history of changes.
@@ -176,7 +176,7 @@
 type ChangeResult struct {
 	// Version is the version of the configuration with the change.
 	Version core.Version `json:"version"`
-	// Key is a newly granted key. No other answer contains it.
+	// Key is a newly granted key with its secret. Only this answer contains it.
 	Key string `json:"key,omitempty"`
 }
 
@@ -186,6 +186,7 @@
 		WriteError(w, err)
 		return
 	}
+	// Without a valid base, the rules replace any version in force.
 	base, _ := strconv.ParseUint(r.URL.Query().Get("base"), 10, 64)
 	v, err := o.agent.PushRules(r.Context(), text, core.Version(base), operatorName(r))
 	respond(w)(ChangeResult{Version: v}, err)
--- a/io/logbuf/writer.go
+++ b/io/logbuf/writer.go
@@ -13,7 +13,7 @@
 const (
 	// maxLines is the capacity of the buffer.
 	maxLines = 2048
-	// maxWriteBytes is the size of a write from which no further line is added to it.
+	// maxWriteBytes is the size of a write, in bytes, from which it takes no more lines.
 	maxWriteBytes = 16 << 10
 )
 
@@ -24,7 +24,7 @@
 	dropped atomic.Uint64
 }
 
-// New returns a buffer for an output, to which Run writes.
+// New returns a Writer whose Run method writes to out.
 func New(out io.Writer) *Writer { return &Writer{out: out, queue: make(chan []byte, maxLines)} }
 
 // Write implements io.Writer. It never returns an error; if the buffer is full, it
@@ -74,7 +74,7 @@
 		}
 		break
 	}
-	// There is nowhere to report that the log cannot be written.
+	// An error of the log output itself cannot be logged.
 	_, _ = w.out.Write(buf.Bytes())
 	buf.Reset()
 }
--- a/io/logbuf/writer_test.go
+++ b/io/logbuf/writer_test.go
@@ -13,28 +13,28 @@
 	"chicoryturn/io/logbuf"
 )
 
-// pipe is a log output that blocks until stop is closed.
-type pipe struct {
-	mu   sync.Mutex
-	text strings.Builder
-	stop chan struct{}
+// blockingOutput is a log output that blocks until unblock is closed.
+type blockingOutput struct {
+	mu      sync.Mutex
+	text    strings.Builder
+	unblock chan struct{}
 }
 
-func (p *pipe) Write(b []byte) (int, error) {
-	if p.stop != nil {
-		<-p.stop
+func (p *blockingOutput) Write(b []byte) (int, error) {
+	if p.unblock != nil {
+		<-p.unblock
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.text.Write(b)
 }
 
-// TestBlockedReader logs many more lines than the buffer holds while the output blocks.
+// TestBlockedOutput logs many more lines than the buffer holds while the output blocks.
 // Logging must not be delayed, and once the output accepts writes again, the log must
 // say that lines were dropped.
-func TestBlockedReader(t *testing.T) {
+func TestBlockedOutput(t *testing.T) {
 	is := is.New(t)
-	p := &pipe{stop: make(chan struct{})}
+	p := &blockingOutput{unblock: make(chan struct{})}
 	w := logbuf.New(p)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -46,7 +46,7 @@
 	}
 	is.True(time.Since(began) < time.Second)
 	is.True(w.Dropped() > 10000)
-	close(p.stop)
+	close(p.unblock)
 	for {
 		p.mu.Lock()
 		text := p.text.String()
--- a/io/loop/loop.go
+++ b/io/loop/loop.go
@@ -44,7 +44,8 @@
 	return &Loop{mailbox: make(chan Message, mailboxSize), stopped: make(chan struct{}), group: group, ctx: ctx}
 }
 
-// Post sends a message to the control goroutine. It blocks while the mailbox is full.
+// Post sends a message to the control goroutine. It blocks while the mailbox is full
+// and returns a StoppedError if the loop has stopped.
 func (l *Loop) Post(m Message) error {
 	select {
 	case l.mailbox <- m:
@@ -54,12 +55,12 @@
 	}
 }
 
-// Go runs work, which may do I/O, on a new goroutine and posts its result, unless it
-// is nil.
+// Go runs work, which may do I/O, on a new goroutine. It posts the message that work
+// returns, unless that is nil.
 func (l *Loop) Go(work func(ctx context.Context) Message) {
 	l.group.Go(func() error {
 		if m := work(l.ctx); m != nil {
-			// A stopped loop has no use for the result.
+			// Post fails only if the loop has stopped; it then handles no more results.
 			_ = l.Post(m)
 		}
 		return nil
--- a/io/parse/settings.go
+++ b/io/parse/settings.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// minDuration and maxDuration are the limits of every time in the settings.
+	// minDuration and maxDuration are the limits of every duration in the settings.
 	minDuration = 500 * time.Millisecond
 	maxDuration = 10 * time.Minute
 	// maxCells is the largest number of cells in a region.
@@ -49,7 +49,7 @@
 	LogFormat string
 }
 
-// Setting describes one setting, for help.
+// Setting describes one setting in the help text.
 type Setting struct {
 	Name, Unit, Default, About string
 }
@@ -104,7 +104,7 @@
 	c.errs = append(c.errs, &core.LineError{File: c.file, Line: line, Reason: name + ": " + fmt.Sprintf(format, args...)})
 }
 
-// name returns a name. Names are parts of session IDs, keys and cell IDs, in which dots
+// name checks a name. Names are parts of session IDs, keys and cell IDs, in which dots
 // and slashes separate the parts.
 func (c *settingsChecker) name(name, val string) string {
 	if val == "" {
@@ -142,7 +142,7 @@
 	return d
 }
 
-// oneOf checks that a value is in a list, whose values are separated by commas.
+// oneOf checks that a value is in a comma-separated list.
 func (c *settingsChecker) oneOf(name, val, list string) string {
 	for _, allowed := range strings.Split(list, ", ") {
 		if val == allowed {
