--- a/io/check/check.go
+++ b/io/check/check.go
@@ -27,16 +27,16 @@
 const (
 	// Room is the use of more than the capacity of a worker.
 	Room = "room"
-	// Twice is a task that runs on two workers at once.
-	Twice = "running twice"
+	// DuplicateRun is a task that runs on two workers at once.
+	DuplicateRun = "running twice"
 	// Limit is the use of more cores or requests than a team's limit.
 	Limit = "limit"
 	// LostTask is a submitted task that never ran to its end.
 	LostTask = "lost task"
 	// Slots is a target with more requests in flight than slots.
 	Slots = "slots"
-	// Repeat is a request that reached targets twice but must not be retried.
-	Repeat = "request run twice"
+	// RepeatedRequest is a request that reached targets twice but must not be retried.
+	RepeatedRequest = "request run twice"
 )
 
 // Log holds the task events of all workers of a test run in order of time.
@@ -68,8 +68,9 @@
 // Events returns the task events in order of time.
 func (l *Log) Events() []fakes.TaskRecord { return l.events }
 
-// Violations replays the events and returns the violations of Room, Twice and Limit.
-// Limits are the teams' limits in thousandths of a core.
+// Violations replays the events and returns the violations of Room, DuplicateRun and
+// Limit.
+// limits holds the teams' limits in thousandths of a core.
 func (l *Log) Violations(limits map[core.Team]int64) []Violation {
 	var out []Violation
 	used := map[string]core.Resources{}
@@ -86,7 +87,7 @@
 			continue
 		}
 		if other, ok := runningOn[e.Task]; ok {
-			out = append(out, Violation{Twice, fmt.Sprintf("task %s on %s and %s", e.Task, other, e.Worker), e.At})
+			out = append(out, Violation{DuplicateRun, fmt.Sprintf("task %s on %s and %s", e.Task, other, e.Worker), e.At})
 		}
 		runningOn[e.Task] = e.Worker
 		used[e.Worker] = used[e.Worker].Add(need)
@@ -194,7 +195,7 @@
 	return out
 }
 
-// TargetViolations returns the violations of Slots and Repeat. notRetried
+// TargetViolations returns the violations of Slots and RepeatedRequest. notRetried
 // holds the IDs of the requests that must not be retried.
 func TargetViolations(targets []fakes.TargetRecord, notRetried core.Set[string]) []Violation {
 	var out []Violation
@@ -205,7 +206,7 @@
 		}
 		for _, h := range t.Hits {
 			if first, ok := seen[h.ID]; ok && notRetried.Has(h.ID) {
-				out = append(out, Violation{Repeat, fmt.Sprintf("request %s on %s and %s", h.ID, first.Target, h.Target), h.Began})
+				out = append(out, Violation{RepeatedRequest, fmt.Sprintf("request %s on %s and %s", h.ID, first.Target, h.Target), h.Began})
 			}
 			seen[h.ID] = h
 		}
--- a/io/check/check_test.go
+++ b/io/check/check_test.go
@@ -31,7 +31,7 @@
 		}, ""},
 		"twice": {[]fakes.TaskRecord{
 			taskRecord("w1", "j.0", "a", "start", 1000, 0), taskRecord("w2", "j.0", "a", "start", 1000, 1),
-		}, check.Twice},
+		}, check.DuplicateRun},
 		"overfull": {[]fakes.TaskRecord{
 			taskRecord("w1", "j.0", "a", "start", 5000, 0), taskRecord("w1", "j.1", "a", "start", 4000, 1),
 		}, check.Room},
@@ -63,5 +63,5 @@
 	violations := check.TargetViolations(records, core.NewSet("r1"))
 	is.Equal(len(violations), 2)
 	is.Equal(violations[0].Invariant, check.Slots)
-	is.Equal(violations[1].Invariant, check.Repeat)
+	is.Equal(violations[1].Invariant, check.RepeatedRequest)
 }
