--- a/io/check/check.go
+++ b/io/check/check.go
@@ -69,8 +69,7 @@
 func (l *Log) Events() []fakes.TaskRecord { return l.events }
 
 // Violations replays the events and returns the violations of Room, DuplicateRun and
-// Limit.
-// limits holds the teams' limits in thousandths of a core.
+// Limit. limits holds the teams' limits in thousandths of a core.
 func (l *Log) Violations(limits map[core.Team]int64) []Violation {
 	var out []Violation
 	used := map[string]core.Resources{}
