--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -89,8 +89,8 @@
 	return proc.Listen("stand-in", a)
 }
 
-func serve(ctx context.Context, group *errgroup.Group, addr string, h http.Handler) error {
-	l, err := listen(addr)
+func serve(ctx context.Context, group *errgroup.Group, text string, h http.Handler) error {
+	l, err := listen(text)
 	if err != nil {
 		return err
 	}
